--- a/packages/gateway/test/caller-connections.test.ts
+++ b/packages/gateway/test/caller-connections.test.ts
@@ -5,7 +5,7 @@
 
 const answerSize = 24 * 1024 * 1024;
 
-describe("connections of callers", () => {
+describe("connections of callers [P7]", () => {
     let server: Server;
     let connections: CallerConnections;
     let port: number;
--- a/packages/gateway/test/exchange.test.ts
+++ b/packages/gateway/test/exchange.test.ts
@@ -39,7 +39,7 @@
 const head = (lines: string[] = [], id = "r-1") => `HTTP/1.1 200 OK\r\nRequest-Id: ${id}\r\n${lines.join("")}\r\n`;
 const framed = (body: string, id = "r-1") => head([`Content-Length: ${body.length}\r\n`], id) + body;
 
-describe("exchange with a backend server", () => {
+describe("exchange with a backend server [P3]", () => {
     describe("an answer with a length", () => {
         it("is taken whole, and the connection carries the next request", async () => {
             await withServer((socket, request) => {
--- a/packages/gateway/test/replicator.test.ts
+++ b/packages/gateway/test/replicator.test.ts
@@ -22,7 +22,7 @@
     watchWait: () => undefined,
 };
 
-describe("replicator", () => {
+describe("replicator [P8]", () => {
     let lifetime: AbortController;
     let read: SharedKind[];
     let published: StateUpdate[];
--- a/packages/steering/test/budgets.test.ts
+++ b/packages/steering/test/budgets.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "chai";
 import { createColdAdmission, createRepeatBudget, createSlidingCount, createWeightedRotation } from "../src/index.js";
 
-describe("repeat budget", () => {
+describe("repeat budget [P11]", () => {
     it("keeps all boxes together within ratio and allowance in every window", () => {
         const boxCount = 9;
         const boxes = Array.from(
@@ -32,7 +32,7 @@
     });
 });
 
-describe("cold admission", () => {
+describe("cold admission [P14]", () => {
     it("keeps all boxes together within the rate and one request for each sender", () => {
         const names = Array.from({ length: 80 }, (_, index) => boxId(`box-${index}`));
         const admissions = names.map(self =>
@@ -76,7 +76,7 @@
 });
 
 describe("weighted rotation", () => {
-    it("gives each destination its share to within one request", () => {
+    it("gives each destination its share to within one request [P20]", () => {
         const next = createWeightedRotation([
             { service: serviceId("a"), weight: 90 },
             { service: serviceId("b"), weight: 10 },
--- a/packages/steering/test/carriers.test.ts
+++ b/packages/steering/test/carriers.test.ts
@@ -41,7 +41,7 @@
         expect(namesOf(allCarriers([...strong, ...weak, south]))).to.deep.equal(["s1", "s2", "s3", "x"]);
     });
 
-    it("send to cold servers of their region, and to others only where there are none", () => {
+    it("send to cold servers of their region, and to others only where there are none [P14]", () => {
         const south = createMember("x", { region: regionId("south") });
         expect(coldSenders([...strong, south], regionId("south"))).to.deep.equal(["x"]);
         expect(coldSenders(strong, regionId("south"))).to.have.length(3);
--- a/packages/steering/test/replica.test.ts
+++ b/packages/steering/test/replica.test.ts
@@ -3,7 +3,7 @@
 import { chooseBoxes, createMembership, createReplica, type MemberRecord } from "../src/index.js";
 import { createMember } from "./member.js";
 
-describe("replica", () => {
+describe("replica [P8]", () => {
     function create() {
         const seen: string[][] = [];
         const replica = createReplica<{ name: string; }>(
@@ -58,7 +58,7 @@
     });
 });
 
-describe("membership", () => {
+describe("membership [P19]", () => {
     const create = () =>
         createMembership({
             self: createMember("self"),
@@ -98,7 +98,7 @@
     });
 });
 
-describe("directory", () => {
+describe("directory [P19]", () => {
     it("names the boxes of the caller's region, and others only if it has none", () => {
         const north = createMember("n");
         const south = createMember("s", { region: regionId("south") });
--- a/packages/steering/test/server-choice.test.ts
+++ b/packages/steering/test/server-choice.test.ts
@@ -99,7 +99,7 @@
             expect(Array.from({ length: 20 }, () => chosen())).to.deep.equal(Array(20).fill(first));
         });
 
-        it("moves few keys when a server goes, and none between those that stay", () => {
+        it("moves few keys when a server goes, and none between those that stay [P1]", () => {
             const before = createSetup(fourServers);
             const after = createSetup(fourServers.slice(1));
             for (let key = 0; key < 200; key++) {
@@ -120,7 +120,7 @@
             expect(first).to.be.within(690, 810);
         });
 
-        it("leaves a server whose wait costs more than cold work elsewhere", () => {
+        it("leaves a server whose wait costs more than cold work elsewhere [P2]", () => {
             const { catalog, chosen } = createSetup(fourServers);
             const first = chosen();
             const { standing } = catalog.get(serverId(String(first)))!;
@@ -147,7 +147,7 @@
             }
         };
 
-        it("get nothing while they fail requests, whatever their health, and are tried again later", () => {
+        it("get nothing while they fail requests, whatever their health, and are tried again later [P7]", () => {
             const setup = createSetup(fourServers);
             const first = setup.chosen();
             fail(setup, String(first), 2);
@@ -185,7 +185,7 @@
     });
 
     describe("who may serve", () => {
-        it("leaves out draining, unlisted, replaced and tried servers", () => {
+        it("leaves out draining, unlisted, replaced and tried servers [P6]", () => {
             const records = [createRecord("s-1", { draining: true }), ...fourServers.slice(1)];
             const { catalog, chosen } = createSetup(records);
             catalog.get(serverId("s-2"))!.standing.onReplaced();
@@ -196,7 +196,7 @@
             expect(chosen({ tried: new Set([serverId("s-4")]) })).to.equal("noServer");
         });
 
-        it("leaves out closed zones and regions that are no home of the route", () => {
+        it("leaves out closed zones and regions that are no home of the route [P15] [P16]", () => {
             const records = [
                 createRecord("s-1"),
                 createRecord("s-2", { zone: zoneId("north-b") }),
@@ -209,7 +209,7 @@
             }
         });
 
-        it("refuses when the answer can't come in time", () => {
+        it("refuses when the answer can't come in time [P2]", () => {
             const { choose, request, work } = createSetup(fourServers);
             work.onMeasured(request().route, true, milliseconds(150));
             expect(choose(request({ timeLeft: milliseconds(20) })).kind).to.equal("tooLate");
@@ -222,7 +222,7 @@
     });
 
     describe("cold servers", () => {
-        it("get no more than their rate", () => {
+        it("get no more than their rate [P14]", () => {
             const { catalog, choose, request } = createSetup([createRecord("s-1", { coldFor: milliseconds(3000) })]);
             let sent = 0;
             for (let time = 0; time < 1000; time += 5) {
--- a/packages/steering/test/store-watch-duty.test.ts
+++ b/packages/steering/test/store-watch-duty.test.ts
@@ -3,7 +3,7 @@
 import { createStoreWatchDuty, type MemberRecord } from "../src/index.js";
 import { createMember } from "./member.js";
 
-describe("duty to follow the store", () => {
+describe("duty to follow the store [P8]", () => {
     const changeBound = milliseconds(3000);
     const names = ["a", "b", "c", "d", "e", "f", "g", "h"];
     const dutyOf = (self: string, alive: readonly MemberRecord[]) =>
--- a/packages/testing/src/emulator/day.ts
+++ b/packages/testing/src/emulator/day.ts
@@ -97,6 +97,8 @@
     readonly worth: number;
     readonly worstZone: number;
     readonly warmShare: number;
+    /** Part of the requests at servers that found every slot and every place in the queue taken. */
+    readonly turnedAwayShare: number;
     /** Arrivals beyond the first of each request. */
     readonly repeats: number;
 }
@@ -301,6 +303,8 @@
             refused: sum("refused"),
             worth: sum("earned") / sum("owed"),
             worstZone: Math.min(...all.map(tally => tally.earned / tally.owed)),
+            turnedAwayShare: everyServer.reduce((total, server) => total + server.turnedAway(), 0)
+                / Math.max(1, arrivals),
             warmShare: everyServer.reduce((total, server) => total + server.warmRuns(), 0) / Math.max(1, arrivals),
             repeats,
         };
--- a/packages/testing/src/emulator/emulated-server.ts
+++ b/packages/testing/src/emulator/emulated-server.ts
@@ -21,6 +21,8 @@
     /** Takes a request; `done` is told when it ends. `work` is the time with a key that is not known. */
     readonly receive: (key: string, work: number, done: (ending: ServerEnding) => void) => void;
     readonly arrivals: () => number;
+    /** Requests that found every slot and every place in the queue taken. */
+    readonly turnedAway: () => number;
     readonly warmRuns: () => number;
 }
 
@@ -42,6 +44,7 @@
     let slowness = 1;
     let running = 0;
     let arrivals = 0;
+    let turnedAway = 0;
     let warmRuns = 0;
 
     return {
@@ -62,10 +65,12 @@
                 waiting.push(() => run(key, work, done));
             }
             else {
+                turnedAway += 1;
                 done({ kind: "notRun", load: loadReport() });
             }
         },
         arrivals: () => arrivals,
+        turnedAway: () => turnedAway,
         warmRuns: () => warmRuns,
     };
 
--- a/packages/testing/src/promises/main.ts
+++ b/packages/testing/src/promises/main.ts
@@ -1,33 +1,27 @@
 /**
  * `npm run promises`: runs the proofs of what always holds and prints a row
  * for each promise. With `-- --undo` it also takes each mechanism out of the
- * compiled code in turn, and expects the proofs to fail without it. With
- * `-- --undo-rules` it does so for the rules of the users' platform instead.
+ * compiled code in turn, and expects the proofs to fail without it.
  */
 
 import { readFileSync, writeFileSync } from "node:fs";
 import { resolve } from "node:path";
 import { workspace } from "../launch/process.js";
-import { type Mechanism, mechanisms, promiseTexts } from "./mechanisms.js";
+import { mechanisms, promiseTexts } from "./mechanisms.js";
 import { runProofs } from "./proofs.js";
-import { ruleMechanisms } from "./rule-mechanisms.js";
-
-/** Rules of the platform are proved by all tests of their files. */
-const everyTitle = ".";
 
 /** A mechanism that is out when this process is ended is put back on exit. */
 process.once("SIGTERM", () => process.exit(1));
 process.once("SIGINT", () => process.exit(1));
 
 const write = (line: string) => process.stdout.write(`${line}\n`);
-const failed = process.argv.includes("--undo-rules") ? 0 : await proveAll();
-const survived = process.argv.includes("--undo") ? await undoAll(mechanisms) : 0;
-const survivedRules = process.argv.includes("--undo-rules") ? await undoAll(ruleMechanisms, everyTitle) : 0;
-process.exit(failed + survived + survivedRules === 0 ? 0 : 1);
+const unproved = await proveAll();
+const survived = process.argv.includes("--undo") ? await undoAll() : 0;
+process.exit(unproved + survived === 0 ? 0 : 1);
 
 /** Runs all proofs once; returns the number of promises that are not proved. */
 async function proveAll(): Promise<number> {
-    const outcome = await runProofs(["packages/*/dist/test/**/*.test.js"]);
+    const outcome = await runProofs(["packages/*/dist/test/**/*.test.js", "platform/dist/test/**/*.test.js"]);
     let broken = 0;
     for (const [tag, text] of Object.entries(promiseTexts)) {
         const own = outcome.filter(test => test.title.includes(`[${tag}]`));
@@ -41,10 +35,10 @@
 }
 
 /** Takes each mechanism out; returns how many were not missed by any proof. */
-async function undoAll(list: readonly Mechanism[], titles?: string): Promise<number> {
+async function undoAll(): Promise<number> {
     write("");
     let survivors = 0;
-    for (const { promise, name, file, find, replace, specs } of list) {
+    for (const { promise, name, file, find, replace, specs } of mechanisms) {
         const path = resolve(workspace, file);
         const original = readFileSync(path, "utf8");
         if (!original.includes(find)) {
@@ -56,7 +50,7 @@
         const putBack = () => writeFileSync(path, original);
         process.once("exit", putBack);
         try {
-            const outcome = await runProofs(specs, titles);
+            const outcome = await runProofs(specs);
             const missed = outcome.filter(test => !test.passed);
             survivors += missed.length > 0 ? 0 : 1;
             const verdict = missed.length > 0 ? "missed   " : "NOT MISSED";
--- a/packages/testing/src/promises/proofs.ts
+++ b/packages/testing/src/promises/proofs.ts
@@ -24,11 +24,11 @@
 const longestRun = 120_000;
 const propertyRuns = "150";
 
-/** Titles of tests that prove a promise of the brief. */
-export const promiseTitles = "\\[P\\d\\]";
+/** Titles of tests that prove a promise. */
+const promiseTitles = "\\[P\\d+\\]";
 
-/** Runs the tests of some files whose titles match; those that belong to a promise by default. */
-export async function runProofs(specs: readonly string[], titles = promiseTitles): Promise<ProofOutcome[]> {
+/** Runs the tests of some files that prove a promise. */
+export async function runProofs(specs: readonly string[]): Promise<ProofOutcome[]> {
     const mocha = resolve(workspace, "node_modules/mocha/bin/mocha.js");
     const args = [
         mocha,
@@ -39,7 +39,7 @@
         "--timeout",
         "60000",
         "--grep",
-        titles,
+        promiseTitles,
         ...specs,
     ];
     const child = spawn(process.execPath, args, {
--- a/packages/testing/test/box-requests.test.ts
+++ b/packages/testing/test/box-requests.test.ts
@@ -63,7 +63,7 @@
     const runs = () => [...first.runs, ...second.runs];
 
     describe("a request of each kind", () => {
-        it("reaches a server unchanged, and its answer comes back unchanged", async () => {
+        it("reaches a server unchanged, and its answer comes back unchanged [P3] [P9]", async () => {
             const answer = await ask("/save/a?b=c", { method: "POST", body: "a climb", requestId: "x-1" });
             const [run] = runs();
             expect(answer.status).to.equal(200);
@@ -83,7 +83,7 @@
             expect(runs()[0].body).to.equal("in chunks");
         });
 
-        it("hands on what is left of the deadline", async () => {
+        it("hands on what is left of the deadline [P11]", async () => {
             await ask("/lookup/", { deadlineMs: 900 });
             await ask("/lookup/", { deadlineMs: 9000 });
             const [short, long] = runs().map(run => Number(run.headers["deadline-ms"]));
@@ -91,11 +91,11 @@
             expect(long).to.be.within(901, 1500);
         });
 
-        it("goes to the service of its route", async () => {
+        it("goes to the service of its route [P18]", async () => {
             expect((await ask("/pack/")).body).to.match(/^answer of i-3 /);
         });
 
-        it("gets 404 without a route", async () => {
+        it("gets 404 without a route [P10]", async () => {
             expect((await ask("/nowhere/")).status).to.equal(404);
         });
     });
@@ -124,7 +124,7 @@
             expect(runs()).to.have.length(1);
         });
 
-        it("ends in a refusal with a time to come back when all refuse", async () => {
+        it("ends in a refusal with a time to come back when all refuse [P4]", async () => {
             misbehave({ kind: "shed" });
             const answer = await ask("/save/", { method: "POST", body: "b" });
             expect(answer.status).to.equal(503);
@@ -133,7 +133,7 @@
             expect(runs()).to.have.length(0);
         });
 
-        it("does not run a request meant for the server that had its address", async () => {
+        it("does not run a request meant for the server that had its address [P18]", async () => {
             const address = first.address();
             first.close();
             const other = await deployment.addServer({
@@ -165,7 +165,7 @@
                 expect(answer.body).to.match(/^answer of/);
             });
 
-            it(`is never asked again, nor promised unrun, if it may not (${name})`, async () => {
+            it(`is never asked again, nor promised unrun, if it may not (${name}) [P4] [P5]`, async () => {
                 misbehave(loss, 1);
                 const answer = await ask("/save/", { method: "POST", body: "b" });
                 expect(answer.status).to.equal(502);
@@ -173,7 +173,7 @@
             });
         }
 
-        it("stays within the route's attempts", async () => {
+        it("stays within the route's attempts [P11]", async () => {
             misbehave({ kind: "loseAnswer", by: "reset" });
             expect((await ask("/lookup/")).status).to.equal(502);
             expect(runs()).to.have.length(2);
@@ -201,7 +201,7 @@
             expect(runs()).to.have.length(2);
         });
 
-        it("keeps one that may not, until its time is over", async () => {
+        it("keeps one that may not, until its time is over [P5]", async () => {
             silence();
             expect((await ask("/save/", { method: "POST", body: "b" })).status).to.equal(504);
             expect(runs()).to.have.length(1);
@@ -228,7 +228,7 @@
                 ["as full though it has free slots", { kind: "shed" }],
             ] as const
         ) {
-            it(`loses the key to another, ${name}`, async () => {
+            it(`loses the key to another, ${name} [P7]`, async () => {
                 misbehaveFirst(behaviour);
                 await save();
                 await save();
@@ -242,7 +242,7 @@
     });
 
     describe("an answer that is not what it seems", () => {
-        it("without a length goes back without a length", async () => {
+        it("without a length goes back without a length [P3]", async () => {
             misbehave({ kind: "unframed" });
             const answer = await ask("/lookup/");
             expect(answer.status).to.equal(200);
@@ -252,7 +252,7 @@
         });
 
         for (const afterMs of [0, 30]) {
-            it(`a second answer after ${afterMs} ms reaches nobody`, async () => {
+            it(`a second answer after ${afterMs} ms reaches nobody [P3]`, async () => {
                 misbehave({ kind: "extra", afterMs });
                 for (let count = 0; count < 5; count++) {
                     const requestId = `extra-${afterMs}-${count}`;
@@ -263,7 +263,7 @@
             });
         }
 
-        it("a second answer on a connection that rests spoils no later request", async () => {
+        it("a second answer on a connection that rests spoils no later request [P3]", async () => {
             misbehave({ kind: "extra", afterMs: 20 });
             const save = () => ask("/save/", { method: "POST", body: "b" });
             expect((await save()).status).to.equal(200);
@@ -280,13 +280,13 @@
     });
 
     describe("time", () => {
-        it("ends a request at its route's limit with a final answer", async () => {
+        it("ends a request at its route's limit with a final answer [P13]", async () => {
             first.setWork(5000);
             second.setWork(5000);
             expect((await ask("/brief/")).status).to.equal(504);
         });
 
-        it("ends a request whose body does not come, as not run", async () => {
+        it("ends a request whose body does not come, as not run [P13]", async () => {
             const socket = connect(Number(box.callers.split(":")[1]), "127.0.0.1");
             const head =
                 `POST /brief/ HTTP/1.1\r\nHost: ${testHost}\r\nRequest-Id: b-1\r\nContent-Length: 9\r\n\r\npart`;
@@ -297,7 +297,7 @@
             socket.destroy();
         });
 
-        it("ends the work at the server when the client leaves, long before the route's limit", async () => {
+        it("ends the work at the server when the client leaves, long before the route's limit [P12]", async () => {
             first.setWork(60_000);
             second.setWork(60_000);
             await ask("/patient/", { leaveAfterMs: 120 });
@@ -306,7 +306,7 @@
     });
 
     describe("servers that leave", () => {
-        it("get nothing once they are draining, nor once their record is gone", async () => {
+        it("get nothing once they are draining, nor once their record is gone [P6]", async () => {
             deployment.recordServer(first, { state: "draining" });
             await eventually(() => box.logged.some(line => line.includes("draining=i-1")), "the box knows");
             deployment.store.delete("servers", "i-2");
@@ -315,7 +315,7 @@
             expect(runs()).to.have.length(0);
         });
 
-        it("get nothing while their zone is evacuated, and again when it is taken back", async () => {
+        it("get nothing while their zone is evacuated, and again when it is taken back [P16]", async () => {
             deployment.store.put("evacuations", "north-a", {});
             deployment.store.put("evacuations", "south-a", {});
             await eventually(() => box.logged.some(line => line.includes("closed=north-a,south-a")), "the box knows");
@@ -325,7 +325,7 @@
             expect(first.runs).to.have.length(0);
         });
 
-        it("outside the homes of a route get nothing", async () => {
+        it("outside the homes of a route get nothing [P15]", async () => {
             deployment.configure(3, [{ ...rules[0], homeRegions: ["south"] }]);
             await eventually(() => box.logged.some(line => line.includes("version=3")), "the version is in force");
             for (let key = 0; key < 12; key++) {
@@ -337,7 +337,7 @@
     });
 
     describe("the configuration", () => {
-        it("is divided between the parts of a split by weight", async () => {
+        it("is divided between the parts of a split by weight [P20]", async () => {
             const split = [{ service: "profiles", weight: 75 }, { service: "packs", weight: 25 }];
             deployment.configure(3, [{ ...rules[0], split }]);
             await eventually(() => box.logged.some(line => line.includes("version=3")), "the version is in force");
@@ -347,7 +347,7 @@
             expect(runs()).to.have.length(15);
         });
 
-        it("that is older, or can't be understood, leaves the last one in force", async () => {
+        it("that is older, or can't be understood, leaves the last one in force [P8]", async () => {
             deployment.configure(9, [{ ...rules[0], path: "/new/" }]);
             await eventually(() => box.logged.some(line => line.includes("version=9")), "the version is in force");
             deployment.store.put("config", "main", { version: "0000000a", listeners: "nonsense" });
@@ -420,7 +420,7 @@
     });
 
     describe("a planned stop", () => {
-        it("cuts no request in flight, and is not named or ready meanwhile", async () => {
+        it("cuts no request in flight, and is not named or ready meanwhile [P7]", async () => {
             first.setWork(200);
             second.setWork(200);
             const inFlight = ask("/lookup/");
--- a/packages/testing/test/box-state.test.ts
+++ b/packages/testing/test/box-state.test.ts
@@ -35,7 +35,7 @@
         sendRequest({ address: box.callers, host: testHost, path, requestId: `s-${path}` });
     const ready = (box: TestBox) => eventually(() => box.gateway.isReady(), `${box.name} is ready`);
 
-    it("find each other through the store, and name each other to callers", async () => {
+    it("find each other through the store, and name each other to callers [P19]", async () => {
         const boxes = [deployment.startBox(), deployment.startBox({ zone: "north-b" }), deployment.startBox()];
         await Promise.all(boxes.map(ready));
         for (const box of boxes) {
@@ -43,7 +43,7 @@
         }
     });
 
-    it("no longer name a box that leaves", async () => {
+    it("no longer name a box that leaves [P19]", async () => {
         const [stays, leaves] = [deployment.startBox(), deployment.startBox()];
         await Promise.all([ready(stays), ready(leaves)]);
         await eventually(async () => (await lookUp(stays.directory, place)).addresses.length === 2, "both are named");
@@ -52,7 +52,7 @@
         await stopped;
     });
 
-    it("answer 503 and are not ready as long as they know no configuration", async () => {
+    it("answer 503 and are not ready as long as they know no configuration [P10]", async () => {
         deployment.storeServer.setFault(() => ({ kind: "refused", status: 503 }));
         const box = deployment.startBox();
         await eventually(async () => (await ask(box, "/lookup/")).status === 503, "it listens");
@@ -63,7 +63,7 @@
         expect((await ask(box, "/lookup/")).status).to.equal(200);
     });
 
-    it("learn a new configuration from another box when the store turns them away", async () => {
+    it("learn a new configuration from another box when the store turns them away [P8]", async () => {
         const served = deployment.startBox();
         const refused = deployment.startBox({ host: "127.0.0.2", seeds: [served.peers] });
         await Promise.all([ready(served), ready(refused)]);
@@ -153,7 +153,7 @@
             }
         }
 
-        it("leave the store to one of them, and learn of changes from it", async () => {
+        it("leave the store to one of them, and learn of changes from it [P8]", async () => {
             const relay = await findRelay();
             deployment.storeServer.setFault(call =>
                 call.caller === relay ? { kind: "none" } : { kind: "refused", status: 503 }
@@ -161,7 +161,7 @@
             await expectInForce(3);
         });
 
-        it("follow the store themselves when that box no longer can", async () => {
+        it("follow the store themselves when that box no longer can [P8]", async () => {
             const relay = await findRelay();
             deployment.storeServer.setFault(call => call.caller === relay ? { kind: "silent" } : { kind: "none" });
             deployment.store.cutWatches();
@@ -169,7 +169,7 @@
         });
     });
 
-    it("start from another box's copies while the store is down", async () => {
+    it("start from another box's copies while the store is down [P17]", async () => {
         const old = deployment.startBox();
         await ready(old);
         deployment.storeServer.setFault(() => ({ kind: "silent" }));
@@ -178,7 +178,7 @@
         expect((await ask(fresh, "/lookup/")).status).to.equal(200);
     });
 
-    it("go on with what they know while the store is down, and catch up after it", async () => {
+    it("go on with what they know while the store is down, and catch up after it [P8] [P17]", async () => {
         const box = deployment.startBox();
         await ready(box);
         deployment.storeServer.setFault(() => ({ kind: "reset" }));
--- a/packages/testing/test/emulator.test.ts
+++ b/packages/testing/test/emulator.test.ts
@@ -29,7 +29,7 @@
             return mostMovedBetweenWindows(lines, pedala.zones);
         };
 
-        it("changes for few of them while load rises and falls", () => {
+        it("changes for few of them while load rises and falls [P1]", () => {
             expect(movedBy("affinity")).to.be.lessThan(mostMoved);
         });
 
@@ -38,6 +38,15 @@
         });
     });
 
+    describe("a load beyond what the servers bear with ease", () => {
+        const mostTurnedAway = 0.02;
+
+        it("brings few requests to servers that have no room for them [P2]", () => {
+            const { turnedAwayShare } = playDay({ ...day, load: 1.3, length: milliseconds(12_000) });
+            expect(turnedAwayShare).to.be.greaterThan(0).and.lessThan(mostTurnedAway);
+        });
+    });
+
     describe("affinity with bounded load", () => {
         for (const deployment of [pedala, kodeyard]) {
             it(`earns more than power of two choices and the candidate set (${deployment.name})`, () => {
@@ -54,7 +63,7 @@
             expect(own.worth).to.be.greaterThan(playDay({ ...day, troubles, policy: "rendezvous" }).worth);
         });
 
-        it("sends nothing to a closed zone, and goes on", () => {
+        it("sends nothing to a closed zone, and goes on [P16]", () => {
             const lines: string[] = [];
             const troubles = [{ kind: "closedZone", at: 2000, lasts: 6000, zone: "ro-nord-a" }] as const;
             playDay({ ...day, troubles, onDecision: line => lines.push(line) });
--- a/packages/testing/test/mechanisms.test.ts
+++ b/packages/testing/test/mechanisms.test.ts
@@ -1,16 +1,19 @@
 import { expect } from "chai";
 import { readFileSync } from "node:fs";
 import { resolve } from "node:path";
-import { mechanisms } from "../src/promises/mechanisms.js";
-import { ruleMechanisms } from "../src/promises/rule-mechanisms.js";
+import { mechanisms, promiseTexts } from "../src/promises/mechanisms.js";
 
 const workspace = resolve(import.meta.dirname, "../../../..");
 
 describe("the list of mechanisms that are taken out", () => {
-    for (const { file, find, name, promise, specs } of [...mechanisms, ...ruleMechanisms]) {
+    for (const { file, find, name, promise, specs } of mechanisms) {
         it(`names lines that exist: ${promise}, ${name}`, () => {
             expect(readFileSync(resolve(workspace, file), "utf8")).to.include(find);
             specs.forEach(spec => readFileSync(resolve(workspace, spec)));
         });
     }
+
+    it("has a mechanism for each promise", () => {
+        expect([...new Set(mechanisms.map(({ promise }) => promise))]).to.have.members(Object.keys(promiseTexts));
+    });
 });
