--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -5,7 +5,6 @@
         ignores: [
             "**/dist/**",
             "**/node_modules/**",
-            "packages/peer/src/generated/**",
             "packages/*/bin/**",
             "**/*.mjs",
             "**/*.cjs",
--- a/packages/caller/src/index.ts
+++ /dev/null
@@ -1,5 +0,0 @@
-/**
- * Client library for callers.
- */
-
-export * from "./caller.js";
--- a/packages/cli/src/commands.ts
+++ b/packages/cli/src/commands.ts
@@ -2,11 +2,10 @@
  * All commands of the command line.
  */
 
-import { drain, explain, status } from "./box-status.js";
 import type { Command } from "./context.js";
 import { boxes, burn } from "./deployment.js";
 import { settingsCheck, settingsShow } from "./settings-file.js";
-import { settingsApply, settingsDiff, settingsEdit, settingsHistory } from "./settings-platform.js";
+import { settingsApply, settingsDiff, settingsEdit, settingsHistory } from "./settings-stored.js";
 
 /** The commands, in the order of the help text. */
 export const commands: readonly Command[] = [
@@ -16,9 +15,6 @@
     settingsApply,
     settingsEdit,
     settingsHistory,
-    status,
-    explain,
-    drain,
     boxes,
     burn,
 ];
--- a/packages/cli/src/context.ts
+++ b/packages/cli/src/context.ts
@@ -8,14 +8,9 @@
 export interface CommandFlags {
     readonly at?: string;
     readonly platform?: string;
-    readonly box?: string[];
     readonly json: boolean;
     readonly dryRun: boolean;
     readonly author?: string;
-    readonly caller?: string;
-    readonly service?: string;
-    readonly html?: string;
-    readonly undo: boolean;
     readonly peer?: string;
     readonly metricsPort: number;
     readonly samples?: string;
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -16,8 +16,7 @@
 
   Options
     --at PATH          node of the tree, such as /services/profil-api/ro-nord
-    --platform IP:PORT the platform's object API
-    --box IP:PORT      operators' address of an entry program
+    --platform IP:PORT store of the settings tree
     --peer IP:PORT     address for other boxes of a running box program
     --metrics-port N   port of the boxes' figures (9464)
     --samples FILE     where samples of figures are kept between runs
@@ -39,14 +38,9 @@
         flags: {
             at: { type: "string" },
             platform: { type: "string" },
-            box: { type: "string", isMultiple: true },
             json: { type: "boolean", default: false },
             dryRun: { type: "boolean", default: false },
             author: { type: "string" },
-            caller: { type: "string" },
-            service: { type: "string" },
-            html: { type: "string" },
-            undo: { type: "boolean", default: false },
             peer: { type: "string" },
             metricsPort: { type: "number", default: 9464 },
             samples: { type: "string" },
--- a/packages/cli/src/settings-file.ts
+++ b/packages/cli/src/settings-file.ts
@@ -2,9 +2,15 @@
  * Commands on settings files: `settings check` and `settings show`.
  */
 
-import { explainValues, kindOfPath, type ResolvedValue, type SettingsDocument } from "@chalkdale/core";
 import { type ExitCode, exitCodes } from "@chalkdale/runtime";
-import { formatFault, readTree } from "@chalkdale/settings";
+import {
+    explainValues,
+    formatFault,
+    kindOfPath,
+    readTree,
+    type ResolvedValue,
+    type SettingsDocument,
+} from "@chalkdale/settings";
 import { readFile } from "node:fs/promises";
 import { type Command, type CommandContext, CommandError, onlyArgument } from "./context.js";
 import { formatTable } from "./table.js";
--- a/packages/cli/src/settings-platform.ts
+++ b/packages/cli/src/settings-stored.ts
@@ -2,12 +2,11 @@
  * Commands on the tree at the platform: `settings apply | diff | edit | history`.
  */
 
-import { kindOfPath } from "@chalkdale/core";
 import { type ExitCode, exitCodes } from "@chalkdale/runtime";
-import { changesBetween, nodeItself, type ValueChange } from "@chalkdale/settings";
+import { changesBetween, kindOfPath, nodeItself, type ValueChange } from "@chalkdale/settings";
 import { type Command, type CommandContext, CommandError, onlyArgument } from "./context.js";
-import { emptyTree, readExisting, readStored, show, writeChanges } from "./platform-store.js";
 import { readTreeFile } from "./settings-file.js";
+import { emptyTree, readExisting, readStored, show, writeChanges } from "./stored-settings.js";
 import { formatTable } from "./table.js";
 
 /** `settings diff FILE`: what applying the file would change. */
--- a/packages/cli/src/platform-store.ts
+++ b/packages/cli/src/stored-settings.ts
@@ -2,18 +2,24 @@
  * The settings tree at the platform, as the command line reads and edits it.
  */
 
-import type { SettingsDocument } from "@chalkdale/core";
-import { changeObject, type ChangeOutcome, createHttpPlatform, objectKeys, type Platform } from "@chalkdale/platform";
 import { exitCodes, parseEndpoint, urlOf } from "@chalkdale/runtime";
 import {
     applyEdit,
     checkJsonDocument,
     type DocumentFault,
     type EditClash,
+    type SettingsDocument,
     type SettingsEdit,
     type StoredSettings,
     type ValueChange,
 } from "@chalkdale/settings";
+import {
+    changeObject,
+    type ChangeOutcome,
+    createHttpStore,
+    type SettingsStore,
+    treeKey,
+} from "@chalkdale/settings-store";
 import { randomUUID } from "node:crypto";
 import { userInfo } from "node:os";
 import { type CommandContext, CommandError } from "./context.js";
@@ -31,8 +37,8 @@
     | { readonly kind: "clash"; readonly clashes: readonly EditClash[]; }
     | { readonly kind: "faults"; readonly faults: readonly DocumentFault[]; };
 
-/** Returns the platform that `--platform` names. */
-export function platformOf(context: CommandContext): Platform {
+/** Returns the store of the settings tree that `--platform` names. */
+export function storeOf(context: CommandContext): SettingsStore {
     const address = parseEndpoint(context.flags.platform ?? process.env.CHALKDALE_PLATFORM ?? "");
     if (address === undefined) {
         throw new CommandError(
@@ -40,13 +46,13 @@
             exitCodes.usage,
         );
     }
-    return createHttpPlatform(urlOf(address), context.signal);
+    return createHttpStore(urlOf(address), context.signal);
 }
 
 /** Reads the tree; undefined when there is none yet. */
 export async function readStored(context: CommandContext): Promise<VersionedSettings | undefined> {
     const call = { timeout: callTimeout, signal: context.signal };
-    const read = await platformOf(context).get(objectKeys.settings, call);
+    const read = await storeOf(context).get(treeKey, call);
     switch (read.kind) {
         case "done":
             return { ...read.value.value as StoredSettings, version: read.value.version };
@@ -86,8 +92,8 @@
     };
     const empty: StoredSettings = { document: { deployment, nodes: {} }, edits: [] };
     const outcome = await changeObject<StoredSettings, Refusal>(
-        platformOf(context),
-        objectKeys.settings,
+        storeOf(context),
+        treeKey,
         current => stepOf(current ?? empty, edit),
         { timeout: callTimeout, signal: context.signal, attempts },
     );
--- a/packages/gateway/src/active-request.ts
+++ b/packages/gateway/src/active-request.ts
@@ -2,7 +2,7 @@
  * One request of a caller while it is served, and how it ends.
  */
 
-import { hashText, type Milliseconds, type ServerId, type ServiceId } from "@chalkdale/core";
+import { hashText, type Milliseconds, type ServerId, type ServiceId } from "@chalkdale/kernel";
 import { hashKey, type Route } from "@chalkdale/steering";
 import type { IncomingMessage } from "node:http";
 import type { HeaderNames } from "./caller-protocol.js";
--- a/packages/gateway/src/attempt-loop.ts
+++ b/packages/gateway/src/attempt-loop.ts
@@ -3,7 +3,7 @@
  * not be sent again.
  */
 
-import { type Clock, type Milliseconds, milliseconds, type ServiceId } from "@chalkdale/core";
+import { type Clock, type Milliseconds, milliseconds, type ServiceId } from "@chalkdale/kernel";
 import {
     type CatalogServer,
     type Choice,
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -3,7 +3,7 @@
  * the server's standing learns from how it ended.
  */
 
-import { type Clock, type Milliseconds, milliseconds, type ServiceId } from "@chalkdale/core";
+import { type Clock, type Milliseconds, milliseconds, type ServiceId } from "@chalkdale/kernel";
 import { type CatalogServer, isRepeatable, type Route } from "@chalkdale/steering";
 import type { Socket } from "node:net";
 import type { CallerProtocol } from "./caller-protocol.js";
--- a/packages/gateway/src/cached.ts
+++ b/packages/gateway/src/cached.ts
@@ -2,7 +2,7 @@
  * A value that is computed anew only when it has grown old.
  */
 
-import type { Clock, Milliseconds } from "@chalkdale/core";
+import type { Clock, Milliseconds } from "@chalkdale/kernel";
 
 /** Returns a function that gives the value, computed at most `lifetime` ago. */
 export function createCached<Value>(clock: Clock, lifetime: Milliseconds, compute: () => Value): () => Value {
--- a/packages/gateway/src/caller-protocol.ts
+++ b/packages/gateway/src/caller-protocol.ts
@@ -3,7 +3,7 @@
  * supplies it; the gateway itself knows no header by name.
  */
 
-import type { Milliseconds, ServerId } from "@chalkdale/core";
+import type { Milliseconds, ServerId } from "@chalkdale/kernel";
 import type { CallerPlace, LoadReport } from "@chalkdale/steering";
 
 /** Header names, in lower case. */
--- a/packages/gateway/src/callers-directory.ts
+++ b/packages/gateway/src/callers-directory.ts
@@ -3,7 +3,7 @@
  * whether this one is ready, and its own figures.
  */
 
-import type { Milliseconds } from "@chalkdale/core";
+import type { Milliseconds } from "@chalkdale/kernel";
 import { chooseBoxes, type MemberRecord } from "@chalkdale/steering";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { CallerProtocol } from "./caller-protocol.js";
--- a/packages/gateway/src/common-limits.ts
+++ b/packages/gateway/src/common-limits.ts
@@ -7,7 +7,7 @@
  * directory reach it.
  */
 
-import { type BoxId, type Clock, milliseconds, type RegionId, type ServiceId } from "@chalkdale/core";
+import { type BoxId, type Clock, milliseconds, type RegionId, type ServiceId } from "@chalkdale/kernel";
 import type { Log } from "@chalkdale/runtime";
 import {
     allCarriers,
--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -6,7 +6,7 @@
  * connection is not used again.
  */
 
-import type { Milliseconds } from "@chalkdale/core";
+import type { Milliseconds } from "@chalkdale/kernel";
 import { type ClientRequest, type IncomingMessage, request as httpRequest } from "node:http";
 import type { Socket } from "node:net";
 import type { HeaderNames } from "./caller-protocol.js";
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -2,7 +2,7 @@
  * Composes one box: shared state, members, decisions and servers.
  */
 
-import { boxId, type Clock, type Milliseconds, milliseconds } from "@chalkdale/core";
+import { boxId, type Clock, type Milliseconds, milliseconds } from "@chalkdale/kernel";
 import { createBudgetedLog, every, type Log, sleep } from "@chalkdale/runtime";
 import {
     type CatalogServer,
--- a/packages/gateway/src/peer-link.ts
+++ b/packages/gateway/src/peer-link.ts
@@ -4,7 +4,7 @@
  * that knows less.
  */
 
-import { type Clock, incarnationId, milliseconds } from "@chalkdale/core";
+import { type Clock, incarnationId, milliseconds } from "@chalkdale/kernel";
 import { every, type Log } from "@chalkdale/runtime";
 import type { MemberRecord, Membership, Snapshot } from "@chalkdale/steering";
 import { createSocket } from "node:dgram";
--- a/packages/gateway/src/planned-stop.ts
+++ b/packages/gateway/src/planned-stop.ts
@@ -4,7 +4,7 @@
  * end before the grace is over.
  */
 
-import type { Clock, Milliseconds } from "@chalkdale/core";
+import type { Clock, Milliseconds } from "@chalkdale/kernel";
 import { type Log, sleep } from "@chalkdale/runtime";
 
 /** Phases of a box's life. */
--- a/packages/gateway/src/prober.ts
+++ b/packages/gateway/src/prober.ts
@@ -3,7 +3,7 @@
  * they are back. Servers that answer requests are not checked.
  */
 
-import type { Clock, Milliseconds } from "@chalkdale/core";
+import type { Clock, Milliseconds } from "@chalkdale/kernel";
 import type { Log } from "@chalkdale/runtime";
 import type { CatalogServer, ServerCatalog } from "@chalkdale/steering";
 import { request as httpRequest } from "node:http";
--- a/packages/gateway/src/replicator.ts
+++ b/packages/gateway/src/replicator.ts
@@ -3,7 +3,7 @@
  * this box's duty, and from what other boxes tell.
  */
 
-import type { Clock, Milliseconds, RegionId } from "@chalkdale/core";
+import type { Clock, Milliseconds, RegionId } from "@chalkdale/kernel";
 import { type Log, sleep } from "@chalkdale/runtime";
 import type { ItemChange, Snapshot, StoreWatchDuty } from "@chalkdale/steering";
 import type { SharedState } from "./shared-state.js";
--- a/packages/gateway/src/request-handler.ts
+++ b/packages/gateway/src/request-handler.ts
@@ -4,7 +4,7 @@
  * once.
  */
 
-import type { Milliseconds } from "@chalkdale/core";
+import type { Milliseconds } from "@chalkdale/kernel";
 import type { Log } from "@chalkdale/runtime";
 import type { Route } from "@chalkdale/steering";
 import type { IncomingMessage, ServerResponse } from "node:http";
--- a/packages/gateway/src/request-log.ts
+++ b/packages/gateway/src/request-log.ts
@@ -3,7 +3,7 @@
  * how it ended.
  */
 
-import type { Clock, ServerId } from "@chalkdale/core";
+import type { Clock, ServerId } from "@chalkdale/kernel";
 import type { Log } from "@chalkdale/runtime";
 import type { ActiveRequest } from "./active-request.js";
 import type { ServerAnswer } from "./exchange.js";
--- a/packages/gateway/src/round-trips.ts
+++ b/packages/gateway/src/round-trips.ts
@@ -2,7 +2,7 @@
  * Time to each zone and back, learned from how long connections take to open.
  */
 
-import { type Milliseconds, milliseconds, type RegionId, type ZoneId } from "@chalkdale/core";
+import { type Milliseconds, milliseconds, type RegionId, type ZoneId } from "@chalkdale/kernel";
 
 /** Times there and back by zone. */
 export interface RoundTrips {
--- a/packages/gateway/src/server-connections.ts
+++ b/packages/gateway/src/server-connections.ts
@@ -3,7 +3,7 @@
  * each, and never used again once anything unexpected came over them.
  */
 
-import { type Clock, Err, type Milliseconds, Ok, type Result, type ServerId } from "@chalkdale/core";
+import { type Clock, Err, type Milliseconds, Ok, type Result, type ServerId } from "@chalkdale/kernel";
 import { connect, type Socket } from "node:net";
 import { splitAddress } from "./peer-link.js";
 
--- a/packages/gateway/src/settings.ts
+++ b/packages/gateway/src/settings.ts
@@ -3,7 +3,7 @@
  * that its decisions keep.
  */
 
-import type { BoxId, Milliseconds, RegionId, ZoneId } from "@chalkdale/core";
+import type { BoxId, Milliseconds, RegionId, ZoneId } from "@chalkdale/kernel";
 
 /** An address to listen on. */
 export interface ListenAddress {
--- a/packages/gateway/src/shared-state.ts
+++ b/packages/gateway/src/shared-state.ts
@@ -3,7 +3,7 @@
  * table, the catalog of servers, and which zones admit requests.
  */
 
-import { type Clock, milliseconds, type RegionId, type ServiceId, type ZoneId } from "@chalkdale/core";
+import { type Clock, milliseconds, type RegionId, type ServiceId, type ZoneId } from "@chalkdale/kernel";
 import type { Log } from "@chalkdale/runtime";
 import {
     closeZones,
--- a/packages/gateway/src/stall-check.ts
+++ b/packages/gateway/src/stall-check.ts
@@ -6,7 +6,7 @@
  * out, and requests that may be repeated go elsewhere.
  */
 
-import type { Clock, Milliseconds } from "@chalkdale/core";
+import type { Clock, Milliseconds } from "@chalkdale/kernel";
 import type { Log } from "@chalkdale/runtime";
 import type { CatalogServer } from "@chalkdale/steering";
 import { connect } from "node:net";
--- a/packages/gateway/src/state-store.ts
+++ b/packages/gateway/src/state-store.ts
@@ -2,7 +2,7 @@
  * The store that keeps what must last, as the gateway sees it.
  */
 
-import type { Milliseconds, ZoneId } from "@chalkdale/core";
+import type { Milliseconds, ZoneId } from "@chalkdale/kernel";
 import type { Configuration, ItemChange, MemberRecord, ServerRecord, Snapshot } from "@chalkdale/steering";
 
 /** Kinds of state that every box copies, and what an item of each is. */
--- a/packages/gateway/test/replicator.test.ts
+++ b/packages/gateway/test/replicator.test.ts
@@ -1,4 +1,4 @@
-import { milliseconds, regionId, type ZoneId, zoneId } from "@chalkdale/core";
+import { milliseconds, regionId, type ZoneId, zoneId } from "@chalkdale/kernel";
 import { createLog } from "@chalkdale/runtime";
 import { createReplica, type StoreWatchDuty } from "@chalkdale/steering";
 import { expect } from "chai";
--- a/packages/runtime/src/clock.ts
+++ b/packages/runtime/src/clock.ts
@@ -2,7 +2,7 @@
  * The monotonic clock of the process and its source of random numbers.
  */
 
-import { type Clock, type IncarnationId, incarnationId, milliseconds } from "@chalkdale/core";
+import { type Clock, type IncarnationId, incarnationId, milliseconds } from "@chalkdale/kernel";
 import { randomBytes } from "node:crypto";
 
 /** Monotonic milliseconds since the process started. Goes on while the process is stopped. */
--- a/packages/platform/src/conditional.ts
+++ b/packages/settings-store/src/change-object.ts
@@ -2,8 +2,8 @@
  * Read, change and write back one object until it stands.
  */
 
-import { type ObjectVersion, objectVersion } from "@chalkdale/core";
-import type { CallOptions, Platform, PlatformOutcome, StoredObject } from "./platform.js";
+import { type ObjectVersion, objectVersion } from "@chalkdale/kernel";
+import type { CallOptions, SettingsStore, StoredObject, StoreOutcome } from "./settings-store.js";
 
 /** What a change makes of an object's value: the next value, or a reason to stop. */
 export type ValueStep<Value, Reason> =
@@ -32,14 +32,14 @@
  * own write and answer `keep`, or write again if it did not take effect.
  */
 export async function changeObject<Value, Reason>(
-    platform: Platform,
+    store: SettingsStore,
     key: string,
     step: (current: Value | undefined) => ValueStep<Value, Reason>,
     options: ChangeOptions,
 ): Promise<ChangeOutcome<Value, Reason>> {
     let lostAnswer: string | undefined;
     for (let attempt = 0; attempt < options.attempts; attempt++) {
-        const read = await platform.get(key, options);
+        const read = await store.get(key, options);
         if (read.kind !== "done" && read.kind !== "absent") {
             return failure(read, lostAnswer);
         }
@@ -55,7 +55,7 @@
                     version: current?.version ?? objectVersion(0),
                 };
             case "write": {
-                const written = await write(platform, key, current, next.value, options);
+                const written = await write(store, key, current, next.value, options);
                 if (written.kind === "done") {
                     return { kind: "written", value: next.value, version: written.value.version };
                 }
@@ -74,19 +74,19 @@
 }
 
 function write(
-    platform: Platform,
+    store: SettingsStore,
     key: string,
     current: StoredObject | undefined,
     value: unknown,
     options: CallOptions,
-): Promise<PlatformOutcome<StoredObject>> {
+): Promise<StoreOutcome<StoredObject>> {
     return current === undefined
-        ? platform.create(key, value, options)
-        : platform.update(key, current.version, value, options);
+        ? store.create(key, value, options)
+        : store.update(key, current.version, value, options);
 }
 
 function failure<Value, Reason>(
-    outcome: PlatformOutcome<unknown>,
+    outcome: StoreOutcome<unknown>,
     lostAnswer: string | undefined,
 ): ChangeOutcome<Value, Reason> {
     const reason = "reason" in outcome ? outcome.reason : outcome.kind;
--- a/packages/platform/src/http-platform.ts
+++ b/packages/settings-store/src/http-store.ts
@@ -1,18 +1,16 @@
 /**
- * The object API by JSON over HTTP.
+ * The store of the settings tree by JSON over HTTP: `GET /v1/entries/KEY`,
+ * `POST /v1/entries/KEY` to create, and `PUT /v1/entries/KEY` with
+ * `If-Match: VERSION`.
  *
- * `GET /v1/entries/KEY`, `GET /v1/entries?prefix=P`, `POST /v1/entries/KEY`
- * to create, `PUT /v1/entries/KEY` with `If-Match: VERSION`, and
- * `GET /v1/watch?prefix=P&from=VERSION&wait=MILLISECONDS`.
+ * Owns its connections, which close with the signal; relies on `undici`.
  */
 
-import type { ObjectVersion } from "@chalkdale/core";
 import { boundedCall } from "@chalkdale/runtime";
 import { Agent, errors, request } from "undici";
-import type { CallOptions, Platform, PlatformOutcome, StoredObject, WatchBatch } from "./platform.js";
+import type { SettingsStore, StoredObject, StoreOutcome } from "./settings-store.js";
 
-/** Time that a watch's answer may take beyond its wait, in milliseconds. */
-const watchGrace = 2000;
+/** Milliseconds until a connection must be up; an operator waits for it. Not measured. */
 const connectTimeout = 1000;
 
 /** Codes of errors that show that nothing was sent. */
@@ -27,15 +25,13 @@
     readonly signal: AbortSignal;
 }
 
-/** Creates a client of the platform at a URL such as `http://127.0.0.1:7000`. It closes when the signal aborts. */
-export function createHttpPlatform(url: string, signal: AbortSignal): Platform {
+/** Creates a client of the store at a URL such as `http://127.0.0.1:7000`. It closes when the signal aborts. */
+export function createHttpStore(url: string, signal: AbortSignal): SettingsStore {
     const agent = new Agent({ connections: 4, connect: { timeout: connectTimeout } });
     signal.addEventListener("abort", () => void agent.destroy().catch(() => undefined), { once: true });
 
     return {
         get: (key, options) => call<StoredObject>({ method: "GET", path: pathOf(key), ...options }),
-        list: (prefix, options) =>
-            call<WatchBatch>({ method: "GET", path: `/v1/entries?prefix=${encodeURIComponent(prefix)}`, ...options }),
         create: (key, body, options) => call<StoredObject>({ method: "POST", path: pathOf(key), body, ...options }),
         update: (key, version, body, options) =>
             call<StoredObject>({
@@ -45,19 +41,8 @@
                 body,
                 ...options,
             }),
-        watch,
     };
 
-    function watch(prefix: string, from: ObjectVersion, options: CallOptions): Promise<PlatformOutcome<WatchBatch>> {
-        const query = `prefix=${encodeURIComponent(prefix)}&from=${from}&wait=${options.timeout}`;
-        return call<WatchBatch>({
-            method: "GET",
-            path: `/v1/watch?${query}`,
-            timeout: options.timeout + watchGrace,
-            signal: options.signal,
-        });
-    }
-
     async function call<Value>({ method, path, headers, body, timeout, signal: caller }: Call) {
         try {
             return await boundedCall([caller], timeout, async bounded => {
@@ -81,7 +66,7 @@
     return `/v1/entries/${key.split("/").map(encodeURIComponent).join("/")}`;
 }
 
-function outcomeOf<Value>(status: number, text: string, method: Call["method"]): PlatformOutcome<Value> {
+function outcomeOf<Value>(status: number, text: string, method: Call["method"]): StoreOutcome<Value> {
     switch (status) {
         case 200:
         case 201:
@@ -101,7 +86,7 @@
     }
 }
 
-function failureOf<Value>(error: unknown, method: Call["method"]): PlatformOutcome<Value> {
+function failureOf<Value>(error: unknown, method: Call["method"]): StoreOutcome<Value> {
     const code = error instanceof errors.UndiciError || error instanceof Error
         ? (error as { code?: string; }).code ?? error.name
         : String(error);
--- a/packages/settings/src/checks.ts
+++ b/packages/settings/src/checks.ts
@@ -2,19 +2,11 @@
  * Checks across the nodes of a tree, and of trees that come from the platform.
  */
 
-import {
-    configuredBoxes,
-    Err,
-    kindOfPath,
-    type NodePath,
-    Ok,
-    pathsOfKind,
-    resolveValues,
-    type Result,
-    type SettingKey,
-    type SettingsDocument,
-} from "@chalkdale/core";
+import { Err, Ok, type Result } from "@chalkdale/kernel";
+import { configuredBoxes, pathsOfKind } from "./paths.js";
 import { documentSchema, nodeSchema } from "./schema.js";
+import { kindOfPath, type NodePath, resolveValues, type SettingsDocument } from "./tree.js";
+import type { SettingKey } from "./values.js";
 
 /** A fault at a node of the tree. */
 export interface DocumentFault {
--- a/packages/settings/src/edits.ts
+++ b/packages/settings/src/edits.ts
@@ -3,8 +3,9 @@
  * have written meanwhile.
  */
 
-import { Err, type NodePath, Ok, type Result, type SettingsDocument } from "@chalkdale/core";
+import { Err, Ok, type Result } from "@chalkdale/kernel";
 import { isDeepStrictEqual } from "node:util";
+import type { NodePath, SettingsDocument } from "./tree.js";
 
 /** The change of one value; undefined stands for "not stated at this node". */
 export interface ValueChange {
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -1,11 +1,12 @@
 /**
- * Reading and checking settings: the tree, the box's own file, and edits.
+ * The operators' settings tree: its nodes and values, its files, checks, and edits.
+ *
+ * Owns the form of the tree; relies on `yaml` for files and `zod` for schemas. No I/O.
  */
 
-export * from "./box-file.js";
+export * from "./address-block.js";
 export * from "./checks.js";
 export * from "./edits.js";
 export { faultAt, formatFault, type SettingsFault } from "./faults.js";
-export * from "./read-file.js";
-export { keysOfKind, valueSchemas } from "./schema.js";
 export * from "./tree-file.js";
+export * from "./tree.js";
--- a/packages/settings/src/schema.ts
+++ b/packages/settings/src/schema.ts
@@ -2,9 +2,11 @@
  * What a value of each setting may be, as a schema.
  */
 
-import { type NodeKind, parseBlock, type SettingKey, type SettingValues } from "@chalkdale/core";
 import { isIP } from "node:net";
 import { z } from "zod";
+import { isAddressBlock } from "./address-block.js";
+import type { NodeKind } from "./tree.js";
+import type { SettingKey, SettingValues } from "./values.js";
 
 /** Names of regions, zones, services, boxes and deployments. */
 export const namePattern = /^[a-z0-9][a-z0-9-]{0,62}$/;
@@ -15,7 +17,7 @@
 const notNegative = z.number().min(0).max(1e9);
 const seconds = z.number().positive().max(86_400);
 const count = z.int().min(1).max(1_000_000);
-const block = z.string().refine(text => parseBlock(text) !== undefined, "an address block such as 10.0.0.0/8");
+const block = z.string().refine(isAddressBlock, "an address block such as 10.0.0.0/8");
 const address = z.string().refine(text => isIP(text) !== 0, "an IP number");
 const method = z.enum(["POST", "PUT", "PATCH", "DELETE"]);
 
--- a/packages/settings/src/tree-file.ts
+++ b/packages/settings/src/tree-file.ts
@@ -2,10 +2,12 @@
  * Reads the settings tree from a YAML text, with all faults at once.
  */
 
-import { Err, type NodePath, type NodeValues, Ok, type Result, type SettingsDocument } from "@chalkdale/core";
+import { Err, Ok, type Result } from "@chalkdale/kernel";
 import { checkDocument, type DocumentFault } from "./checks.js";
 import { faultAt, faultsOfIssues, type SettingsFault, syntaxFaultsOf } from "./faults.js";
 import { fileSchema, type SettingsFile } from "./schema.js";
+import type { NodePath, SettingsDocument } from "./tree.js";
+import type { NodeValues } from "./values.js";
 import { parseYaml, type YamlSource } from "./yaml-source.js";
 
 /** Reads a settings tree. On the `Err` side are all faults in the order of the file. */
--- a/packages/settings/test/edits.test.ts
+++ b/packages/settings/test/edits.test.ts
@@ -1,6 +1,11 @@
-import type { SettingsDocument } from "@chalkdale/core";
 import { expect } from "chai";
-import { applyEdit, changesBetween, type SettingsEdit, type StoredSettings } from "../src/index.js";
+import {
+    applyEdit,
+    changesBetween,
+    type SettingsDocument,
+    type SettingsEdit,
+    type StoredSettings,
+} from "../src/index.js";
 
 const base: SettingsDocument = {
     deployment: "pedala",
--- a/packages/steering/src/carriers.ts
+++ b/packages/steering/src/carriers.ts
@@ -7,7 +7,7 @@
  * same answer from the members it knows; nobody coordinates.
  */
 
-import { type BoxId, hashText, type RegionId } from "@chalkdale/core";
+import { type BoxId, hashText, type RegionId } from "@chalkdale/kernel";
 import type { MemberRecord } from "./membership.js";
 
 /** A box with less than this part of the region's greatest capacity counts as weak. */
--- a/packages/steering/src/cold-admission.ts
+++ b/packages/steering/src/cold-admission.ts
@@ -6,7 +6,7 @@
  * any second all boxes together send at most the rate plus one a box.
  */
 
-import { type BoxId, hashText, type Milliseconds, type ServerId } from "@chalkdale/core";
+import { type BoxId, hashText, type Milliseconds, type ServerId } from "@chalkdale/kernel";
 import { rendezvousScore } from "./rendezvous.js";
 
 /** Boxes that may send to one cold server. */
--- a/packages/steering/src/configuration.ts
+++ b/packages/steering/src/configuration.ts
@@ -5,7 +5,7 @@
  * lower version.
  */
 
-import type { Milliseconds, RegionId, ServiceId } from "@chalkdale/core";
+import type { Milliseconds, RegionId, ServiceId } from "@chalkdale/kernel";
 
 /** Whether a request may run more than once. Downloads are repeatable and have large answers. */
 export type RouteKind = "safe" | "unsafe" | "download";
--- a/packages/steering/src/directory.ts
+++ b/packages/steering/src/directory.ts
@@ -3,7 +3,7 @@
  * or those of the other regions if its own has none.
  */
 
-import type { RegionId, ZoneId } from "@chalkdale/core";
+import type { RegionId, ZoneId } from "@chalkdale/kernel";
 import { allCarriers, carriersOfRegion } from "./carriers.js";
 import type { MemberRecord } from "./membership.js";
 
--- a/packages/steering/src/membership.ts
+++ b/packages/steering/src/membership.ts
@@ -14,7 +14,7 @@
     milliseconds,
     type RegionId,
     type ZoneId,
-} from "@chalkdale/core";
+} from "@chalkdale/kernel";
 
 /** What boxes say about one box. */
 export interface MemberRecord {
--- a/packages/steering/src/recent-keys.ts
+++ b/packages/steering/src/recent-keys.ts
@@ -2,7 +2,7 @@
  * The affinity keys that a server worked on recently, as far as this box knows.
  */
 
-import type { Milliseconds, ServerId } from "@chalkdale/core";
+import type { Milliseconds, ServerId } from "@chalkdale/kernel";
 
 /** Remembers keys by server. */
 export interface RecentKeys {
--- a/packages/steering/src/rendezvous.ts
+++ b/packages/steering/src/rendezvous.ts
@@ -7,7 +7,7 @@
  * Schomaker, weighted distributed hash tables).
  */
 
-import { hashText } from "@chalkdale/core";
+import { hashText } from "@chalkdale/kernel";
 
 /** Something that keys are spread over. */
 export interface RendezvousCandidate {
--- a/packages/steering/src/repeat-budget.ts
+++ b/packages/steering/src/repeat-budget.ts
@@ -7,7 +7,7 @@
  * within the whole.
  */
 
-import type { Milliseconds } from "@chalkdale/core";
+import type { Milliseconds } from "@chalkdale/kernel";
 import { createSlidingCount } from "./sliding-count.js";
 
 export interface RepeatBudgetOptions {
--- a/packages/steering/src/server-catalog.ts
+++ b/packages/steering/src/server-catalog.ts
@@ -2,7 +2,7 @@
  * All backend servers that discovery lists, with the standing of each.
  */
 
-import { hashText, type Milliseconds, milliseconds, type ServerId, type ServiceId } from "@chalkdale/core";
+import { hashText, type Milliseconds, milliseconds, type ServerId, type ServiceId } from "@chalkdale/kernel";
 import type { ServerRecord } from "./server-record.js";
 import type { ServerStanding } from "./server-standing.js";
 
--- a/packages/steering/src/server-choice.ts
+++ b/packages/steering/src/server-choice.ts
@@ -16,7 +16,7 @@
     type ServerId,
     type ServiceId,
     type ZoneId,
-} from "@chalkdale/core";
+} from "@chalkdale/kernel";
 import type { Route } from "./configuration.js";
 import type { RecentKeys } from "./recent-keys.js";
 import { rendezvousScore } from "./rendezvous.js";
--- a/packages/steering/src/server-record.ts
+++ b/packages/steering/src/server-record.ts
@@ -2,7 +2,7 @@
  * What discovery says about one backend server.
  */
 
-import type { Milliseconds, RegionId, ServerId, ServiceId, ZoneId } from "@chalkdale/core";
+import type { Milliseconds, RegionId, ServerId, ServiceId, ZoneId } from "@chalkdale/kernel";
 
 /** One backend server as it was recorded. An id stands for one life of a server. */
 export interface ServerRecord {
--- a/packages/steering/src/server-standing.ts
+++ b/packages/steering/src/server-standing.ts
@@ -4,7 +4,7 @@
  * passed in.
  */
 
-import { type Milliseconds, milliseconds } from "@chalkdale/core";
+import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
 import type { ColdAdmission } from "./cold-admission.js";
 import type { ServerRecord } from "./server-record.js";
 
--- a/packages/steering/src/settings-places.ts
+++ b/packages/steering/src/settings-places.ts
@@ -5,7 +5,7 @@
  * it says otherwise.
  */
 
-import type { RegionId, ZoneId } from "@chalkdale/core";
+import type { RegionId, ZoneId } from "@chalkdale/kernel";
 
 /** Values that a place may state. */
 export interface PlaceValues {
--- a/packages/steering/src/sliding-count.ts
+++ b/packages/steering/src/sliding-count.ts
@@ -2,7 +2,7 @@
  * Counts events of the last so many milliseconds in a ring of small intervals.
  */
 
-import type { Milliseconds } from "@chalkdale/core";
+import type { Milliseconds } from "@chalkdale/kernel";
 
 /** A count over a sliding window. Times never go back. */
 export interface SlidingCount {
--- a/packages/steering/src/store-watch-duty.ts
+++ b/packages/steering/src/store-watch-duty.ts
@@ -11,7 +11,7 @@
  * another for longer than the bound on changes allows.
  */
 
-import { type BoxId, hashText, type Milliseconds, milliseconds, type RegionId } from "@chalkdale/core";
+import { type BoxId, hashText, type Milliseconds, milliseconds, type RegionId } from "@chalkdale/kernel";
 import type { MemberRecord } from "./membership.js";
 
 /** Regions with fewer boxes have no relay: each box follows the store. */
--- a/packages/steering/src/weighted-rotation.ts
+++ b/packages/steering/src/weighted-rotation.ts
@@ -5,7 +5,7 @@
  * share to within one request, and the order is spread out.
  */
 
-import type { ServiceId } from "@chalkdale/core";
+import type { ServiceId } from "@chalkdale/kernel";
 import type { WeightedService } from "./configuration.js";
 
 /** Picks the next destination. */
--- a/packages/steering/src/work-estimate.ts
+++ b/packages/steering/src/work-estimate.ts
@@ -3,7 +3,7 @@
  * worked on the same object recently (warm) and when not (cold).
  */
 
-import { type Milliseconds, milliseconds } from "@chalkdale/core";
+import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
 import type { Route } from "./configuration.js";
 
 /** Times at the server, without the way there and back. */
--- a/packages/steering/test/budgets.test.ts
+++ b/packages/steering/test/budgets.test.ts
@@ -1,4 +1,4 @@
-import { boxId, milliseconds, serverId, serviceId } from "@chalkdale/core";
+import { boxId, milliseconds, serverId, serviceId } from "@chalkdale/kernel";
 import { expect } from "chai";
 import { createColdAdmission, createRepeatBudget, createSlidingCount, createWeightedRotation } from "../src/index.js";
 
--- a/packages/steering/test/carriers.test.ts
+++ b/packages/steering/test/carriers.test.ts
@@ -1,4 +1,4 @@
-import { regionId } from "@chalkdale/core";
+import { regionId } from "@chalkdale/kernel";
 import { expect } from "chai";
 import { allCarriers, carriersOfRegion, coldSenders, type MemberRecord } from "../src/index.js";
 import { createMember } from "./member.js";
--- a/packages/steering/test/member.ts
+++ b/packages/steering/test/member.ts
@@ -1,4 +1,4 @@
-import { boxId, incarnationId, regionId, zoneId } from "@chalkdale/core";
+import { boxId, incarnationId, regionId, zoneId } from "@chalkdale/kernel";
 import type { MemberRecord } from "../src/index.js";
 
 /** Returns the record of a box in the north, with changes. */
--- a/packages/steering/test/replica.test.ts
+++ b/packages/steering/test/replica.test.ts
@@ -1,4 +1,4 @@
-import { incarnationId, milliseconds, regionId } from "@chalkdale/core";
+import { incarnationId, milliseconds, regionId } from "@chalkdale/kernel";
 import { expect } from "chai";
 import { chooseBoxes, createMembership, createReplica, type MemberRecord } from "../src/index.js";
 import { createMember } from "./member.js";
--- a/packages/steering/test/server-choice.test.ts
+++ b/packages/steering/test/server-choice.test.ts
@@ -1,5 +1,5 @@
-import { hashText, milliseconds, regionId, serverId, serviceId, zoneId } from "@chalkdale/core";
-import { boxId } from "@chalkdale/core";
+import { hashText, milliseconds, regionId, serverId, serviceId, zoneId } from "@chalkdale/kernel";
+import { boxId } from "@chalkdale/kernel";
 import { expect } from "chai";
 import {
     type ChoiceRequest,
--- a/packages/steering/test/store-watch-duty.test.ts
+++ b/packages/steering/test/store-watch-duty.test.ts
@@ -1,4 +1,4 @@
-import { boxId, milliseconds, regionId } from "@chalkdale/core";
+import { boxId, milliseconds, regionId } from "@chalkdale/kernel";
 import { expect } from "chai";
 import { createStoreWatchDuty, type MemberRecord } from "../src/index.js";
 import { createMember } from "./member.js";
--- a/packages/testing/src/launch/command-line.ts
+++ b/packages/testing/src/command-line.ts
@@ -4,7 +4,7 @@
 
 import { spawn } from "node:child_process";
 import { resolve } from "node:path";
-import { workspace } from "./process.js";
+import { workspace } from "./workspace.js";
 
 /** How a run ended. */
 export interface CommandLineRun {
--- a/packages/testing/src/emulator/day.ts
+++ b/packages/testing/src/emulator/day.ts
@@ -14,7 +14,7 @@
     serviceId,
     type ZoneId,
     zoneId,
-} from "@chalkdale/core";
+} from "@chalkdale/kernel";
 import type { Route, RouteKind, ServerRecord } from "@chalkdale/steering";
 import { createEmulatedBox, type EmulatedBox } from "./emulated-box.js";
 import { createEmulatedServer, type EmulatedServer } from "./emulated-server.js";
--- a/packages/testing/src/emulator/deployments.ts
+++ b/packages/testing/src/emulator/deployments.ts
@@ -2,7 +2,7 @@
  * The deployments that the emulator plays, after the users' site sheets.
  */
 
-import { milliseconds } from "@chalkdale/core";
+import { milliseconds } from "@chalkdale/kernel";
 import type { EmulatedDeployment } from "./day.js";
 
 /** Pedala's sheet: 36 servers in six zones of three regions. */
--- a/packages/testing/src/emulator/emulated-box.ts
+++ b/packages/testing/src/emulator/emulated-box.ts
@@ -12,7 +12,7 @@
     type ServerId,
     type ServiceId,
     type ZoneId,
-} from "@chalkdale/core";
+} from "@chalkdale/kernel";
 import {
     type Choice,
     type ChoiceRequest,
--- a/packages/testing/src/emulator/emulated-server.ts
+++ b/packages/testing/src/emulator/emulated-server.ts
@@ -2,7 +2,7 @@
  * A backend server in the emulator: slots, a queue, warm keys, speed.
  */
 
-import type { ServerId } from "@chalkdale/core";
+import type { ServerId } from "@chalkdale/kernel";
 import type { LoadReport, ServerRecord } from "@chalkdale/steering";
 import type { EventQueue } from "./event-queue.js";
 
--- a/packages/testing/src/emulator/event-queue.ts
+++ b/packages/testing/src/emulator/event-queue.ts
@@ -2,7 +2,7 @@
  * Events in the order of their times, on a clock that jumps from one to the next.
  */
 
-import { type Clock, type Milliseconds, milliseconds } from "@chalkdale/core";
+import { type Clock, type Milliseconds, milliseconds } from "@chalkdale/kernel";
 
 /** A queue of things to do. */
 export interface EventQueue {
--- a/packages/testing/src/emulator/main.ts
+++ b/packages/testing/src/emulator/main.ts
@@ -1,15 +1,12 @@
 /**
  * `npm run experiment`: plays many days in the emulator and compares policies.
- *
- * Prints a table and writes a plot of worth by load.
+ * Prints a table.
  */
 
-import { milliseconds } from "@chalkdale/core";
+import { milliseconds } from "@chalkdale/kernel";
 import meow from "meow";
-import { writeFileSync } from "node:fs";
 import { type DayResult, type EmulatedDeployment, type EmulatedTrouble, playDay } from "./day.js";
 import { kodeyard, pedala } from "./deployments.js";
-import { plotLines } from "./plot.js";
 import { type PolicyName, policyNames } from "./policies.js";
 
 const cli = meow(
@@ -24,7 +21,6 @@
     --seeds    days for each policy and load (10)
     --loads    loads as parts of the sheet's rates (0.6,1,1.3)
     --trouble  what goes wrong from the tenth second on (none)
-    --plot     file for a plot in SVG
 `,
     {
         importMeta: import.meta,
@@ -33,7 +29,6 @@
             seeds: { type: "number", default: 10 },
             loads: { type: "string", default: "0.6,1,1.3" },
             trouble: { type: "string", default: "none" },
-            plot: { type: "string" },
         },
     },
 );
@@ -71,7 +66,6 @@
     }
     const loads = cli.flags.loads.split(",").map(Number);
     const troubles = troublesOf(cli.flags.trouble, deployment);
-    const worthByPolicy = new Map<PolicyName, number[]>();
     process.stdout.write("policy          load  worth  worst zone   warm  refused  repeats\n");
     for (const policy of policyNames) {
         for (const load of loads) {
@@ -80,15 +74,9 @@
                 (_, seed) => playDay({ deployment, policy, seed: seed + 1, length: dayLength, load, troubles }),
             );
             const worth = mean(days.map(day => day.worth));
-            worthByPolicy.set(policy, [...worthByPolicy.get(policy) ?? [], worth]);
             printRow(policy, load, worth, days);
         }
     }
-    if (cli.flags.plot !== undefined) {
-        const series = [...worthByPolicy].map(([name, values]) => ({ name, values }));
-        writeFileSync(cli.flags.plot, plotLines({ title: `worth by load, ${deployment.name}`, steps: loads, series }));
-        process.stdout.write(`plot: ${cli.flags.plot}\n`);
-    }
 }
 
 function printRow(policy: PolicyName, load: number, worth: number, days: readonly DayResult[]): void {
--- a/packages/testing/src/emulator/policies.ts
+++ b/packages/testing/src/emulator/policies.ts
@@ -2,7 +2,7 @@
  * Ways to choose a server, to be compared: the product's own and its rivals.
  */
 
-import type { RandomSource } from "@chalkdale/core";
+import type { RandomSource } from "@chalkdale/kernel";
 import {
     type CatalogServer,
     type Choice,
--- a/packages/testing/src/golden/golden-file.ts
+++ b/packages/testing/src/golden/golden-file.ts
@@ -7,7 +7,7 @@
 
 import { existsSync, mkdirSync, readFileSync, writeFileSync } from "node:fs";
 import { dirname, resolve } from "node:path";
-import { workspace } from "../launch/process.js";
+import { workspace } from "../workspace.js";
 
 const folder = resolve(workspace, "packages/testing/test/golden");
 
--- a/packages/testing/src/promises/main.ts
+++ b/packages/testing/src/promises/main.ts
@@ -6,7 +6,7 @@
 
 import { readFileSync, writeFileSync } from "node:fs";
 import { resolve } from "node:path";
-import { workspace } from "../launch/process.js";
+import { workspace } from "../workspace.js";
 import { mechanisms, promiseTexts } from "./mechanisms.js";
 import { runProofs } from "./proofs.js";
 
--- a/packages/testing/src/soak/box-process.ts
+++ b/packages/testing/src/soak/box-process.ts
@@ -5,7 +5,7 @@
 import { type ChildProcess, spawn } from "node:child_process";
 import { createWriteStream, writeFileSync, type WriteStream } from "node:fs";
 import { join, resolve } from "node:path";
-import { workspace } from "../launch/process.js";
+import { workspace } from "../workspace.js";
 
 /** Where a box listens, and where its settings and log lie. */
 export interface BoxPlace {
@@ -30,8 +30,8 @@
     readonly start: () => void;
     readonly signal: (signal: NodeJS.Signals) => void;
     readonly isRunning: () => boolean;
-    /** Resolves once the process has ended. */
-    readonly ended: () => Promise<void>;
+    /** Resolves with its exit code once the process has ended, or undefined if a signal ended it. */
+    readonly ended: () => Promise<number | undefined>;
 }
 
 const grace = "2s";
@@ -67,9 +67,9 @@
         ended() {
             const process = child;
             if (process === undefined || process.exitCode !== null || process.signalCode !== null) {
-                return Promise.resolve();
+                return Promise.resolve(process?.exitCode ?? undefined);
             }
-            return new Promise(done => process.once("exit", () => done()));
+            return new Promise(done => process.once("exit", code => done(code ?? undefined)));
         },
     };
 }
--- a/packages/testing/src/soak/faults.ts
+++ b/packages/testing/src/soak/faults.ts
@@ -3,7 +3,7 @@
  * outside the boxes.
  */
 
-import { milliseconds, type RandomSource } from "@chalkdale/core";
+import { milliseconds, type RandomSource } from "@chalkdale/kernel";
 import type { BackendBehaviour } from "../users-platform/backend.js";
 import { pause } from "../users-platform/deployment.js";
 import type { StoreFault } from "../users-platform/metadata-store-server.js";
--- a/packages/testing/src/soak/soak-world.ts
+++ b/packages/testing/src/soak/soak-world.ts
@@ -3,7 +3,7 @@
  * links between them, with what the run has told them so far.
  */
 
-import { milliseconds, type RandomSource } from "@chalkdale/core";
+import { milliseconds, type RandomSource } from "@chalkdale/kernel";
 import { mkdtempSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
--- a/packages/testing/src/users-platform/deployment.ts
+++ b/packages/testing/src/users-platform/deployment.ts
@@ -3,8 +3,8 @@
  * boxes in this process, each with an address of its own.
  */
 
-import { incarnationId, type Milliseconds, milliseconds } from "@chalkdale/core";
 import { type Gateway, startGateway } from "@chalkdale/gateway";
+import { incarnationId, type Milliseconds, milliseconds } from "@chalkdale/kernel";
 import { createLog, type Log } from "@chalkdale/runtime";
 import { createObjectReader, createStoreClient, platformProtocol, readSettings } from "@chalkdale/users-platform";
 import { type Backend, type BackendOptions, startBackend } from "./backend.js";
--- a/packages/testing/src/users-platform/metadata-store-server.ts
+++ b/packages/testing/src/users-platform/metadata-store-server.ts
@@ -2,7 +2,7 @@
  * Serves the stand-in for the platform's store over HTTP, with faults by caller.
  */
 
-import { milliseconds } from "@chalkdale/core";
+import { milliseconds } from "@chalkdale/kernel";
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import type { MetadataStore, ObjectWrite, StoreAnswer } from "./metadata-store.js";
--- a/packages/testing/src/users-platform/metadata-store.ts
+++ b/packages/testing/src/users-platform/metadata-store.ts
@@ -4,7 +4,7 @@
  * finalizers, bounded history and call rates.
  */
 
-import type { Clock, Milliseconds } from "@chalkdale/core";
+import type { Clock, Milliseconds } from "@chalkdale/kernel";
 
 /** An object as the store keeps it. */
 export interface StoredObject {
--- a/packages/testing/test/box-callers.test.ts
+++ b/packages/testing/test/box-callers.test.ts
@@ -2,7 +2,7 @@
  * One box and callers who send much at once, or what is no proper request.
  */
 
-import { createSeededRandom } from "@chalkdale/core";
+import { createSeededRandom } from "@chalkdale/kernel";
 import { expect } from "chai";
 import { connect } from "node:net";
 import type { Backend } from "../src/users-platform/backend.js";
--- a/packages/testing/test/box-requests.test.ts
+++ b/packages/testing/test/box-requests.test.ts
@@ -3,7 +3,7 @@
  * servers see.
  */
 
-import { createSeededRandom, milliseconds } from "@chalkdale/core";
+import { createSeededRandom, milliseconds } from "@chalkdale/kernel";
 import { expect } from "chai";
 import { once } from "node:events";
 import { connect } from "node:net";
--- a/packages/testing/test/box-state.test.ts
+++ b/packages/testing/test/box-state.test.ts
@@ -2,7 +2,7 @@
  * Several boxes on the users' platform while its store misbehaves.
  */
 
-import { milliseconds } from "@chalkdale/core";
+import { milliseconds } from "@chalkdale/kernel";
 import { expect } from "chai";
 import { createSocket } from "node:dgram";
 import { lookUp, sendRequest } from "../src/users-platform/client.js";
--- a/packages/testing/test/command-line-deployment.test.ts
+++ b/packages/testing/test/command-line-deployment.test.ts
@@ -7,7 +7,7 @@
 import { mkdtemp, rm, writeFile } from "node:fs/promises";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
-import { runCommandLine } from "../src/launch/command-line.js";
+import { runCommandLine } from "../src/command-line.js";
 import { sendRequest } from "../src/users-platform/client.js";
 import {
     type Deployment,
--- a/packages/testing/test/emulator.test.ts
+++ b/packages/testing/test/emulator.test.ts
@@ -1,4 +1,4 @@
-import { milliseconds } from "@chalkdale/core";
+import { milliseconds } from "@chalkdale/kernel";
 import { expect } from "chai";
 import { playDay } from "../src/emulator/day.js";
 import { kodeyard, pedala } from "../src/emulator/deployments.js";
