--- a/packages/cli/src/burn-rate.ts
+++ b/packages/cli/src/burn-rate.ts
@@ -36,7 +36,7 @@
 }
 
 /** What to do about a burn: wake someone, look at it by day, or nothing. */
-export type BurnAlert = "page" | "ticket" | "none";
+type BurnAlert = "page" | "ticket" | "none";
 
 const minute = 60_000;
 const hour = 60 * minute;
--- a/packages/cli/src/context.ts
+++ b/packages/cli/src/context.ts
@@ -5,7 +5,7 @@
 import { type ExitCode, exitCodes } from "@chalkdale/runtime";
 
 /** Flags of the command line. */
-export interface CommandFlags {
+interface CommandFlags {
     readonly at?: string;
     readonly platform?: string;
     readonly json: boolean;
--- a/packages/cli/src/settings-file.ts
+++ b/packages/cli/src/settings-file.ts
@@ -77,7 +77,7 @@
 }
 
 /** Shows resolved values as a table or as JSON. */
-export function showValues(path: string, values: readonly ResolvedValue[], context: CommandContext): void {
+function showValues(path: string, values: readonly ResolvedValue[], context: CommandContext): void {
     if (context.flags.json) {
         context.write(JSON.stringify({ path, values }));
         return;
--- a/packages/cli/src/stored-settings.ts
+++ b/packages/cli/src/stored-settings.ts
@@ -38,7 +38,7 @@
     | { readonly kind: "faults"; readonly faults: readonly DocumentFault[]; };
 
 /** Returns the store of the settings tree that `--platform` names. */
-export function storeOf(context: CommandContext): SettingsStore {
+function storeOf(context: CommandContext): SettingsStore {
     const address = parseEndpoint(context.flags.platform ?? process.env.CHALKDALE_PLATFORM ?? "");
     if (address === undefined) {
         throw new CommandError(
--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -47,7 +47,7 @@
 }
 
 /** Largest answer that is taken in whole, in bytes. */
-export const largestAnswer = 32 * 1024 * 1024;
+const largestAnswer = 32 * 1024 * 1024;
 
 /** Sends the request and resolves with how it ended. Never rejects. */
 export function exchange(options: ExchangeOptions): Promise<ExchangeOutcome> {
--- a/packages/gateway/src/planned-stop.ts
+++ b/packages/gateway/src/planned-stop.ts
@@ -8,7 +8,7 @@
 import { type Log, sleep } from "@chalkdale/runtime";
 
 /** Phases of a box's life. */
-export type StopPhase = "running" | "leaving" | "closing";
+type StopPhase = "running" | "leaving" | "closing";
 
 export interface PlannedStopOptions {
     readonly clock: Clock;
--- a/packages/gateway/src/replicator.ts
+++ b/packages/gateway/src/replicator.ts
@@ -11,7 +11,7 @@
 import { type SharedItems, type SharedKind, sharedKinds, type StateStore, StoreError } from "./state-store.js";
 
 /** Reads a snapshot from another box. Rejects when the box doesn't answer. */
-export type SnapshotReader = <Kind extends SharedKind>(
+type SnapshotReader = <Kind extends SharedKind>(
     peerAddress: string,
     kind: Kind,
     signal: AbortSignal,
--- a/packages/gateway/src/server-connections.ts
+++ b/packages/gateway/src/server-connections.ts
@@ -8,17 +8,17 @@
 import { splitAddress } from "./peer-link.js";
 
 /** Why there is no connection. Nothing was sent in any of these cases. */
-export type ConnectFailure = "unreachable" | "tooMany" | "cancelled";
+type ConnectFailure = "unreachable" | "tooMany" | "cancelled";
 
 /** A connection that the caller owns until it gives it back or destroys it. */
-export interface ServerConnection {
+interface ServerConnection {
     readonly socket: Socket;
     /** True if it carried a request before. */
     readonly reused: boolean;
 }
 
 /** What is asked of the pool. */
-export interface ConnectionRequest {
+interface ConnectionRequest {
     readonly server: ServerId;
     readonly address: string;
     /** A kept connection may have rested this long at most. */
--- a/packages/kernel/src/environment.ts
+++ b/packages/kernel/src/environment.ts
@@ -2,7 +2,7 @@
  * What decisions may not read by themselves: time and chance.
  */
 
-import { type Milliseconds, milliseconds } from "./ids.js";
+import type { Milliseconds } from "./ids.js";
 
 /** Returns the monotonic time in milliseconds; the origin is arbitrary. */
 export type Clock = () => Milliseconds;
@@ -10,24 +10,6 @@
 /** Returns a number from 0 up to but not including 1. */
 export type RandomSource = () => number;
 
-/** A clock that moves only when told to. */
-export interface ManualClock {
-    readonly now: Clock;
-    /** Moves the time forward by a duration in milliseconds. */
-    readonly advance: (by: number) => void;
-}
-
-/** Creates a clock that starts at the given time in milliseconds. */
-export function createManualClock(start = 0): ManualClock {
-    let time = start;
-    return {
-        now: () => milliseconds(time),
-        advance: by => {
-            time += by;
-        },
-    };
-}
-
 const mulberryIncrement = 0x6d2b79f5;
 const twoToThe32 = 4294967296;
 
--- a/packages/kernel/src/ids.ts
+++ b/packages/kernel/src/ids.ts
@@ -6,8 +6,6 @@
 
 type Branded<Base, Name extends string> = Base & { readonly [brand]: Name; };
 
-/** Name of a deployment, for instance `pedala`. */
-export type DeploymentId = Branded<string, "DeploymentId">;
 /** Name of a region within a deployment. */
 export type RegionId = Branded<string, "RegionId">;
 /** Name of an availability zone, unique within a deployment. */
@@ -37,8 +35,6 @@
 export const incarnationId = (text: string) => text as IncarnationId;
 /** Takes a text as a backend server's name. */
 export const serverId = (text: string) => text as ServerId;
-/** Takes a text as a deployment's name. */
-export const deploymentId = (text: string) => text as DeploymentId;
 /** Takes a whole number as an object's version. */
 export const objectVersion = (value: number) => value as ObjectVersion;
 /** Takes a number as milliseconds. */
--- a/packages/runtime/src/log.ts
+++ b/packages/runtime/src/log.ts
@@ -6,11 +6,11 @@
 import { type ConsolaInstance, createConsola, type LogObject } from "consola";
 
 /** A field's value. */
-export type LogValue = string | number | boolean | undefined;
+type LogValue = string | number | boolean | undefined;
 /** Fields of an event; those that are undefined are left out. */
 export type LogFields = Readonly<Record<string, LogValue>>;
 /** How much is logged. */
-export type LogLevel = "error" | "warn" | "info" | "debug";
+type LogLevel = "error" | "warn" | "info" | "debug";
 
 /** Logs of one program. */
 export interface Log {
@@ -44,9 +44,6 @@
     return wrap(logger, {});
 }
 
-/** A log that keeps nothing. */
-export const silentLog: Log = createLog({ write: () => undefined });
-
 function wrap(logger: ConsolaInstance, common: LogFields): Log {
     const at = (level: LogLevel) => (event: string, fields: LogFields = {}) => {
         logger[level]({ message: event, additional: undefined, fields: { ...common, ...fields } } as never);
@@ -67,7 +64,7 @@
 }
 
 /** Returns fields as `key=value` pairs on one line. */
-export function formatFields(fields: LogFields): string {
+function formatFields(fields: LogFields): string {
     return Object.entries(fields)
         .filter(([, value]) => value !== undefined)
         .map(([key, value]) => `${key}=${formatValue(value)}`)
--- a/packages/settings/src/edits.ts
+++ b/packages/settings/src/edits.ts
@@ -45,7 +45,7 @@
 }
 
 /** Edits kept with the tree. */
-export const editsKept = 50;
+const editsKept = 50;
 
 /** Returns the changes that lead from one tree to another, in the order of nodes and keys. */
 export function changesBetween(from: SettingsDocument, to: SettingsDocument): ValueChange[] {
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -7,6 +7,6 @@
 export * from "./address-block.js";
 export * from "./checks.js";
 export * from "./edits.js";
-export { faultAt, formatFault, type SettingsFault } from "./faults.js";
+export { formatFault } from "./faults.js";
 export * from "./tree-file.js";
 export * from "./tree.js";
--- a/packages/settings/src/schema.ts
+++ b/packages/settings/src/schema.ts
@@ -9,7 +9,7 @@
 import type { SettingKey, SettingValues } from "./values.js";
 
 /** Names of regions, zones, services, boxes and deployments. */
-export const namePattern = /^[a-z0-9][a-z0-9-]{0,62}$/;
+const namePattern = /^[a-z0-9][a-z0-9-]{0,62}$/;
 
 const name = z.string().regex(namePattern, "a name of lower-case letters, digits and hyphens");
 const share = z.number().min(0).max(1);
@@ -22,7 +22,7 @@
 const method = z.enum(["POST", "PUT", "PATCH", "DELETE"]);
 
 /** The schema of each setting. */
-export const valueSchemas: { readonly [Key in SettingKey]: z.ZodType<SettingValues[Key]>; } = {
+const valueSchemas: { readonly [Key in SettingKey]: z.ZodType<SettingValues[Key]>; } = {
     drain: z.boolean(),
     capacity: positive,
     floorShare: share,
@@ -101,7 +101,7 @@
 const onlyBelowRoot: readonly SettingKey[] = ["drain", "clientBlocks", "boxes", "latencyTo"];
 
 /** The settings that a node of each kind may state. */
-export const keysOfKind: Readonly<Record<NodeKind, readonly SettingKey[]>> = {
+const keysOfKind: Readonly<Record<NodeKind, readonly SettingKey[]>> = {
     root: (Object.keys(valueSchemas) as SettingKey[]).filter(key => !onlyBelowRoot.includes(key)),
     region: regionKeys,
     zone: [...placeKeys, "boxes"],
--- a/packages/settings/src/tree.ts
+++ b/packages/settings/src/tree.ts
@@ -46,7 +46,7 @@
 }
 
 /** Returns the paths from the root to the node, both included. */
-export function lineageOf(path: NodePath): NodePath[] {
+function lineageOf(path: NodePath): NodePath[] {
     if (path === "/") {
         return ["/"];
     }
--- a/packages/settings/src/yaml-source.ts
+++ b/packages/settings/src/yaml-source.ts
@@ -5,7 +5,7 @@
 import { isNode, LineCounter, parseDocument } from "yaml";
 
 /** A place in a file, both 1-based. */
-export interface Place {
+interface Place {
     readonly line: number;
     readonly column: number;
 }
--- a/packages/steering/src/membership.ts
+++ b/packages/steering/src/membership.ts
@@ -38,7 +38,7 @@
 }
 
 /** What changes about a box while it runs. */
-export interface MemberState {
+interface MemberState {
     readonly ready: boolean;
     readonly leaving: boolean;
     readonly load: number;
--- a/packages/steering/src/rendezvous.ts
+++ b/packages/steering/src/rendezvous.ts
@@ -9,12 +9,6 @@
 
 import { hashText } from "@chalkdale/kernel";
 
-/** Something that keys are spread over. */
-export interface RendezvousCandidate {
-    /** Hash of the candidate's id; see {@link hashText}. */
-    readonly idHash: number;
-}
-
 const twoToThe32 = 4294967296;
 
 /** Returns the score of a candidate for a key; the highest wins. */
--- a/packages/steering/src/server-catalog.ts
+++ b/packages/steering/src/server-catalog.ts
@@ -14,7 +14,7 @@
 }
 
 /** What a change of the list did. */
-export interface CatalogChange {
+interface CatalogChange {
     readonly added: readonly ServerRecord[];
     readonly removed: readonly ServerId[];
     readonly startedDraining: readonly ServerId[];
--- a/packages/steering/src/server-standing.ts
+++ b/packages/steering/src/server-standing.ts
@@ -4,7 +4,7 @@
  * passed in.
  */
 
-import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
+import { type Milliseconds } from "@chalkdale/kernel";
 import type { ColdAdmission } from "./cold-admission.js";
 import type { ServerRecord } from "./server-record.js";
 
@@ -16,7 +16,7 @@
 }
 
 /** Why a server may not take a request now. */
-export type Unfitness = "draining" | "replaced" | "unlisted" | "ejected" | "cold";
+type Unfitness = "draining" | "replaced" | "unlisted" | "ejected" | "cold";
 
 /** State of one server as this box sees it. */
 export interface ServerStanding {
@@ -58,7 +58,7 @@
 }
 
 /** `unreachable`: no connection; `brokeOff`: a connection ended or spoiled an answer. */
-export type FailureSeverity = "unreachable" | "brokeOff";
+type FailureSeverity = "unreachable" | "brokeOff";
 
 /** A load report counts in full for this long, then fades. */
 const reportLifetime = 1000;
@@ -228,8 +228,3 @@
         return others + inFlight;
     }
 }
-
-/** Returns the time left until a moment, never negative. */
-export function timeUntil(moment: Milliseconds, at: Milliseconds): Milliseconds {
-    return milliseconds(Math.max(0, moment - at));
-}
--- a/packages/testing/src/emulator/day.ts
+++ b/packages/testing/src/emulator/day.ts
@@ -22,7 +22,7 @@
 import type { PolicyName } from "./policies.js";
 
 /** A kind of request and how often it comes from each zone. */
-export interface RequestClass {
+interface RequestClass {
     readonly name: string;
     readonly service: string;
     readonly kind: RouteKind;
@@ -37,7 +37,7 @@
 }
 
 /** A service and its servers by zone. */
-export interface EmulatedService {
+interface EmulatedService {
     readonly name: string;
     readonly servers: Readonly<Record<string, number>>;
     readonly slots: number;
--- a/packages/testing/src/emulator/emulated-box.ts
+++ b/packages/testing/src/emulator/emulated-box.ts
@@ -32,10 +32,10 @@
 import { createPolicy, type PolicyName } from "./policies.js";
 
 /** How a request ended for its caller. */
-export type RequestEnding = "answered" | "refused" | "timedOut";
+type RequestEnding = "answered" | "refused" | "timedOut";
 
 /** A request as a caller sends it. */
-export interface EmulatedRequest {
+interface EmulatedRequest {
     readonly route: Route;
     readonly service: ServiceId;
     readonly key: string;
--- a/packages/testing/src/soak/soak-world.ts
+++ b/packages/testing/src/soak/soak-world.ts
@@ -15,7 +15,7 @@
 import { type Proxy, startProxy } from "./proxy.js";
 
 /** Zones and their regions. */
-export const zones: Readonly<Record<string, string>> = { "north-a": "north", "north-b": "north", "south-a": "south" };
+const zones: Readonly<Record<string, string>> = { "north-a": "north", "north-b": "north", "south-a": "south" };
 export const zoneNames = Object.keys(zones);
 /** Routes and the services that they begin with. */
 export const servicesByPath: Readonly<Record<string, string>> = {
@@ -30,7 +30,7 @@
 const serverWork = 40;
 
 /** One server behind its link. */
-export interface SoakServer {
+interface SoakServer {
     readonly backend: Backend;
     readonly proxy: Proxy;
     readonly service: string;
@@ -39,7 +39,7 @@
 }
 
 /** When which service may run the requests of a path. */
-export type Destination = Interval & { readonly path: string; readonly service: string; };
+type Destination = Interval & { readonly path: string; readonly service: string; };
 
 /** The parts of a run. */
 export interface SoakWorld {
--- a/packages/testing/src/standins/settings-store.ts
+++ b/packages/testing/src/standins/settings-store.ts
@@ -7,7 +7,7 @@
 import type { SettingsStore, StoredObject, StoreOutcome } from "@chalkdale/settings-store";
 
 /** What the stand-in does wrong on purpose. */
-export interface StoreFaults {
+interface StoreFaults {
     /** Refuses all calls. */
     outage: boolean;
     /** Writes that take effect while their answer is lost. */
--- a/packages/testing/src/users-platform/client.ts
+++ b/packages/testing/src/users-platform/client.ts
@@ -90,7 +90,7 @@
 }
 
 /** What a client asks, without where and by which id. */
-export type ClientCall = Omit<ClientRequest, "address" | "requestId" | "agent">;
+type ClientCall = Omit<ClientRequest, "address" | "requestId" | "agent">;
 
 /** A client that looks up first, chooses at random, and retries. */
 export interface Client {
--- a/packages/testing/src/users-platform/deployment.ts
+++ b/packages/testing/src/users-platform/deployment.ts
@@ -49,7 +49,7 @@
 }
 
 /** Where a server is recorded, and how. */
-export interface ServerPlace {
+interface ServerPlace {
     readonly service?: string;
     readonly zone?: string;
     readonly state?: "ready" | "draining";
@@ -57,7 +57,7 @@
 }
 
 /** How a box is started. */
-export interface BoxOptions {
+interface BoxOptions {
     readonly zone?: string;
     readonly seeds?: readonly string[];
     /** Loopback address of the box, so that the store can tell boxes apart. */
--- a/packages/testing/src/users-platform/metadata-store-server.ts
+++ b/packages/testing/src/users-platform/metadata-store-server.ts
@@ -21,7 +21,7 @@
     | { readonly kind: "late"; readonly afterMs: number; };
 
 /** A call, for the choice of its fault. */
-export interface StoreCall {
+interface StoreCall {
     readonly method: string;
     readonly kind: string;
     /** Address of the caller, without its port. */
--- a/packages/testing/src/users-platform/metadata-store.ts
+++ b/packages/testing/src/users-platform/metadata-store.ts
@@ -7,7 +7,7 @@
 import type { Clock, Milliseconds } from "@chalkdale/kernel";
 
 /** An object as the store keeps it. */
-export interface StoredObject {
+interface StoredObject {
     readonly metadata: {
         readonly name: string;
         readonly revision: number;
@@ -20,7 +20,7 @@
 }
 
 /** One change as watches tell it. */
-export interface StoreEvent {
+interface StoreEvent {
     readonly gone: boolean;
     readonly object: StoredObject;
 }
@@ -42,7 +42,7 @@
 }
 
 /** A list is asked by page. */
-export interface ListRequest {
+interface ListRequest {
     readonly after?: string;
     /** The answer may be as old as the store's lag. */
     readonly stale?: boolean;
