--- a/packages/gateway/src/gateway.ts
+++ b/packages/box/src/box.ts
@@ -2,45 +2,45 @@
  * Composes one box: shared state, members, decisions and servers.
  */
 
-import { boxId, type Clock, type Milliseconds, milliseconds } from "@chalkdale/kernel";
-import { createBudgetedLog, every, type Log, sleep } from "@chalkdale/runtime";
 import {
-    type CatalogServer,
-    createColdAdmission,
+    type BackendServer,
     createMembership,
     createRecentKeys,
+    createRelayRole,
+    createRoundTrips,
     createServerCatalog,
     createServerChoice,
-    createServerStanding,
-    createStoreWatchDuty,
+    createServerState,
+    createSlowStart,
     createWorkEstimate,
     failureTimeout,
     type MemberRecord,
     type Membership,
-} from "@chalkdale/steering";
+} from "@chalkdale/decisions";
+import { boxId, type Clock, type Milliseconds, milliseconds } from "@chalkdale/kernel";
+import { createBudgetedLog, every, type Log, sleep } from "@chalkdale/runtime";
 import { setMaxListeners } from "node:events";
 import { createServer, type Server } from "node:http";
-import { connectTimeoutFor, createAttempt } from "./attempt.js";
-import { trackCallerConnections } from "./caller-connections.js";
-import type { CallerProtocol } from "./caller-protocol.js";
-import { createDirectoryListener, createMetricsListener, createReadinessListener } from "./callers-directory.js";
-import { createCommonLimits } from "./common-limits.js";
-import { createGatewayMetrics } from "./metrics.js";
-import { createOwnLoad } from "./own-load.js";
-import { gossipInterval, readPeerSnapshot, startPeerLink } from "./peer-link.js";
+import { trackCallerConnections } from "./callers/caller-connections.js";
+import type { CallerProtocol } from "./callers/caller-protocol.js";
+import { createDirectoryListener, createMetricsListener, createReadinessListener } from "./callers/listeners.js";
+import { createLoadMeter } from "./load-meter.js";
+import { createBoxMetrics } from "./metrics.js";
+import { gossipInterval, readPeerSnapshot, startPeerLink } from "./peers/peer-link.js";
 import { createPlannedStop } from "./planned-stop.js";
-import { createProber } from "./prober.js";
-import { startReplicator } from "./replicator.js";
-import { createRequestHandler } from "./request-handler.js";
-import { createRoundTrips } from "./round-trips.js";
-import { createServerConnections } from "./server-connections.js";
-import type { GatewaySettings, ListenAddress } from "./settings.js";
-import { createSharedState, recordDelay } from "./shared-state.js";
-import { createStallCheck } from "./stall-check.js";
-import type { StateStore } from "./state-store.js";
+import { connectTimeoutFor, createAttempt } from "./requests/attempt.js";
+import { createRequestHandler } from "./requests/request-handler.js";
+import { createHealthChecker } from "./servers/health-checker.js";
+import { createLivenessCheck } from "./servers/liveness-check.js";
+import { createServerConnections } from "./servers/server-connections.js";
+import type { BoxSettings, ListenAddress } from "./settings.js";
+import { createSharedLimits } from "./shared-limits.js";
+import { startReplicator } from "./state/replicator.js";
+import { createSharedState, recordDelay } from "./state/shared-state.js";
+import type { StateStore } from "./state/state-store.js";
 
-export interface GatewayOptions {
-    readonly settings: GatewaySettings;
+export interface BoxOptions {
+    readonly settings: BoxSettings;
     readonly protocol: CallerProtocol;
     readonly store: StateStore;
     readonly clock: Clock;
@@ -51,7 +51,7 @@
 }
 
 /** A running box. */
-export interface Gateway {
+export interface Box {
     /** Stops as planned; resolves when the process may end. Later calls join the first. */
     readonly stop: () => Promise<void>;
     readonly isReady: () => boolean;
@@ -72,10 +72,10 @@
 const keepAliveMargin = milliseconds(1000);
 
 /** Starts a box. */
-export function startGateway(options: GatewayOptions): Gateway {
+export function startBox(options: BoxOptions): Box {
     const { clock, protocol, random, settings, store } = options;
     const log = createBudgetedLog(options.log, { linesPerSecond: linesPerSecond, byEvent: linesOfEvent });
-    const metrics = createGatewayMetrics();
+    const metrics = createBoxMetrics();
     const lifetime = new AbortController();
     const { signal } = lifetime;
     setMaxListeners(0, signal);
@@ -84,24 +84,24 @@
         failAfter: failureTimeout(gossipInterval, expectedBoxes),
         forgetAfter: rememberFailedBoxes,
     });
-    const limits = createCommonLimits({
+    const limits = createSharedLimits({
         clock,
         log,
         settings,
         membership,
         connectionsOf: service => state.service(service)?.maxConnections,
     });
-    const ownLoad = createOwnLoad(settings.capacity);
+    const loadMeter = createLoadMeter(settings.capacity);
     const recentKeys = createRecentKeys();
     const work = createWorkEstimate();
     const roundTrips = createRoundTrips(settings.region, settings.zone);
     const catalog = createServerCatalog((record, at) =>
-        createServerStanding(record, at, {
+        createServerState(record, at, {
             coldMargin: recordDelay,
-            cold: createColdAdmission({
+            cold: createSlowStart({
                 self: settings.box,
                 server: record.id,
-                boxes: () => limits.coldSenders(record.region),
+                boxes: () => limits.slowStartSenders(record.region),
                 rate: () => state.service(record.service)?.coldRate ?? 0,
             }),
         })
@@ -117,7 +117,7 @@
         clock,
         localAddress: settings.callers.host,
         onConnected: (server, duration) => {
-            const zone = catalog.get(server)?.standing.record().zone;
+            const zone = catalog.get(server)?.state.record().zone;
             if (zone !== undefined) {
                 roundTrips.onConnected(zone, duration);
             }
@@ -139,13 +139,13 @@
         protocol,
         connections,
         mostConnections: limits.mostConnections,
-        stallCheck: createStallCheck({
+        livenessCheck: createLivenessCheck({
             clock,
             log,
             localAddress: settings.callers.host,
             connectTimeout: server => connectTimeoutFor(roundTripTo(server)),
             onSilent: server => {
-                server.standing.onFailure(clock(), "unreachable");
+                server.state.onFailure(clock(), "unreachable");
                 connections.closeIdle(server.id);
             },
         }),
@@ -157,7 +157,7 @@
         inFlight: () => callerConnections.inFlight(),
         onLeaving: () => {
             updateOwnState();
-            peerLink.tellAll();
+            peerLink.gossipToAll();
         },
         onClosing: () => callerConnections.endIdle(),
     });
@@ -205,7 +205,7 @@
         region: settings.region,
         state,
         store,
-        duty: createStoreWatchDuty({
+        duty: createRelayRole({
             self: settings.box,
             region: settings.region,
             alive: () => membership.alive(clock()),
@@ -228,30 +228,30 @@
         snapshot: kind => state.replica(kind).snapshot(),
         signal,
     });
-    const probeDue = createProber({
+    const runDueHealthChecks = createHealthChecker({
         clock,
         log,
         protocol,
         catalog,
         localAddress: settings.callers.host,
-        healthPathOf: server => state.service(server.standing.record().service)?.healthPath,
+        healthPathOf: server => state.service(server.state.record().service)?.healthPath,
         signal,
     });
     void every(housekeepingInterval, signal).observe(() => {
         updateOwnState();
         connections.sweep();
         catalog.sweep(clock()).forEach(server => recentKeys.forget(server));
-        probeDue();
+        runDueHealthChecks();
     });
     void every(second, signal).observe(() => {
-        ownLoad.measure();
+        loadMeter.measure();
         log.report();
     });
     if (settings.metrics !== undefined) {
         const metricsText = () => metrics.text(readGauges());
         others.push(listen(createServer(createMetricsListener(metricsPath, metricsText)), settings.metrics));
     }
-    settings.seeds.forEach(peerLink.greet);
+    settings.seeds.forEach(peerLink.sendGossip);
     void joinMembers(membership);
 
     return {
@@ -271,7 +271,7 @@
         await untilDone(async () => {
             const recorded = await store.listBoxes(signal);
             recorded.filter(record => record.box !== settings.box)
-                .forEach(record => peerLink.greet(record.peerAddress));
+                .forEach(record => peerLink.sendGossip(record.peerAddress));
         });
     }
 
@@ -295,8 +295,8 @@
             servers_revision: state.replica("servers").revision(),
             store_lost_milliseconds: replicator.storeLostFor(),
             boxes_alive: membership.alive(clock()).length,
-            boxes_carrying: limits.carrierCount(),
-            own_load_cores: ownLoad.cores(),
+            boxes_carrying: limits.advertisedCount(),
+            own_load_cores: loadMeter.cores(),
             callers_connections: callerConnections.count(),
             callers_in_flight: callerConnections.inFlight(),
             servers_connections: connections.count(),
@@ -308,12 +308,12 @@
         membership.setOwnState({
             ready: isReady(),
             leaving: plannedStop.phase() !== "running",
-            load: ownLoad.cores(),
+            load: loadMeter.cores(),
         });
     }
 
-    function roundTripTo(server: CatalogServer): Milliseconds {
-        const { region, zone } = server.standing.record();
+    function roundTripTo(server: BackendServer): Milliseconds {
+        const { region, zone } = server.state.record();
         return roundTrips.estimate(region, zone);
     }
 
@@ -331,7 +331,7 @@
     }
 }
 
-function ownRecord(options: GatewayOptions): MemberRecord {
+function ownRecord(options: BoxOptions): MemberRecord {
     const { incarnation, settings } = options;
     return {
         box: boxId(settings.box),
--- a/packages/gateway/src/caller-protocol.ts
+++ b/packages/box/src/callers/caller-protocol.ts
@@ -1,10 +1,10 @@
 /**
- * How callers and backend servers spell what the gateway means. The deployment
- * supplies it; the gateway itself knows no header by name.
+ * How callers and backend servers spell what a box means. The deployment
+ * supplies it; the box itself knows no header by name.
  */
 
-import type { Milliseconds, ServerId } from "@chalkdale/kernel";
-import type { CallerPlace, LoadReport } from "@chalkdale/steering";
+import type { CallerPlace, LoadReport } from "@chalkdale/decisions";
+import type { BackendServerId, Milliseconds } from "@chalkdale/kernel";
 
 /** Header names, in lower case. */
 export interface HeaderNames {
@@ -18,7 +18,7 @@
     readonly serverStamp: string;
     /** The request did not run. */
     readonly notRun: string;
-    readonly serverId: string;
+    readonly backendServerId: string;
 }
 
 /** Header names as they are written, and how values and paths are read. */
@@ -33,5 +33,5 @@
     readonly readLoad: (headers: NodeJS.Dict<string | string[]>) => LoadReport | undefined;
     /** Reads how much longer a server says that it is cold. */
     readonly readColdFor: (headers: NodeJS.Dict<string | string[]>) => Milliseconds | undefined;
-    readonly readServerId: (headers: NodeJS.Dict<string | string[]>) => ServerId | undefined;
+    readonly readServerId: (headers: NodeJS.Dict<string | string[]>) => BackendServerId | undefined;
 }
--- a/packages/gateway/src/callers-directory.ts
+++ b/packages/box/src/callers/listeners.ts
@@ -3,8 +3,8 @@
  * whether this one is ready, and its own figures.
  */
 
+import { chooseBoxes, type MemberRecord } from "@chalkdale/decisions";
 import type { Milliseconds } from "@chalkdale/kernel";
-import { chooseBoxes, type MemberRecord } from "@chalkdale/steering";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { CallerProtocol } from "./caller-protocol.js";
 
--- /dev/null
+++ b/packages/box/src/index.ts
@@ -0,0 +1,8 @@
+/**
+ * Public names of the box: the one process between callers and backend servers.
+ */
+
+export * from "./box.js";
+export * from "./callers/caller-protocol.js";
+export * from "./settings.js";
+export * from "./state/state-store.js";
--- a/packages/gateway/src/own-load.ts
+++ b/packages/box/src/load-meter.ts
@@ -5,7 +5,7 @@
 import { performance } from "node:perf_hooks";
 
 /** Load of this box. */
-export interface OwnLoad {
+export interface LoadMeter {
     /** Takes in the time since the last measurement. */
     readonly measure: () => void;
     /** Smoothed load as a number of processor cores. */
@@ -16,7 +16,7 @@
 const hundredths = 100;
 
 /** Creates the measurement for a box of the given capacity in cores; the load is 0 at first. */
-export function createOwnLoad(capacity: number): OwnLoad {
+export function createLoadMeter(capacity: number): LoadMeter {
     let before = performance.eventLoopUtilization();
     let cores = 0;
 
--- a/packages/gateway/src/metrics.ts
+++ b/packages/box/src/metrics.ts
@@ -5,7 +5,7 @@
 import { build, type Histogram } from "hdr-histogram-js";
 
 /** Counters and latencies of one box. */
-export interface GatewayMetrics {
+export interface BoxMetrics {
     /** A request of a caller ended. Latency in milliseconds. */
     readonly onEnding: (route: string, outcome: string, latency: number) => void;
     /** An attempt at a server ended. */
@@ -24,7 +24,7 @@
 const tenths = 10;
 
 /** Creates metrics at zero. Latencies are kept to a tenth of a millisecond. */
-export function createGatewayMetrics(): GatewayMetrics {
+export function createBoxMetrics(): BoxMetrics {
     const requests = new Map<string, number>();
     const attempts = new Map<string, number>();
     const whole = createHistogram();
--- a/packages/gateway/src/peer-link.ts
+++ b/packages/box/src/peers/peer-link.ts
@@ -4,15 +4,21 @@
  * that knows less.
  */
 
+import type { MemberRecord, Membership, Snapshot } from "@chalkdale/decisions";
 import { type Clock, incarnationId, milliseconds } from "@chalkdale/kernel";
 import { every, type Log } from "@chalkdale/runtime";
-import type { MemberRecord, Membership, Snapshot } from "@chalkdale/steering";
 import { createSocket } from "node:dgram";
 import { createServer, get, type IncomingMessage, type ServerResponse } from "node:http";
-import type { StatePeer } from "./replicator.js";
-import type { ListenAddress } from "./settings.js";
-import { isSharedItem, isStateDigest, isStateUpdate, type StateDigest, type StateUpdate } from "./state-messages.js";
-import { type SharedKind, sharedKinds } from "./state-store.js";
+import type { ListenAddress } from "../settings.js";
+import type { StatePeer } from "../state/replicator.js";
+import {
+    isSharedItem,
+    isStateDigest,
+    isStateUpdate,
+    type StateDigest,
+    type StateUpdate,
+} from "../state/state-messages.js";
+import { type SharedKind, sharedKinds } from "../state/state-store.js";
 
 /** Time between two rounds of gossip. */
 export const gossipInterval = milliseconds(300);
@@ -51,9 +57,9 @@
 /** The link of one box to the others. */
 export interface PeerLink {
     /** Tells the box at an address about this one. */
-    readonly greet: (peerAddress: string) => void;
+    readonly sendGossip: (peerAddress: string) => void;
     /** Tells all known boxes at once, for instance that this one is leaving. */
-    readonly tellAll: () => void;
+    readonly gossipToAll: () => void;
     /** Passes changes on to the boxes of the region; too large ones they read themselves. */
     readonly publish: (update: StateUpdate) => void;
 }
@@ -82,9 +88,9 @@
     void every(gossipInterval, signal).observe(gossip);
 
     return {
-        greet,
-        tellAll,
-        publish: update => tellRegion(createMessage([], update)),
+        sendGossip,
+        gossipToAll,
+        publish: update => sendToRegion(createMessage([], update)),
     };
 
     function gossip(): void {
@@ -95,15 +101,15 @@
         for (const group of [near, far]) {
             const chosen = group[Math.floor(options.random() * group.length)];
             if (chosen !== undefined) {
-                greet(chosen.peerAddress);
+                sendGossip(chosen.peerAddress);
             }
         }
         if (options.isFollowing()) {
-            tellRegion(createMessage([]));
+            sendToRegion(createMessage([]));
         }
     }
 
-    function tellRegion(message: PeerMessage): void {
+    function sendToRegion(message: PeerMessage): void {
         const data = JSON.stringify(message);
         if (data.length > largestDatagram) {
             return;
@@ -114,12 +120,12 @@
             .forEach(member => send(data, member.peerAddress));
     }
 
-    function tellAll(): void {
+    function gossipToAll(): void {
         membership.beat(clock());
-        membership.reachable(clock()).forEach(member => greet(member.peerAddress));
+        membership.reachable(clock()).forEach(member => sendGossip(member.peerAddress));
     }
 
-    function greet(peerAddress: string): void {
+    function sendGossip(peerAddress: string): void {
         const [, ...others] = membership.freshest(mostBeats, clock());
         send(JSON.stringify(createMessage(others.map(beatOf))), peerAddress);
     }
@@ -147,7 +153,7 @@
         }
         for (const member of added) {
             log.info("peer.joined", { box: member.box, zone: member.zone, incarnation: member.incarnation });
-            greet(member.peerAddress);
+            sendGossip(member.peerAddress);
         }
         if (message.update !== undefined) {
             options.onUpdate(message.update);
--- a/packages/gateway/src/active-request.ts
+++ b/packages/box/src/requests/active-request.ts
@@ -2,13 +2,12 @@
  * One request of a caller while it is served, and how it ends.
  */
 
-import { hashText, type Milliseconds, type ServerId, type ServiceId } from "@chalkdale/kernel";
-import { hashKey, type Route } from "@chalkdale/steering";
+import { hashKey, type RefusalKind, type Route } from "@chalkdale/decisions";
+import { type BackendServerId, hashText, type Milliseconds, type ServiceId } from "@chalkdale/kernel";
 import type { IncomingMessage } from "node:http";
-import type { HeaderNames } from "./caller-protocol.js";
-import type { ServerAnswer } from "./exchange.js";
+import type { HeaderNames } from "../callers/caller-protocol.js";
+import type { ServerAnswer } from "../servers/exchange.js";
 import { passOnHeaders } from "./headers.js";
-import type { RefusalKind } from "./refusals.js";
 
 /** What is known of a request. */
 export interface ActiveRequest {
@@ -24,14 +23,14 @@
     readonly endsAt: number;
     /** Names and values in turn, without those of the connection and those that each attempt sets. */
     readonly rawHeaders: readonly string[];
-    readonly tried: Set<ServerId>;
+    readonly tried: Set<BackendServerId>;
     /** Attempts that reached a server. */
     sent: number;
     /** Attempts that reached none. */
     unsent: number;
 }
 
-/** The end of a request: a server's answer, or the gateway's own. */
+/** The end of a request: a server's answer, or the box's own. */
 export type Ending =
     | { readonly kind: "answer"; readonly answer: ServerAnswer; }
     | { readonly kind: "refusal"; readonly refusal: RefusalKind; }
--- a/packages/gateway/src/attempt-loop.ts
+++ b/packages/box/src/requests/attempt-loop.ts
@@ -3,39 +3,40 @@
  * not be sent again.
  */
 
-import { type Clock, type Milliseconds, milliseconds, type ServiceId } from "@chalkdale/kernel";
 import {
-    type CatalogServer,
+    type BackendServer,
     type Choice,
     type ChoiceRequest,
-    isRepeatable,
+    isIdempotent,
     type RecentKeys,
-    type RepeatBudget,
+    type RefusalKind,
+    refusals,
+    type RetryBudget,
     type WorkEstimate,
-} from "@chalkdale/steering";
+} from "@chalkdale/decisions";
+import { type Clock, type Milliseconds, milliseconds, type ServiceId } from "@chalkdale/kernel";
+import type { BoxMetrics } from "../metrics.js";
+import type { ServerAnswer } from "../servers/exchange.js";
 import type { ActiveRequest, Ending } from "./active-request.js";
 import type { AttemptOutcome, AttemptRequest } from "./attempt.js";
-import type { ServerAnswer } from "./exchange.js";
-import type { GatewayMetrics } from "./metrics.js";
-import { type RefusalKind, refusals } from "./refusals.js";
 import type { RequestLog } from "./request-log.js";
 
 export interface AttemptLoopOptions {
     readonly clock: Clock;
-    readonly metrics: GatewayMetrics;
+    readonly metrics: BoxMetrics;
     readonly choose: (request: ChoiceRequest) => Choice;
     readonly attempt: (request: AttemptRequest) => Promise<AttemptOutcome>;
-    readonly budgetOf: (service: ServiceId) => RepeatBudget;
+    readonly budgetOf: (service: ServiceId) => RetryBudget;
     readonly recentKeys: RecentKeys;
     readonly work: WorkEstimate;
-    readonly roundTrip: (server: CatalogServer) => Milliseconds;
+    readonly roundTrip: (server: BackendServer) => Milliseconds;
 }
 
 /** The loop's other needs. */
 export interface AttemptLoopContext {
     readonly requestLog: RequestLog;
     /** True if an answer is the server's own and in the coding that was asked for. */
-    readonly isProven: (answer: ServerAnswer) => boolean;
+    readonly isVerified: (answer: ServerAnswer) => boolean;
 }
 
 /** Attempts that reach no server cost nothing but time; this many are made at most. */
@@ -75,7 +76,7 @@
                 case "broken":
                     mayHaveRun = true;
                     requestLog.attemptFailed(active, choice.server.id, outcome.reason);
-                    if (!isRepeatable(active.route)) {
+                    if (!isIdempotent(active.route)) {
                         return { kind: "refusal", refusal: "brokenOff" };
                     }
                     break;
@@ -142,15 +143,15 @@
     }
 
     function learn(active: ActiveRequest, choice: Choice & { readonly kind: "chosen"; }, duration: Milliseconds): void {
-        const { id, standing } = choice.server;
+        const { id, state } = choice.server;
         metrics.onServed(duration);
-        standing.onAnswerTime(clock(), options.work.onMeasured(active.route, choice.warm, duration));
+        state.onAnswerTime(clock(), options.work.onMeasured(active.route, choice.warm, duration));
         options.recentKeys.add(id, active.keyHash, clock());
     }
 
     /** True if the answer ends the request; a failure of a request that can be repeated may not. */
     function isFinal(active: ActiveRequest, answer: ServerAnswer): boolean {
-        return answer.status < 500 && options.isProven(answer) || !isRepeatable(active.route);
+        return answer.status < 500 && options.isVerified(answer) || !isIdempotent(active.route);
     }
 
     /** Returns why the request may not be sent to another server, or undefined if it may. */
@@ -180,7 +181,7 @@
         const isPromise = refusals[refusal].status === 503;
         return {
             kind: "refusal",
-            refusal: mayHaveRun && isPromise && !isRepeatable(active.route) ? "brokenOff" : refusal,
+            refusal: mayHaveRun && isPromise && !isIdempotent(active.route) ? "brokenOff" : refusal,
         };
     }
 }
--- a/packages/gateway/src/attempt.ts
+++ b/packages/box/src/requests/attempt.ts
@@ -1,15 +1,15 @@
 /**
  * One attempt: a connection to the chosen server, the request on it, and what
- * the server's standing learns from how it ended.
+ * the server's state learns from how it ended.
  */
 
+import { type BackendServer, isIdempotent, type Route } from "@chalkdale/decisions";
 import { type Clock, type Milliseconds, milliseconds, type ServiceId } from "@chalkdale/kernel";
-import { type CatalogServer, isRepeatable, type Route } from "@chalkdale/steering";
 import type { Socket } from "node:net";
-import type { CallerProtocol } from "./caller-protocol.js";
-import { exchange, readKeepAlive, type ServerAnswer } from "./exchange.js";
-import type { ServerConnections } from "./server-connections.js";
-import type { StallCheck } from "./stall-check.js";
+import type { CallerProtocol } from "../callers/caller-protocol.js";
+import { exchange, readKeepAlive, type ServerAnswer } from "../servers/exchange.js";
+import type { LivenessCheck } from "../servers/liveness-check.js";
+import type { ServerConnections } from "../servers/server-connections.js";
 
 /** How an attempt ended. */
 export type AttemptOutcome =
@@ -27,7 +27,7 @@
 export interface AttemptRequest {
     readonly route: Route;
     readonly service: ServiceId;
-    readonly server: CatalogServer;
+    readonly server: BackendServer;
     readonly method: string;
     readonly path: string;
     /** Names and values in turn, without those that an attempt sets. */
@@ -52,7 +52,7 @@
     readonly connections: ServerConnections;
     /** Connections to one server that this box may hold. */
     readonly mostConnections: (service: ServiceId) => number;
-    readonly stallCheck: StallCheck;
+    readonly livenessCheck: LivenessCheck;
 }
 
 const statusMisdirected = 421;
@@ -76,15 +76,15 @@
     const { clock, protocol, connections } = options;
 
     return async function attempt(request) {
-        const { standing } = request.server;
+        const { state } = request.server;
         const connectTimeout = Math.min(
             connectTimeoutFor(request.roundTrip),
             request.timeLeft() * connectPartOfTimeLeft,
         );
         const connected = await connections.acquire({
             server: request.server.id,
-            address: standing.record().address,
-            longestRest: isRepeatable(request.route) ? longestRest : longestRestUnsafe,
+            address: state.record().address,
+            longestRest: isIdempotent(request.route) ? longestRest : longestRestUnsafe,
             connectTimeout: milliseconds(connectTimeout),
             most: options.mostConnections(request.service),
             signal: request.signal,
@@ -104,17 +104,17 @@
             return { kind: "cancelled" };
         }
         if (failure === "unreachable") {
-            request.server.standing.onFailure(clock(), "unreachable");
+            request.server.state.onFailure(clock(), "unreachable");
             connections.closeIdle(request.server.id);
         }
         return { kind: "notSent", reason: failure };
     }
 
     async function send(request: AttemptRequest, socket: Socket): Promise<AttemptOutcome> {
-        const { standing } = request.server;
+        const { state } = request.server;
         const sentAt = clock();
         request.onSend();
-        standing.onSent(sentAt);
+        state.onSent(sentAt);
         const stall = watchForStall(request);
         const outcome = await exchange({
             socket,
@@ -131,13 +131,13 @@
         if (outcome.kind === "answer") {
             return judgeAnswer(request, socket, outcome.answer, sentAt);
         }
-        standing.onEnded(clock());
+        state.onEnded(clock());
         if (outcome.kind === "broken") {
-            standing.onFailure(clock(), "brokeOff");
+            state.onFailure(clock(), "brokeOff");
             return outcome;
         }
         if (isStalled(request, sentAt)) {
-            standing.onResult(clock(), false);
+            state.onResult(clock(), false);
         }
         return request.signal.aborted ? outcome : { kind: "broken", reason: "server silent" };
     }
@@ -150,12 +150,12 @@
     /** Aborts a request that may be repeated once its server turns out to be silent. */
     function watchForStall(request: AttemptRequest): { readonly signal: AbortSignal; readonly end: () => void; } {
         const controller = new AbortController();
-        if (!isRepeatable(request.route)) {
+        if (!isIdempotent(request.route)) {
             return { signal: controller.signal, end: () => undefined };
         }
         let isOver = false;
         const timer = setTimeout(() => {
-            void options.stallCheck(request.server).then(accepts => {
+            void options.livenessCheck(request.server).then(accepts => {
                 if (!accepts && !isOver) {
                     controller.abort();
                 }
@@ -192,29 +192,29 @@
         answer: ServerAnswer,
         sentAt: Milliseconds,
     ): AttemptOutcome {
-        const { id, standing } = request.server;
+        const { id, state } = request.server;
         const now = clock();
         const load = protocol.readLoad(answer.headers);
-        standing.onEnded(now, load);
+        state.onEnded(now, load);
         if (answer.reusable) {
             const announced = readKeepAlive(answer.headers);
             const rest = Math.min(longestRest, (announced ?? longestRest) * usedPartOfKeepAlive);
             connections.release(id, socket, milliseconds(rest));
         }
         if (answer.status === statusMisdirected) {
-            standing.onReplaced();
+            state.onReplaced();
             connections.closeIdle(id);
             return { kind: "notRun", status: answer.status };
         }
         if (answer.headers[protocol.headers.notRun] !== undefined) {
-            standing.onFull(now);
-            if (load !== undefined && load.waiting === 0 && load.running < load.slots && !standing.isCold(now)) {
-                standing.onResult(now, false);
+            state.onFull(now);
+            if (load !== undefined && load.waiting === 0 && load.running < load.slots && !state.isCold(now)) {
+                state.onResult(now, false);
             }
             return { kind: "notRun", status: answer.status };
         }
-        standing.onHealthy(now);
-        standing.onResult(now, !isFailure(answer) || answer.status === statusDeadline && !isStalled(request, sentAt));
+        state.onHealthy(now);
+        state.onResult(now, !isFailure(answer) || answer.status === statusDeadline && !isStalled(request, sentAt));
         if (answer.status >= 200 && answer.status < 300) {
             request.onServed(milliseconds(Math.max(0, now - sentAt - request.roundTrip)));
         }
--- a/packages/gateway/src/caller-answers.ts
+++ b/packages/box/src/requests/caller-answers.ts
@@ -1,12 +1,12 @@
 /**
- * Writes answers to callers: a server's, unchanged, or the gateway's own. A box
+ * Writes answers to callers: a server's, unchanged, or the box's own. A box
  * that is leaving ends each connection with its answer.
  */
 
+import { type RefusalKind, refusals } from "@chalkdale/decisions";
 import type { ServerResponse } from "node:http";
-import type { ServerAnswer } from "./exchange.js";
+import type { ServerAnswer } from "../servers/exchange.js";
 import { passOnHeaders } from "./headers.js";
-import { type RefusalKind, refusals } from "./refusals.js";
 
 /** Passes a server's answer back as it is. */
 export function passBack(response: ServerResponse, answer: ServerAnswer, isLeaving: boolean): void {
@@ -24,7 +24,7 @@
     response.end(answer.body);
 }
 
-/** Gives an answer of the gateway's own; breaks the connection if another was begun. */
+/** Gives an answer of the box's own; breaks the connection if another was begun. */
 export function refuse(response: ServerResponse, kind: RefusalKind, isLeaving: boolean): void {
     if (response.headersSent || response.destroyed) {
         response.destroy();
--- a/packages/gateway/src/request-handler.ts
+++ b/packages/box/src/requests/request-handler.ts
@@ -4,19 +4,18 @@
  * once.
  */
 
+import type { RefusalKind, Route } from "@chalkdale/decisions";
 import type { Milliseconds } from "@chalkdale/kernel";
 import type { Log } from "@chalkdale/runtime";
-import type { Route } from "@chalkdale/steering";
 import type { IncomingMessage, ServerResponse } from "node:http";
+import type { CallerProtocol } from "../callers/caller-protocol.js";
+import type { ServerAnswer } from "../servers/exchange.js";
+import type { SharedState } from "../state/shared-state.js";
 import { activateRequest, type ActiveRequest, type Ending } from "./active-request.js";
 import { type AttemptLoopOptions, createAttemptLoop } from "./attempt-loop.js";
 import { passBack, refuse } from "./caller-answers.js";
-import type { CallerProtocol } from "./caller-protocol.js";
-import type { ServerAnswer } from "./exchange.js";
-import type { RefusalKind } from "./refusals.js";
 import { readBody } from "./request-body.js";
 import { createRequestLog } from "./request-log.js";
-import type { SharedState } from "./shared-state.js";
 
 export interface RequestHandlerOptions extends AttemptLoopOptions {
     readonly random: () => number;
@@ -37,7 +36,7 @@
     const { clock, log, state } = options;
     const { headers } = options.protocol;
     const requestLog = createRequestLog(options);
-    const runAttempts = createAttemptLoop({ ...options, requestLog, isProven });
+    const runAttempts = createAttemptLoop({ ...options, requestLog, isVerified });
 
     return function onRequest(request: IncomingMessage, response: ServerResponse): void {
         void handle(request, response).catch(error => {
@@ -109,7 +108,7 @@
     function finish(active: ActiveRequest, response: ServerResponse, ending: Ending): void {
         switch (ending.kind) {
             case "answer":
-                if (isSuccess(ending.answer) && !isProven(ending.answer)) {
+                if (isSuccess(ending.answer) && !isVerified(ending.answer)) {
                     requestLog.refused(active, "unprovenAnswer");
                     refuseCaller(response, "unprovenAnswer");
                     return;
@@ -128,7 +127,7 @@
     }
 
     /** A success must carry the server's stamp, and a body in the coding that was asked for. */
-    function isProven(answer: ServerAnswer): boolean {
+    function isVerified(answer: ServerAnswer): boolean {
         return answer.headers[headers.serverStamp] !== undefined && answer.headers["content-encoding"] === undefined;
     }
 
--- a/packages/gateway/src/request-log.ts
+++ b/packages/box/src/requests/request-log.ts
@@ -3,17 +3,17 @@
  * how it ended.
  */
 
-import type { Clock, ServerId } from "@chalkdale/kernel";
+import type { RefusalKind } from "@chalkdale/decisions";
+import type { BackendServerId, Clock } from "@chalkdale/kernel";
 import type { Log } from "@chalkdale/runtime";
+import type { BoxMetrics } from "../metrics.js";
+import type { ServerAnswer } from "../servers/exchange.js";
+import type { SharedState } from "../state/shared-state.js";
 import type { ActiveRequest } from "./active-request.js";
-import type { ServerAnswer } from "./exchange.js";
-import type { GatewayMetrics } from "./metrics.js";
-import type { RefusalKind } from "./refusals.js";
-import type { SharedState } from "./shared-state.js";
 
 /** Tells of requests. */
 export interface RequestLog {
-    readonly attemptFailed: (active: ActiveRequest, server: ServerId, reason: string) => void;
+    readonly attemptFailed: (active: ActiveRequest, server: BackendServerId, reason: string) => void;
     readonly served: (active: ActiveRequest, answer: ServerAnswer) => void;
     readonly refused: (active: ActiveRequest, refusal: RefusalKind) => void;
     readonly callerLeft: (active: ActiveRequest) => void;
@@ -22,7 +22,7 @@
 export interface RequestLogOptions {
     readonly clock: Clock;
     readonly log: Log;
-    readonly metrics: GatewayMetrics;
+    readonly metrics: BoxMetrics;
     readonly state: SharedState;
 }
 
--- a/packages/gateway/src/exchange.ts
+++ b/packages/box/src/servers/exchange.ts
@@ -9,7 +9,7 @@
 import type { Milliseconds } from "@chalkdale/kernel";
 import { type ClientRequest, type IncomingMessage, request as httpRequest } from "node:http";
 import type { Socket } from "node:net";
-import type { HeaderNames } from "./caller-protocol.js";
+import type { HeaderNames } from "../callers/caller-protocol.js";
 
 /** A whole answer of a server. */
 export interface ServerAnswer {
--- a/packages/gateway/src/prober.ts
+++ b/packages/box/src/servers/health-checker.ts
@@ -3,34 +3,34 @@
  * they are back. Servers that answer requests are not checked.
  */
 
+import type { BackendServer, ServerCatalog } from "@chalkdale/decisions";
 import type { Clock, Milliseconds } from "@chalkdale/kernel";
 import type { Log } from "@chalkdale/runtime";
-import type { CatalogServer, ServerCatalog } from "@chalkdale/steering";
 import { request as httpRequest } from "node:http";
-import type { CallerProtocol } from "./caller-protocol.js";
-import { splitAddress } from "./peer-link.js";
+import type { CallerProtocol } from "../callers/caller-protocol.js";
+import { splitAddress } from "../peers/peer-link.js";
 
-export interface ProberOptions {
+export interface HealthCheckerOptions {
     readonly clock: Clock;
     readonly log: Log;
     readonly protocol: CallerProtocol;
     readonly catalog: ServerCatalog;
     readonly localAddress: string;
-    readonly healthPathOf: (server: CatalogServer) => string | undefined;
+    readonly healthPathOf: (server: BackendServer) => string | undefined;
     readonly signal: AbortSignal;
 }
 
-const probeTimeout = 600;
+const healthCheckTimeout = 600;
 
 /** Returns the function that makes the checks which are due. */
-export function createProber(options: ProberOptions): () => void {
+export function createHealthChecker(options: HealthCheckerOptions): () => void {
     const { clock, log, protocol } = options;
-    const running = new Set<CatalogServer>();
+    const running = new Set<BackendServer>();
 
-    return function probeDue() {
+    return function runDueHealthChecks() {
         const now = clock();
         for (const server of options.catalog.all()) {
-            const dueAt = server.standing.probeDueAt();
+            const dueAt = server.state.healthCheckDueAt();
             if (dueAt !== undefined && now >= dueAt && !running.has(server)) {
                 running.add(server);
                 void probe(server).finally(() => running.delete(server));
@@ -38,7 +38,7 @@
         }
     };
 
-    async function probe(server: CatalogServer): Promise<void> {
+    async function probe(server: BackendServer): Promise<void> {
         const path = options.healthPathOf(server);
         if (path === undefined) {
             return;
@@ -47,12 +47,12 @@
         if (options.signal.aborted) {
             return;
         }
-        server.standing.onProbed(clock(), healthy);
+        server.state.onHealthCheck(clock(), healthy);
         log.info("server.probed", { server: server.id, healthy });
     }
 
-    function check(server: CatalogServer, path: string): Promise<boolean> {
-        const { host, port } = splitAddress(server.standing.record().address);
+    function check(server: BackendServer, path: string): Promise<boolean> {
+        const { host, port } = splitAddress(server.state.record().address);
         return new Promise(resolve => {
             const request = httpRequest({
                 host,
@@ -61,18 +61,18 @@
                 agent: false,
                 localAddress: options.localAddress,
                 signal: options.signal,
-                timeout: probeTimeout,
+                timeout: healthCheckTimeout,
             });
-            const deadline = setTimeout(() => request.destroy(new Error("no answer")), probeTimeout);
+            const deadline = setTimeout(() => request.destroy(new Error("no answer")), healthCheckTimeout);
             request.on("response", response => {
                 response.resume();
                 const id = protocol.readServerId(response.headers);
                 const coldFor = protocol.readColdFor(response.headers);
                 if (id !== undefined && id !== server.id) {
-                    server.standing.onReplaced();
+                    server.state.onReplaced();
                 }
                 if (coldFor !== undefined && coldFor > 0) {
-                    server.standing.onCold(clock(), coldFor as Milliseconds);
+                    server.state.onCold(clock(), coldFor as Milliseconds);
                 }
                 response.on("end", () => settle(response.statusCode === 200 && id === server.id));
                 response.on("error", () => settle(false));
--- a/packages/gateway/src/stall-check.ts
+++ b/packages/box/src/servers/liveness-check.ts
@@ -6,22 +6,22 @@
  * out, and requests that may be repeated go elsewhere.
  */
 
+import type { BackendServer } from "@chalkdale/decisions";
 import type { Clock, Milliseconds } from "@chalkdale/kernel";
 import type { Log } from "@chalkdale/runtime";
-import type { CatalogServer } from "@chalkdale/steering";
 import { connect } from "node:net";
-import { splitAddress } from "./peer-link.js";
+import { splitAddress } from "../peers/peer-link.js";
 
 /** Answers whether a server still accepts connections. */
-export type StallCheck = (server: CatalogServer) => Promise<boolean>;
+export type LivenessCheck = (server: BackendServer) => Promise<boolean>;
 
-export interface StallCheckOptions {
+export interface LivenessCheckOptions {
     readonly clock: Clock;
     readonly log: Log;
     readonly localAddress: string;
     /** Time in which a connection must come up. */
-    readonly connectTimeout: (server: CatalogServer) => Milliseconds;
-    readonly onSilent: (server: CatalogServer) => void;
+    readonly connectTimeout: (server: BackendServer) => Milliseconds;
+    readonly onSilent: (server: BackendServer) => void;
 }
 
 /** A result is used again for this long, in milliseconds. */
@@ -33,7 +33,7 @@
 }
 
 /** Creates the check. Checks of one server at one time are one. */
-export function createStallCheck(options: StallCheckOptions): StallCheck {
+export function createLivenessCheck(options: LivenessCheckOptions): LivenessCheck {
     const { clock, log } = options;
     const checks = new Map<string, Check>();
 
@@ -47,7 +47,7 @@
         return result;
     };
 
-    async function check(server: CatalogServer): Promise<boolean> {
+    async function check(server: BackendServer): Promise<boolean> {
         const accepts = await acceptsConnection(server);
         log.info("server.stalled", { server: server.id, accepts });
         if (!accepts) {
@@ -56,8 +56,8 @@
         return accepts;
     }
 
-    function acceptsConnection(server: CatalogServer): Promise<boolean> {
-        const { host, port } = splitAddress(server.standing.record().address);
+    function acceptsConnection(server: BackendServer): Promise<boolean> {
+        const { host, port } = splitAddress(server.state.record().address);
         return new Promise(resolve => {
             const socket = connect({ host, port, localAddress: options.localAddress });
             const settle = (accepts: boolean) => {
--- a/packages/gateway/src/server-connections.ts
+++ b/packages/box/src/servers/server-connections.ts
@@ -3,9 +3,9 @@
  * each, and never used again once anything unexpected came over them.
  */
 
-import { type Clock, Err, type Milliseconds, Ok, type Result, type ServerId } from "@chalkdale/kernel";
+import { type BackendServerId, type Clock, Err, type Milliseconds, Ok, type Result } from "@chalkdale/kernel";
 import { connect, type Socket } from "node:net";
-import { splitAddress } from "./peer-link.js";
+import { splitAddress } from "../peers/peer-link.js";
 
 /** Why there is no connection. Nothing was sent in any of these cases. */
 type ConnectFailure = "unreachable" | "tooMany" | "cancelled";
@@ -19,7 +19,7 @@
 
 /** What is asked of the pool. */
 interface ConnectionRequest {
-    readonly server: ServerId;
+    readonly server: BackendServerId;
     readonly address: string;
     /** A kept connection may have rested this long at most. */
     readonly longestRest: Milliseconds;
@@ -33,9 +33,9 @@
 export interface ServerConnections {
     readonly acquire: (request: ConnectionRequest) => Promise<Result<ServerConnection, ConnectFailure>>;
     /** Keeps a connection for later use, for at most so long. */
-    readonly release: (server: ServerId, socket: Socket, rest: Milliseconds) => void;
+    readonly release: (server: BackendServerId, socket: Socket, rest: Milliseconds) => void;
     /** Closes the idle connections of a server. */
-    readonly closeIdle: (server: ServerId) => void;
+    readonly closeIdle: (server: BackendServerId) => void;
     /** Closes connections that have rested for their time. */
     readonly sweep: () => void;
     readonly count: () => number;
@@ -52,7 +52,7 @@
     readonly clock: Clock;
     readonly localAddress: string;
     /** Told how long the opening of a connection took. */
-    readonly onConnected: (server: ServerId, duration: Milliseconds) => void;
+    readonly onConnected: (server: BackendServerId, duration: Milliseconds) => void;
 }
 
 /** Time after which a silent peer's kernel is asked whether it lives, in milliseconds. */
@@ -61,8 +61,8 @@
 /** Creates an empty pool. */
 export function createServerConnections(options: ServerConnectionsOptions): ServerConnections {
     const { clock } = options;
-    const idle = new Map<ServerId, IdleConnection[]>();
-    const open = new Map<ServerId, number>();
+    const idle = new Map<BackendServerId, IdleConnection[]>();
+    const open = new Map<BackendServerId, number>();
 
     return {
         async acquire(request) {
@@ -159,7 +159,7 @@
         });
     }
 
-    function removeIdle(server: ServerId, socket: Socket): void {
+    function removeIdle(server: BackendServerId, socket: Socket): void {
         const list = idle.get(server);
         const index = list?.findIndex(connection => connection.socket === socket) ?? -1;
         if (index >= 0) {
@@ -167,7 +167,7 @@
         }
     }
 
-    function count(server: ServerId, change: number): void {
+    function count(server: BackendServerId, change: number): void {
         const next = (open.get(server) ?? 0) + change;
         if (next === 0) {
             open.delete(server);
--- a/packages/gateway/src/settings.ts
+++ b/packages/box/src/settings.ts
@@ -3,7 +3,7 @@
  * that its decisions keep.
  */
 
-import type { BoxId, Milliseconds, RegionId, ZoneId } from "@chalkdale/kernel";
+import type { AvailabilityZoneId, BoxId, Milliseconds, RegionId } from "@chalkdale/kernel";
 
 /** An address to listen on. */
 export interface ListenAddress {
@@ -12,12 +12,12 @@
 }
 
 /** Figures that decisions keep within. */
-export interface GatewayBounds {
+export interface BoxBounds {
     /** Repeats allowed for each request of a service. */
-    readonly repeatRatio: number;
-    readonly repeatWindow: Milliseconds;
+    readonly retryRatio: number;
+    readonly retryWindow: Milliseconds;
     /** Repeats allowed besides, for all boxes together, in one window. */
-    readonly repeatAllowance: number;
+    readonly retryAllowance: number;
     /** Time between the signal to stop and the kill. */
     readonly stopGrace: Milliseconds;
     /** How long callers may keep an answer of the directory. */
@@ -27,11 +27,11 @@
 }
 
 /** Settings of one box. */
-export interface GatewaySettings {
+export interface BoxSettings {
     readonly box: BoxId;
     readonly region: RegionId;
-    readonly zone: ZoneId;
-    readonly regionOfZone: ReadonlyMap<ZoneId, RegionId>;
+    readonly zone: AvailabilityZoneId;
+    readonly regionOfZone: ReadonlyMap<AvailabilityZoneId, RegionId>;
     readonly callers: ListenAddress;
     readonly readiness: ListenAddress;
     readonly directory: ListenAddress;
@@ -43,5 +43,5 @@
     readonly metrics?: ListenAddress;
     /** Peer addresses of some boxes, which may be out of date. */
     readonly seeds: readonly string[];
-    readonly bounds: GatewayBounds;
+    readonly bounds: BoxBounds;
 }
--- a/packages/gateway/src/common-limits.ts
+++ b/packages/box/src/shared-limits.ts
@@ -7,54 +7,54 @@
  * directory reach it.
  */
 
-import { type BoxId, type Clock, milliseconds, type RegionId, type ServiceId } from "@chalkdale/kernel";
-import type { Log } from "@chalkdale/runtime";
 import {
-    allCarriers,
-    coldSenders,
-    createRepeatBudget,
+    advertisedBoxes,
+    createRetryBudget,
     type MemberRecord,
     type Membership,
-    type RepeatBudget,
-} from "@chalkdale/steering";
+    type RetryBudget,
+    slowStartSenders,
+} from "@chalkdale/decisions";
+import { type BoxId, type Clock, milliseconds, type RegionId, type ServiceId } from "@chalkdale/kernel";
+import type { Log } from "@chalkdale/runtime";
 import { createCached } from "./cached.js";
-import type { GatewaySettings } from "./settings.js";
+import type { BoxSettings } from "./settings.js";
 
-export interface CommonLimitsOptions {
+export interface SharedLimitsOptions {
     readonly clock: Clock;
     readonly log: Log;
-    readonly settings: GatewaySettings;
+    readonly settings: BoxSettings;
     readonly membership: Membership;
     /** Connections that one server of a service accepts from all boxes; undefined if that is not known. */
     readonly connectionsOf: (service: ServiceId) => number | undefined;
 }
 
 /** The parts of one box. */
-export interface CommonLimits {
-    readonly carrierCount: () => number;
+export interface SharedLimits {
+    readonly advertisedCount: () => number;
     /** Boxes that may send to a cold server of a region. */
-    readonly coldSenders: (region: RegionId) => readonly BoxId[];
-    readonly budgetOf: (service: ServiceId) => RepeatBudget;
+    readonly slowStartSenders: (region: RegionId) => readonly BoxId[];
+    readonly budgetOf: (service: ServiceId) => RetryBudget;
     /** Connections to one server that this box may hold. */
     readonly mostConnections: (service: ServiceId) => number;
 }
 
-const carriersLifetime = milliseconds(250);
+const advertisedLifetime = milliseconds(250);
 /** Part of a server's connections that all boxes together use. */
 const usedPartOfConnections = 0.8;
 const leastConnections = 2;
 const assumedMostConnections = 100;
 
 /** Creates the limits of one box. */
-export function createCommonLimits(options: CommonLimitsOptions): CommonLimits {
+export function createSharedLimits(options: SharedLimitsOptions): SharedLimits {
     const { clock, log, membership, settings } = options;
-    const budgets = new Map<ServiceId, RepeatBudget>();
-    const carriers = createCached(clock, carriersLifetime, findCarriers);
+    const budgets = new Map<ServiceId, RetryBudget>();
+    const carriers = createCached(clock, advertisedLifetime, findAdvertisedBoxes);
     let knownCount = 0;
 
     return {
-        carrierCount: () => carriers().length,
-        coldSenders: region => coldSenders(carriers(), region),
+        advertisedCount: () => carriers().length,
+        slowStartSenders: region => slowStartSenders(carriers(), region),
         budgetOf,
         mostConnections(service) {
             const most = options.connectionsOf(service) ?? assumedMostConnections;
@@ -63,9 +63,9 @@
     };
 
     /** The boxes that callers are sent to; before any is in service, those that run. */
-    function findCarriers(): readonly MemberRecord[] {
+    function findAdvertisedBoxes(): readonly MemberRecord[] {
         const alive = membership.alive(clock());
-        const named = allCarriers(membership.inService(clock()));
+        const named = advertisedBoxes(membership.inService(clock()));
         if (named.length !== knownCount) {
             knownCount = named.length;
             log.info("carriers.changed", { carriers: named.length, alive: alive.length, load: sumOfLoads(alive) });
@@ -79,13 +79,13 @@
         return isCarrier ? carriers().length : Infinity;
     }
 
-    function budgetOf(service: ServiceId): RepeatBudget {
+    function budgetOf(service: ServiceId): RetryBudget {
         let budget = budgets.get(service);
         if (budget === undefined) {
-            budget = createRepeatBudget({
-                ratio: settings.bounds.repeatRatio,
-                window: settings.bounds.repeatWindow,
-                allowance: settings.bounds.repeatAllowance,
+            budget = createRetryBudget({
+                ratio: settings.bounds.retryRatio,
+                window: settings.bounds.retryWindow,
+                allowance: settings.bounds.retryAllowance,
                 boxCount: sharingBoxes,
             });
             budgets.set(service, budget);
--- a/packages/gateway/src/replicator.ts
+++ b/packages/box/src/state/replicator.ts
@@ -3,9 +3,9 @@
  * this box's duty, and from what other boxes tell.
  */
 
+import type { ItemChange, RelayRole, Snapshot } from "@chalkdale/decisions";
 import type { Clock, Milliseconds, RegionId } from "@chalkdale/kernel";
 import { type Log, sleep } from "@chalkdale/runtime";
-import type { ItemChange, Snapshot, StoreWatchDuty } from "@chalkdale/steering";
 import type { SharedState } from "./shared-state.js";
 import type { CopyState, StateDigest, StateUpdate } from "./state-messages.js";
 import { type SharedItems, type SharedKind, sharedKinds, type StateStore, StoreError } from "./state-store.js";
@@ -30,7 +30,7 @@
     readonly region: RegionId;
     readonly state: SharedState;
     readonly store: StateStore;
-    readonly duty: StoreWatchDuty;
+    readonly duty: RelayRole;
     readonly readSnapshot: SnapshotReader;
     /** Passes changes on to the boxes of the region. */
     readonly publish: (update: StateUpdate) => void;
@@ -101,7 +101,7 @@
             closedZones: copyState("closedZones"),
         }),
         storeLostFor: () => storeLostAt === undefined ? 0 : Math.round(clock() - storeLostAt),
-        isFollowing: () => duty.isAlwaysDue() || sharedKinds.some(kind => statuses[kind].watch !== undefined),
+        isFollowing: () => duty.alwaysFollows() || sharedKinds.some(kind => statuses[kind].watch !== undefined),
         onDigest(peer, digest) {
             for (const kind of sharedKinds) {
                 compareWith(kind, peer, digest[kind]);
@@ -155,7 +155,7 @@
         if (state.replica(kind).revision() === undefined) {
             return 0;
         }
-        if (duty.isAlwaysDue() || storeLostAt !== undefined) {
+        if (duty.alwaysFollows() || storeLostAt !== undefined) {
             return watchHeadStart;
         }
         return peer.region === options.region ? relayHeadStart : otherRegionHeadStart;
@@ -170,8 +170,8 @@
         let backoff = firstBackoff;
         let isListNeeded = state.replica(kind).revision() === undefined;
         while (!signal.aborted) {
-            const notDueFor = duty.dueAge() - (clock() - statuses[kind].confirmedAt);
-            if (!duty.isAlwaysDue() && notDueFor > 0) {
+            const notDueFor = duty.followAfterAge() - (clock() - statuses[kind].confirmedAt);
+            if (!duty.alwaysFollows() && notDueFor > 0) {
                 await sleep(notDueFor, signal);
                 continue;
             }
@@ -186,7 +186,7 @@
                 }
                 onStoreFailed(kind, error);
                 await sleep(backoff * (0.7 + 0.6 * options.random()), signal);
-                backoff = Math.min(duty.isAlwaysDue() ? longestBackoff : longestStandInBackoff, backoff * 2);
+                backoff = Math.min(duty.alwaysFollows() ? longestBackoff : longestStandInBackoff, backoff * 2);
             }
         }
     }
--- a/packages/gateway/src/shared-state.ts
+++ b/packages/box/src/state/shared-state.ts
@@ -3,14 +3,13 @@
  * table, the catalog of servers, and which zones admit requests.
  */
 
-import { type Clock, milliseconds, type RegionId, type ServiceId, type ZoneId } from "@chalkdale/kernel";
-import type { Log } from "@chalkdale/runtime";
 import {
+    type BackendServerRecord,
     closeZones,
     type Configuration,
     createReplica,
     createRouteTable,
-    createWeightedRotation,
+    createWeightedSplit,
     openPlaces,
     type PlaceSettings,
     type Replica,
@@ -18,10 +17,11 @@
     type Route,
     type RouteTable,
     type ServerCatalog,
-    type ServerRecord,
     type Service,
-    type WeightedRotation,
-} from "@chalkdale/steering";
+    type WeightedSplit,
+} from "@chalkdale/decisions";
+import { type AvailabilityZoneId, type Clock, milliseconds, type RegionId, type ServiceId } from "@chalkdale/kernel";
+import type { Log } from "@chalkdale/runtime";
 import type { SharedItems, SharedKind } from "./state-store.js";
 
 /** The copies and their use. */
@@ -32,7 +32,7 @@
     readonly service: (id: ServiceId) => Service | undefined;
     /** Picks the destination of a request on a route. */
     readonly destinationOf: (route: Route) => ServiceId;
-    readonly admitsZone: (zone: ZoneId) => boolean;
+    readonly admitsZone: (zone: AvailabilityZoneId) => boolean;
     /** True once requests can be decided. */
     readonly isComplete: () => boolean;
 }
@@ -41,7 +41,7 @@
     readonly clock: Clock;
     readonly log: Log;
     readonly catalog: ServerCatalog;
-    readonly regionOfZone: ReadonlyMap<ZoneId, RegionId>;
+    readonly regionOfZone: ReadonlyMap<AvailabilityZoneId, RegionId>;
     /** Told of each configuration that comes into force. */
     readonly onConfiguration: (configuration: Configuration) => void;
 }
@@ -52,15 +52,15 @@
     let configuration: Configuration | undefined;
     let routes: RouteTable | undefined;
     let services = new Map<ServiceId, Service>();
-    let rotations = new Map<string, WeightedRotation>();
+    let rotations = new Map<string, WeightedSplit>();
     let places: PlaceSettings = openPlaces;
     /** The values in force by zone, as far as they were asked for since the places changed. */
-    let admission = new Map<ZoneId, boolean>();
+    let admission = new Map<AvailabilityZoneId, boolean>();
 
     const replicas: { readonly [Kind in SharedKind]: Replica<SharedItems[Kind]>; } = {
         configuration: createReplica<Configuration>(() => "main", applyConfiguration),
-        servers: createReplica<ServerRecord>(record => record.id, applyServers),
-        closedZones: createReplica<ZoneId>(zone => zone, applyClosedZones),
+        servers: createReplica<BackendServerRecord>(record => record.id, applyServers),
+        closedZones: createReplica<AvailabilityZoneId>(zone => zone, applyClosedZones),
     };
 
     return {
@@ -94,7 +94,7 @@
         options.onConfiguration(next);
     }
 
-    function applyServers(records: readonly ServerRecord[]): void {
+    function applyServers(records: readonly BackendServerRecord[]): void {
         const change = options.catalog.applyList(records, clock());
         const changed = change.added.length + change.removed.length + change.startedDraining.length;
         if (changed > 0) {
@@ -108,13 +108,13 @@
         }
     }
 
-    function applyClosedZones(zones: readonly ZoneId[]): void {
+    function applyClosedZones(zones: readonly AvailabilityZoneId[]): void {
         places = closeZones(openPlaces, zones);
         admission = new Map();
         log.info("places.changed", { closed: zones.join(",") || "none" });
     }
 
-    function admitsZone(zone: ZoneId): boolean {
+    function admitsZone(zone: AvailabilityZoneId): boolean {
         let admits = admission.get(zone);
         if (admits === undefined) {
             admits = resolvePlace(places, regionOf(zone), zone).admitsRequests;
@@ -129,13 +129,13 @@
         }
         let rotation = rotations.get(route.name);
         if (rotation === undefined) {
-            rotation = createWeightedRotation(route.destinations);
+            rotation = createWeightedSplit(route.destinations);
             rotations.set(route.name, rotation);
         }
         return rotation();
     }
 
-    function regionOf(zone: ZoneId): RegionId {
+    function regionOf(zone: AvailabilityZoneId): RegionId {
         return options.regionOfZone.get(zone) ?? ("" as RegionId);
     }
 }
--- a/packages/gateway/src/state-messages.ts
+++ b/packages/box/src/state/state-messages.ts
@@ -2,7 +2,7 @@
  * What boxes tell each other about their copies of shared state.
  */
 
-import type { ItemChange, ServerRecord } from "@chalkdale/steering";
+import type { BackendServerRecord, ItemChange } from "@chalkdale/decisions";
 import { type SharedItems, type SharedKind, sharedKinds } from "./state-store.js";
 
 /** How far one copy reaches. */
@@ -56,7 +56,7 @@
 
 type TypeName = "string" | "number" | "boolean" | "object";
 
-const serverTypes: Readonly<Record<keyof ServerRecord, TypeName>> = {
+const serverTypes: Readonly<Record<keyof BackendServerRecord, TypeName>> = {
     id: "string",
     service: "string",
     address: "string",
--- a/packages/gateway/src/state-store.ts
+++ b/packages/box/src/state/state-store.ts
@@ -1,16 +1,16 @@
 /**
- * The store that keeps what must last, as the gateway sees it.
+ * The store that keeps what must last, as a box sees it.
  */
 
-import type { Milliseconds, ZoneId } from "@chalkdale/kernel";
-import type { Configuration, ItemChange, MemberRecord, ServerRecord, Snapshot } from "@chalkdale/steering";
+import type { BackendServerRecord, Configuration, ItemChange, MemberRecord, Snapshot } from "@chalkdale/decisions";
+import type { AvailabilityZoneId, Milliseconds } from "@chalkdale/kernel";
 
 /** Kinds of state that every box copies, and what an item of each is. */
 export interface SharedItems {
     readonly configuration: Configuration;
-    readonly servers: ServerRecord;
+    readonly servers: BackendServerRecord;
     /** Zones that are to get no requests. */
-    readonly closedZones: ZoneId;
+    readonly closedZones: AvailabilityZoneId;
 }
 
 /** A kind of shared state. */
--- a/packages/gateway/test/caller-connections.test.ts
+++ b/packages/box/test/caller-connections.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { createServer, get, type IncomingMessage, type Server } from "node:http";
 import { type AddressInfo, connect } from "node:net";
-import { type CallerConnections, trackCallerConnections } from "../src/caller-connections.js";
+import { type CallerConnections, trackCallerConnections } from "../src/callers/caller-connections.js";
 
 const answerSize = 24 * 1024 * 1024;
 
--- a/packages/gateway/test/exchange.test.ts
+++ b/packages/box/test/exchange.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { type AddressInfo, connect, createServer, type Server, type Socket } from "node:net";
 import { Duplex } from "node:stream";
-import { exchange, type ExchangeOutcome } from "../src/exchange.js";
+import { exchange, type ExchangeOutcome } from "../src/servers/exchange.js";
 
 /** Plays one scripted answer for each request that comes over a connection. */
 async function withServer(
--- a/packages/gateway/test/metrics.test.ts
+++ b/packages/box/test/metrics.test.ts
@@ -1,9 +1,9 @@
 import { expect } from "chai";
-import { createGatewayMetrics } from "../src/metrics.js";
+import { createBoxMetrics } from "../src/metrics.js";
 
 describe("metrics of a box", () => {
     it("tell counts by route and outcome, latencies and gauges", () => {
-        const metrics = createGatewayMetrics();
+        const metrics = createBoxMetrics();
         metrics.onEnding("lookup", "200", 12);
         metrics.onEnding("lookup", "200", 14);
         metrics.onEnding("save", "serversFull", 3);
--- a/packages/gateway/test/replicator.test.ts
+++ b/packages/box/test/replicator.test.ts
@@ -1,24 +1,24 @@
-import { milliseconds, regionId, type ZoneId, zoneId } from "@chalkdale/kernel";
+import { createReplica, type RelayRole } from "@chalkdale/decisions";
+import { type AvailabilityZoneId, availabilityZoneId, milliseconds, regionId } from "@chalkdale/kernel";
 import { createLog } from "@chalkdale/runtime";
-import { createReplica, type StoreWatchDuty } from "@chalkdale/steering";
 import { expect } from "chai";
-import { type Replicator, startReplicator } from "../src/replicator.js";
-import type { SharedState } from "../src/shared-state.js";
-import type { CopyState, StateDigest, StateUpdate } from "../src/state-messages.js";
-import type { SharedKind, StateStore } from "../src/state-store.js";
+import { type Replicator, startReplicator } from "../src/state/replicator.js";
+import type { SharedState } from "../src/state/shared-state.js";
+import type { CopyState, StateDigest, StateUpdate } from "../src/state/state-messages.js";
+import type { SharedKind, StateStore } from "../src/state/state-store.js";
 
 const never = new Promise<never>(() => undefined);
 const peer = { peerAddress: "192.0.2.9:1", region: regionId("north") };
-const relayed: StoreWatchDuty = {
+const relayed: RelayRole = {
     isRelayed: () => true,
-    isAlwaysDue: () => false,
-    dueAge: () => milliseconds(60_000),
+    alwaysFollows: () => false,
+    followAfterAge: () => milliseconds(60_000),
     watchWait: () => milliseconds(900),
 };
-const unrelayed: StoreWatchDuty = {
+const unrelayed: RelayRole = {
     isRelayed: () => false,
-    isAlwaysDue: () => true,
-    dueAge: () => milliseconds(0),
+    alwaysFollows: () => true,
+    followAfterAge: () => milliseconds(0),
     watchWait: () => undefined,
 };
 
@@ -36,12 +36,12 @@
     afterEach(() => lifetime.abort());
 
     /** Starts a replicator whose copies are as of revision 5; its watches bring nothing unless told otherwise. */
-    async function start(duty: StoreWatchDuty, watch: StateStore["watch"] = () => never) {
-        const zones: ZoneId[][] = [];
+    async function start(duty: RelayRole, watch: StateStore["watch"] = () => never) {
+        const zones: AvailabilityZoneId[][] = [];
         const replicas = {
             configuration: createReplica<never>(() => "main", () => undefined),
             servers: createReplica<never>(() => "s", () => undefined),
-            closedZones: createReplica<ZoneId>(zone => zone, items => zones.push([...items])),
+            closedZones: createReplica<AvailabilityZoneId>(zone => zone, items => zones.push([...items])),
         };
         const replicator = startReplicator({
             clock: () => milliseconds(performance.now()),
@@ -89,7 +89,7 @@
 
     it("takes what a relay passes on, and reads no snapshot then", async () => {
         const { replicator, zones } = await start(relayed);
-        const change = { kind: "put", name: "north-a", item: zoneId("north-a") } as const;
+        const change = { kind: "put", name: "north-a", item: availabilityZoneId("north-a") } as const;
         replicator.onUpdate({ kind: "closedZones", since: 5, complete: 7, changes: [change] });
         replicator.onDigest(peer, digestOf({ changed: 7, complete: 8, age: 0 }));
         expect(zones.at(-1)).to.deep.equal(["north-a"]);
@@ -109,7 +109,7 @@
 
     it("passes on what its own watch brings, as following the last change before it", async () => {
         let told = false;
-        const change = { kind: "put", name: "north-a", item: zoneId("north-a") } as const;
+        const change = { kind: "put", name: "north-a", item: availabilityZoneId("north-a") } as const;
         const watch = (kind: SharedKind) => {
             if (kind !== "closedZones" || told) {
                 return never;
@@ -117,7 +117,7 @@
             told = true;
             return Promise.resolve({ kind: "changes", changes: [change], revision: 12 });
         };
-        await start({ ...relayed, isAlwaysDue: () => true }, watch as unknown as StateStore["watch"]);
+        await start({ ...relayed, alwaysFollows: () => true }, watch as unknown as StateStore["watch"]);
         await until(() => published.length > 0);
         expect(published).to.deep.equal([{ kind: "closedZones", since: 5, complete: 12, changes: [change] }]);
     });
--- a/packages/gateway/test/state-messages.test.ts
+++ b/packages/box/test/state-messages.test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import fc from "fast-check";
-import { isStateDigest, isStateUpdate } from "../src/state-messages.js";
+import { isStateDigest, isStateUpdate } from "../src/state/state-messages.js";
 
 const copy = { changed: 1, complete: 2, age: 3 };
 const digest = { configuration: copy, servers: copy, closedZones: copy };
--- a/packages/cli/src/box-figures.ts
+++ b/packages/cli/src/box-figures.ts
@@ -2,8 +2,8 @@
  * Reads the members that a running box knows, and the figures of each box.
  */
 
+import type { MemberRecord } from "@chalkdale/decisions";
 import { exitCodes, parseEndpoint, urlOf } from "@chalkdale/runtime";
-import type { MemberRecord } from "@chalkdale/steering";
 import { request } from "undici";
 import { CommandError } from "./context.js";
 
--- a/packages/cli/src/deployment.ts
+++ b/packages/cli/src/deployment.ts
@@ -3,8 +3,8 @@
  * ask a running box for the members and every member for its figures.
  */
 
+import { advertisedBoxes, type MemberRecord } from "@chalkdale/decisions";
 import { type ExitCode, exitCodes } from "@chalkdale/runtime";
-import { allCarriers, type MemberRecord } from "@chalkdale/steering";
 import { appendFile, readFile } from "node:fs/promises";
 import { type Figure, readFigures, readMembers, valueOf } from "./box-figures.js";
 import {
@@ -34,7 +34,7 @@
     async run(_, context): Promise<ExitCode> {
         const found = await readDeployment(context);
         const carriers = new Set(
-            allCarriers(found.map(({ member }) => member).filter(isInService)).map(({ box }) => box),
+            advertisedBoxes(found.map(({ member }) => member).filter(isInService)).map(({ box }) => box),
         );
         if (context.flags.json) {
             context.write(JSON.stringify(found.map(entry => ({ ...entry, carries: carriers.has(entry.member.box) }))));
--- a/packages/steering/src/route-table.ts
+++ b/packages/decisions/src/admit/route-table.ts
@@ -3,7 +3,7 @@
  * longest path prefix.
  */
 
-import type { Configuration, Route } from "./configuration.js";
+import type { Configuration, Route } from "../shared-state/configuration.js";
 
 /** Finds routes of one configuration. */
 export interface RouteTable {
--- a/packages/steering/src/weighted-rotation.ts
+++ b/packages/decisions/src/admit/weighted-split.ts
@@ -6,13 +6,13 @@
  */
 
 import type { ServiceId } from "@chalkdale/kernel";
-import type { WeightedService } from "./configuration.js";
+import type { WeightedService } from "../shared-state/configuration.js";
 
 /** Picks the next destination. */
-export type WeightedRotation = () => ServiceId;
+export type WeightedSplit = () => ServiceId;
 
 /** Creates a rotation. Destinations with weight 0 are never picked unless all have weight 0. */
-export function createWeightedRotation(destinations: readonly WeightedService[]): WeightedRotation {
+export function createWeightedSplit(destinations: readonly WeightedService[]): WeightedSplit {
     const total = destinations.reduce((sum, destination) => sum + destination.weight, 0);
     const credit = destinations.map(() => 0);
 
--- a/packages/steering/src/recent-keys.ts
+++ b/packages/decisions/src/choose/recent-keys.ts
@@ -2,13 +2,13 @@
  * The affinity keys that a server worked on recently, as far as this box knows.
  */
 
-import type { Milliseconds, ServerId } from "@chalkdale/kernel";
+import type { BackendServerId, Milliseconds } from "@chalkdale/kernel";
 
 /** Remembers keys by server. */
 export interface RecentKeys {
-    readonly add: (server: ServerId, keyHash: number, at: Milliseconds) => void;
-    readonly has: (server: ServerId, keyHash: number, at: Milliseconds) => boolean;
-    readonly forget: (server: ServerId) => void;
+    readonly add: (server: BackendServerId, keyHash: number, at: Milliseconds) => void;
+    readonly has: (server: BackendServerId, keyHash: number, at: Milliseconds) => boolean;
+    readonly forget: (server: BackendServerId) => void;
 }
 
 /** Keys remembered for each server; the oldest goes first. */
@@ -18,7 +18,7 @@
 
 /** Creates an empty memory. */
 export function createRecentKeys(): RecentKeys {
-    const byServer = new Map<ServerId, Map<number, Milliseconds>>();
+    const byServer = new Map<BackendServerId, Map<number, Milliseconds>>();
 
     return {
         add(server, keyHash, at) {
--- a/packages/gateway/src/round-trips.ts
+++ b/packages/decisions/src/choose/round-trips.ts
@@ -2,12 +2,12 @@
  * Time to each zone and back, learned from how long connections take to open.
  */
 
-import { type Milliseconds, milliseconds, type RegionId, type ZoneId } from "@chalkdale/kernel";
+import { type AvailabilityZoneId, type Milliseconds, milliseconds, type RegionId } from "@chalkdale/kernel";
 
 /** Times there and back by zone. */
 export interface RoundTrips {
-    readonly estimate: (region: RegionId, zone: ZoneId) => Milliseconds;
-    readonly onConnected: (zone: ZoneId, duration: Milliseconds) => void;
+    readonly estimate: (region: RegionId, zone: AvailabilityZoneId) => Milliseconds;
+    readonly onConnected: (zone: AvailabilityZoneId, duration: Milliseconds) => void;
 }
 
 /** First guesses in milliseconds. */
@@ -17,8 +17,8 @@
 const smoothing = 0.2;
 
 /** Creates estimates for a box in a place. */
-export function createRoundTrips(ownRegion: RegionId, ownZone: ZoneId): RoundTrips {
-    const learned = new Map<ZoneId, number>();
+export function createRoundTrips(ownRegion: RegionId, ownZone: AvailabilityZoneId): RoundTrips {
+    const learned = new Map<AvailabilityZoneId, number>();
 
     return {
         estimate: (region, zone) => milliseconds(learned.get(zone) ?? firstGuess(region, zone)),
@@ -28,7 +28,7 @@
         },
     };
 
-    function firstGuess(region: RegionId, zone: ZoneId): number {
+    function firstGuess(region: RegionId, zone: AvailabilityZoneId): number {
         if (zone === ownZone) {
             return sameZone;
         }
--- a/packages/steering/src/server-choice.ts
+++ b/packages/decisions/src/choose/server-choice.ts
@@ -10,17 +10,17 @@
  */
 
 import {
+    type AvailabilityZoneId,
+    type BackendServerId,
     type Milliseconds,
     milliseconds,
     type RegionId,
-    type ServerId,
     type ServiceId,
-    type ZoneId,
 } from "@chalkdale/kernel";
-import type { Route } from "./configuration.js";
+import type { BackendServer, ServerCatalog } from "../servers/server-catalog.js";
+import type { Route } from "../shared-state/configuration.js";
 import type { RecentKeys } from "./recent-keys.js";
 import { rendezvousScore } from "./rendezvous.js";
-import type { CatalogServer, ServerCatalog } from "./server-catalog.js";
 import type { WorkEstimate } from "./work-estimate.js";
 
 /** What is asked of the choice. */
@@ -30,7 +30,7 @@
     /** Hash of the affinity key, or a random number for a request without one. */
     readonly keyHash: number;
     /** Servers that already had this request. */
-    readonly tried: ReadonlySet<ServerId>;
+    readonly tried: ReadonlySet<BackendServerId>;
     /** Time until the request must be answered. */
     readonly timeLeft: Milliseconds;
     readonly at: Milliseconds;
@@ -40,7 +40,7 @@
 export type Choice =
     | {
         readonly kind: "chosen";
-        readonly server: CatalogServer;
+        readonly server: BackendServer;
         readonly rank: number;
         readonly warm: boolean;
         /** Expected time until the answer. */
@@ -54,14 +54,14 @@
 
 export interface ServerChoiceOptions {
     readonly region: RegionId;
-    readonly zone: ZoneId;
+    readonly zone: AvailabilityZoneId;
     readonly catalog: ServerCatalog;
     readonly recentKeys: RecentKeys;
     readonly work: WorkEstimate;
     /** Time to a place and back. */
-    readonly roundTrip: (region: RegionId, zone: ZoneId) => Milliseconds;
+    readonly roundTrip: (region: RegionId, zone: AvailabilityZoneId) => Milliseconds;
     /** False for a zone that is to get no requests. */
-    readonly admitsZone: (zone: ZoneId) => boolean;
+    readonly admitsZone: (zone: AvailabilityZoneId) => boolean;
 }
 
 /**
@@ -87,18 +87,18 @@
 export function createServerChoice(options: ServerChoiceOptions): (request: ChoiceRequest) => Choice {
     return function choose(request) {
         const candidates = options.catalog.ofService(request.service).filter(server => mayServe(server, request));
-        const fit = candidates.filter(server => server.standing.unfitness(request.at) === undefined);
+        const fit = candidates.filter(server => server.state.exclusion(request.at) === undefined);
         if (fit.length === 0) {
-            const cold = candidates.some(server => server.standing.unfitness(request.at) === "cold");
+            const cold = candidates.some(server => server.state.exclusion(request.at) === "cold");
             return chooseLastResort(candidates, request) ?? { kind: cold ? "allCold" : "noServer" };
         }
-        const sound = fit.filter(server => !server.standing.isOutlier(request.at));
+        const sound = fit.filter(server => !server.state.isOutlier(request.at));
         const best = bestOf(rank(sound.length < fit.length * leastSoundPart ? fit : sound, request), request);
         return best.least > request.timeLeft ? { kind: "tooLate", expected: best.expected } : best;
     };
 
-    function mayServe(server: CatalogServer, request: ChoiceRequest): boolean {
-        const { region, zone } = server.standing.record();
+    function mayServe(server: BackendServer, request: ChoiceRequest): boolean {
+        const { region, zone } = server.state.record();
         const homes = request.route.homeRegions;
         return !request.tried.has(server.id)
             && options.admitsZone(zone)
@@ -106,15 +106,15 @@
     }
 
     /** When all servers are left out after failures, the one with the least work gets a trial. */
-    function chooseLastResort(candidates: readonly CatalogServer[], request: ChoiceRequest): Choice | undefined {
-        const ejected = candidates.filter(server => server.standing.unfitness(request.at) === "ejected");
-        const idle = ejected.filter(server => server.standing.inFlight() === 0);
+    function chooseLastResort(candidates: readonly BackendServer[], request: ChoiceRequest): Choice | undefined {
+        const ejected = candidates.filter(server => server.state.exclusion(request.at) === "ejected");
+        const idle = ejected.filter(server => server.state.inFlight() === 0);
         return idle.length === 0 ? undefined : bestOf(rank(idle, request), request);
     }
 
-    function rank(servers: readonly CatalogServer[], request: ChoiceRequest): CatalogServer[] {
+    function rank(servers: readonly BackendServer[], request: ChoiceRequest): BackendServer[] {
         const large = request.route.kind === "download";
-        const best: { readonly server: CatalogServer; readonly score: number; }[] = [];
+        const best: { readonly server: BackendServer; readonly score: number; }[] = [];
         for (const server of servers) {
             const score = rendezvousScore(request.keyHash, server.idHash, weightOf(server, large));
             if (best.length === comparedServers && score <= best[comparedServers - 1].score) {
@@ -127,8 +127,8 @@
         return best.map(entry => entry.server);
     }
 
-    function weightOf(server: CatalogServer, large: boolean): number {
-        const { slots, region, zone } = server.standing.record();
+    function weightOf(server: BackendServer, large: boolean): number {
+        const { slots, region, zone } = server.state.record();
         if (region !== options.region) {
             return slots;
         }
@@ -138,22 +138,22 @@
         return slots * (zone === options.zone ? largeAnswerZoneWeight : largeAnswerRegionWeight);
     }
 
-    function bestOf(ranked: readonly CatalogServer[], request: ChoiceRequest) {
+    function bestOf(ranked: readonly BackendServer[], request: ChoiceRequest) {
         const judged = ranked.map((server, index) => judge(server, index, request));
         return judged.reduce((best, next) => next.cost < best.cost ? next : best);
     }
 
-    function judge(server: CatalogServer, index: number, request: ChoiceRequest) {
+    function judge(server: BackendServer, index: number, request: ChoiceRequest) {
         const { route, keyHash, at } = request;
-        const { region, zone, slots } = server.standing.record();
+        const { region, zone, slots } = server.state.record();
         const seen = route.sticky && options.recentKeys.has(server.id, keyHash, at);
         const warm = seen || !route.sticky;
         const warmWork = options.work.expected(route, true);
         const coldWork = options.work.expected(route, false);
         const unseenWork = index === 0 ? warmWork + (coldWork - warmWork) * unseenFirstPart : coldWork;
-        const slowness = server.standing.slowness(at);
+        const slowness = server.state.slowness(at);
         const work = (warm ? warmWork : unseenWork) * slowness;
-        const excess = Math.max(0, server.standing.load(at) + 1 - slots);
+        const excess = Math.max(0, server.state.load(at) + 1 - slots);
         const wait = excess / slots * warmWork * slowness;
         const way = options.roundTrip(region, zone);
         const expected = way + wait + work;
@@ -168,7 +168,7 @@
         };
     }
 
-    function placePenalty(region: RegionId, zone: ZoneId, route: Route): number {
+    function placePenalty(region: RegionId, zone: AvailabilityZoneId, route: Route): number {
         if (route.kind !== "download" || zone === options.zone) {
             return 0;
         }
--- a/packages/steering/src/work-estimate.ts
+++ b/packages/decisions/src/choose/work-estimate.ts
@@ -4,7 +4,7 @@
  */
 
 import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
-import type { Route } from "./configuration.js";
+import type { Route } from "../shared-state/configuration.js";
 
 /** Times at the server, without the way there and back. */
 export interface WorkEstimate {
--- a/packages/gateway/src/refusals.ts
+++ b/packages/decisions/src/give-up/refusals.ts
@@ -1,9 +1,9 @@
 /**
- * The closed list of answers that the gateway gives itself, and the table from
+ * The closed list of answers that a box gives itself, and the table from
  * kind to answer.
  */
 
-/** Every kind of answer of the gateway's own. */
+/** Every kind of answer of the box's own. */
 export type RefusalKind =
     | "notReady"
     | "leaving"
--- /dev/null
+++ b/packages/decisions/src/index.ts
@@ -0,0 +1,25 @@
+/**
+ * Public names of the decisions of a box: no I/O, time and chance passed in.
+ */
+
+export * from "./admit/route-table.js";
+export * from "./admit/weighted-split.js";
+export * from "./choose/recent-keys.js";
+export * from "./choose/rendezvous.js";
+export * from "./choose/round-trips.js";
+export * from "./choose/server-choice.js";
+export * from "./choose/work-estimate.js";
+export * from "./give-up/refusals.js";
+export * from "./membership/membership.js";
+export * from "./place/advertised-boxes.js";
+export * from "./place/directory.js";
+export * from "./place/place-settings.js";
+export * from "./retry/retry-budget.js";
+export * from "./retry/sliding-count.js";
+export * from "./servers/server-catalog.js";
+export * from "./servers/server-record.js";
+export * from "./servers/server-state.js";
+export * from "./servers/slow-start.js";
+export * from "./shared-state/configuration.js";
+export * from "./shared-state/relay-role.js";
+export * from "./shared-state/replica.js";
--- a/packages/steering/src/membership.ts
+++ b/packages/decisions/src/membership/membership.ts
@@ -8,12 +8,12 @@
  */
 
 import {
+    type AvailabilityZoneId,
     type BoxId,
     type IncarnationId,
     type Milliseconds,
     milliseconds,
     type RegionId,
-    type ZoneId,
 } from "@chalkdale/kernel";
 
 /** What boxes say about one box. */
@@ -26,7 +26,7 @@
     /** False until the box can serve callers. */
     readonly ready: boolean;
     readonly region: RegionId;
-    readonly zone: ZoneId;
+    readonly zone: AvailabilityZoneId;
     /** Where other boxes reach it. */
     readonly peerAddress: string;
     /** Where callers reach it. */
--- a/packages/steering/src/carriers.ts
+++ b/packages/decisions/src/place/advertised-boxes.ts
@@ -8,17 +8,17 @@
  */
 
 import { type BoxId, hashText, type RegionId } from "@chalkdale/kernel";
-import type { MemberRecord } from "./membership.js";
+import type { MemberRecord } from "../membership/membership.js";
 
 /** A box with less than this part of the region's greatest capacity counts as weak. */
 const weakBelow = 0.5;
 /** Carriers of a region at least, as far as it has so many boxes. */
-const leastCarriers = 3;
+const leastAdvertised = 3;
 /** Part of their capacity that carriers use at most before weaker boxes join them. */
 const usedCapacity = 0.5;
 
 /** Returns the carriers of one region, the strongest first. `inService` may hold boxes of all regions. */
-export function carriersOfRegion(inService: readonly MemberRecord[], region: RegionId): readonly MemberRecord[] {
+export function advertisedBoxesOfRegion(inService: readonly MemberRecord[], region: RegionId): readonly MemberRecord[] {
     const boxes = inService.filter(record => record.region === region).sort(byCapacity);
     if (boxes.length === 0) {
         return boxes;
@@ -26,16 +26,16 @@
     const load = sum(boxes.map(record => record.load));
     let count = boxes.findIndex(record => record.capacity < boxes[0].capacity * weakBelow);
     count = count < 0 ? boxes.length : count;
-    while (count < boxes.length && (count < leastCarriers || isBusy(boxes.slice(0, count), load))) {
+    while (count < boxes.length && (count < leastAdvertised || isBusy(boxes.slice(0, count), load))) {
         count += 1;
     }
     return boxes.slice(0, count);
 }
 
 /** Returns the carriers of all regions. */
-export function allCarriers(inService: readonly MemberRecord[]): readonly MemberRecord[] {
+export function advertisedBoxes(inService: readonly MemberRecord[]): readonly MemberRecord[] {
     const regions = [...new Set(inService.map(record => record.region))];
-    return regions.flatMap(region => carriersOfRegion(inService, region));
+    return regions.flatMap(region => advertisedBoxesOfRegion(inService, region));
 }
 
 function isBusy(carriers: readonly MemberRecord[], load: number): boolean {
@@ -52,7 +52,7 @@
 }
 
 /** Returns the boxes among which the senders to a cold server of a region are chosen: its own carriers, if it has any. */
-export function coldSenders(carriers: readonly MemberRecord[], region: RegionId): readonly BoxId[] {
+export function slowStartSenders(carriers: readonly MemberRecord[], region: RegionId): readonly BoxId[] {
     const ofRegion = carriers.filter(record => record.region === region);
     return (ofRegion.length > 0 ? ofRegion : carriers).map(record => record.box);
 }
--- a/packages/steering/src/directory.ts
+++ b/packages/decisions/src/place/directory.ts
@@ -3,14 +3,14 @@
  * or those of the other regions if its own has none.
  */
 
-import type { RegionId, ZoneId } from "@chalkdale/kernel";
-import { allCarriers, carriersOfRegion } from "./carriers.js";
-import type { MemberRecord } from "./membership.js";
+import type { AvailabilityZoneId, RegionId } from "@chalkdale/kernel";
+import type { MemberRecord } from "../membership/membership.js";
+import { advertisedBoxes, advertisedBoxesOfRegion } from "./advertised-boxes.js";
 
 /** Where a caller is. */
 export interface CallerPlace {
     readonly region: RegionId | undefined;
-    readonly zone: ZoneId | undefined;
+    readonly zone: AvailabilityZoneId | undefined;
 }
 
 /** Boxes named in one answer at most. */
@@ -18,7 +18,7 @@
 
 /** Returns the addresses for a caller. */
 export function chooseBoxes(inService: readonly MemberRecord[], place: CallerPlace): string[] {
-    const ofRegion = place.region === undefined ? [] : carriersOfRegion(inService, place.region);
-    const chosen = ofRegion.length > 0 ? ofRegion : allCarriers(inService);
+    const ofRegion = place.region === undefined ? [] : advertisedBoxesOfRegion(inService, place.region);
+    const chosen = ofRegion.length > 0 ? ofRegion : advertisedBoxes(inService);
     return chosen.slice(0, mostAddresses).map(record => record.callerAddress);
 }
--- a/packages/steering/src/settings-places.ts
+++ b/packages/decisions/src/place/place-settings.ts
@@ -5,7 +5,7 @@
  * it says otherwise.
  */
 
-import type { RegionId, ZoneId } from "@chalkdale/kernel";
+import type { AvailabilityZoneId, RegionId } from "@chalkdale/kernel";
 
 /** Values that a place may state. */
 export interface PlaceValues {
@@ -17,7 +17,7 @@
 export interface PlaceSettings {
     readonly root: PlaceValues;
     readonly regions: ReadonlyMap<RegionId, Partial<PlaceValues>>;
-    readonly zones: ReadonlyMap<ZoneId, Partial<PlaceValues>>;
+    readonly zones: ReadonlyMap<AvailabilityZoneId, Partial<PlaceValues>>;
 }
 
 /** Settings in which every place admits requests. */
@@ -28,12 +28,12 @@
 };
 
 /** Returns the values in force in a zone. */
-export function resolvePlace(settings: PlaceSettings, region: RegionId, zone: ZoneId): PlaceValues {
+export function resolvePlace(settings: PlaceSettings, region: RegionId, zone: AvailabilityZoneId): PlaceValues {
     return { ...settings.root, ...settings.regions.get(region), ...settings.zones.get(zone) };
 }
 
 /** Returns settings in which the given zones admit nothing and all else is inherited. */
-export function closeZones(settings: PlaceSettings, zones: Iterable<ZoneId>): PlaceSettings {
+export function closeZones(settings: PlaceSettings, zones: Iterable<AvailabilityZoneId>): PlaceSettings {
     const closed = new Map([...zones].map(zone => [zone, { admitsRequests: false }] as const));
     return { ...settings, zones: closed };
 }
--- a/packages/steering/src/repeat-budget.ts
+++ b/packages/decisions/src/retry/retry-budget.ts
@@ -10,7 +10,7 @@
 import type { Milliseconds } from "@chalkdale/kernel";
 import { createSlidingCount } from "./sliding-count.js";
 
-export interface RepeatBudgetOptions {
+export interface RetryBudgetOptions {
     /** Repeats allowed for each request, from 0 to 1. */
     readonly ratio: number;
     readonly window: Milliseconds;
@@ -21,7 +21,7 @@
 }
 
 /** The part of one service's budget that a box has. */
-export interface RepeatBudget {
+export interface RetryBudget {
     /** Notes a request for the service. */
     readonly onRequest: (at: Milliseconds) => void;
     /** Takes one repeat; false when none is left. */
@@ -33,7 +33,7 @@
 const usedShareOfAllowance = 0.6;
 
 /** Creates the budget of one service. */
-export function createRepeatBudget(options: RepeatBudgetOptions): RepeatBudget {
+export function createRetryBudget(options: RetryBudgetOptions): RetryBudget {
     const requests = createSlidingCount(options.window);
     const repeats = createSlidingCount(options.window);
 
--- a/packages/steering/src/server-catalog.ts
+++ b/packages/decisions/src/servers/server-catalog.ts
@@ -1,34 +1,34 @@
 /**
- * All backend servers that discovery lists, with the standing of each.
+ * All backend servers that discovery lists, with the state of each.
  */
 
-import { hashText, type Milliseconds, milliseconds, type ServerId, type ServiceId } from "@chalkdale/kernel";
-import type { ServerRecord } from "./server-record.js";
-import type { ServerStanding } from "./server-standing.js";
+import { type BackendServerId, hashText, type Milliseconds, milliseconds, type ServiceId } from "@chalkdale/kernel";
+import type { BackendServerRecord } from "./server-record.js";
+import type { ServerState } from "./server-state.js";
 
 /** A listed server with what is computed once for it. */
-export interface CatalogServer {
-    readonly id: ServerId;
+export interface BackendServer {
+    readonly id: BackendServerId;
     readonly idHash: number;
-    readonly standing: ServerStanding;
+    readonly state: ServerState;
 }
 
 /** What a change of the list did. */
 interface CatalogChange {
-    readonly added: readonly ServerRecord[];
-    readonly removed: readonly ServerId[];
-    readonly startedDraining: readonly ServerId[];
+    readonly added: readonly BackendServerRecord[];
+    readonly removed: readonly BackendServerId[];
+    readonly startedDraining: readonly BackendServerId[];
 }
 
 /** The servers by id and by service. */
 export interface ServerCatalog {
     /** Takes the whole list as discovery has it now. */
-    readonly applyList: (records: readonly ServerRecord[], at: Milliseconds) => CatalogChange;
-    readonly ofService: (service: ServiceId) => readonly CatalogServer[];
-    readonly get: (id: ServerId) => CatalogServer | undefined;
-    readonly all: () => Iterable<CatalogServer>;
+    readonly applyList: (records: readonly BackendServerRecord[], at: Milliseconds) => CatalogChange;
+    readonly ofService: (service: ServiceId) => readonly BackendServer[];
+    readonly get: (id: BackendServerId) => BackendServer | undefined;
+    readonly all: () => Iterable<BackendServer>;
     /** Forgets servers that were unlisted long ago and are idle. */
-    readonly sweep: (at: Milliseconds) => readonly ServerId[];
+    readonly sweep: (at: Milliseconds) => readonly BackendServerId[];
 }
 
 /** Time for which an unlisted server is remembered, in case its record comes back. */
@@ -36,11 +36,11 @@
 
 /** Creates an empty catalog. */
 export function createServerCatalog(
-    createStanding: (record: ServerRecord, at: Milliseconds) => ServerStanding,
+    createStanding: (record: BackendServerRecord, at: Milliseconds) => ServerState,
 ): ServerCatalog {
-    const servers = new Map<ServerId, CatalogServer>();
-    const unlistedAt = new Map<ServerId, Milliseconds>();
-    let byService = new Map<ServiceId, CatalogServer[]>();
+    const servers = new Map<BackendServerId, BackendServer>();
+    const unlistedAt = new Map<BackendServerId, Milliseconds>();
+    let byService = new Map<ServiceId, BackendServer[]>();
 
     return {
         applyList,
@@ -48,9 +48,9 @@
         get: id => servers.get(id),
         all: () => servers.values(),
         sweep(at) {
-            const forgotten: ServerId[] = [];
+            const forgotten: BackendServerId[] = [];
             for (const [id, since] of unlistedAt) {
-                if (at - since > unlistedLifetime && servers.get(id)?.standing.inFlight() === 0) {
+                if (at - since > unlistedLifetime && servers.get(id)?.state.inFlight() === 0) {
                     servers.delete(id);
                     unlistedAt.delete(id);
                     forgotten.push(id);
@@ -63,28 +63,28 @@
         },
     };
 
-    function applyList(records: readonly ServerRecord[], at: Milliseconds): CatalogChange {
-        const added: ServerRecord[] = [];
-        const startedDraining: ServerId[] = [];
+    function applyList(records: readonly BackendServerRecord[], at: Milliseconds): CatalogChange {
+        const added: BackendServerRecord[] = [];
+        const startedDraining: BackendServerId[] = [];
         const listed = new Set(records.map(record => record.id));
         for (const record of records) {
             const known = servers.get(record.id);
             if (known === undefined) {
                 added.push(record);
-                const standing = createStanding(record, at);
-                servers.set(record.id, { id: record.id, idHash: hashText(record.id), standing });
+                const state = createStanding(record, at);
+                servers.set(record.id, { id: record.id, idHash: hashText(record.id), state });
                 continue;
             }
-            if (record.draining && !known.standing.record().draining) {
+            if (record.draining && !known.state.record().draining) {
                 startedDraining.push(record.id);
             }
-            known.standing.applyRecord(record, at);
+            known.state.applyRecord(record, at);
             unlistedAt.delete(record.id);
         }
         const removed = [...servers.keys()].filter(id => !listed.has(id) && !unlistedAt.has(id));
         for (const id of removed) {
             unlistedAt.set(id, at);
-            servers.get(id)?.standing.onUnlisted(at);
+            servers.get(id)?.state.onUnlisted(at);
         }
         index();
         return { added, removed, startedDraining };
@@ -93,7 +93,7 @@
     function index(): void {
         byService = new Map();
         for (const server of servers.values()) {
-            const { service } = server.standing.record();
+            const { service } = server.state.record();
             const list = byService.get(service) ?? [];
             list.push(server);
             byService.set(service, list);
--- a/packages/steering/src/server-record.ts
+++ b/packages/decisions/src/servers/server-record.ts
@@ -2,15 +2,15 @@
  * What discovery says about one backend server.
  */
 
-import type { Milliseconds, RegionId, ServerId, ServiceId, ZoneId } from "@chalkdale/kernel";
+import type { AvailabilityZoneId, BackendServerId, Milliseconds, RegionId, ServiceId } from "@chalkdale/kernel";
 
 /** One backend server as it was recorded. An id stands for one life of a server. */
-export interface ServerRecord {
-    readonly id: ServerId;
+export interface BackendServerRecord {
+    readonly id: BackendServerId;
     readonly service: ServiceId;
     /** Host and port, for instance `192.0.2.7:8080`. */
     readonly address: string;
-    readonly zone: ZoneId;
+    readonly zone: AvailabilityZoneId;
     readonly region: RegionId;
     /** Requests that the server works on at once. */
     readonly slots: number;
--- a/packages/steering/src/server-standing.ts
+++ b/packages/decisions/src/servers/server-state.ts
@@ -5,8 +5,8 @@
  */
 
 import { type Milliseconds } from "@chalkdale/kernel";
-import type { ColdAdmission } from "./cold-admission.js";
-import type { ServerRecord } from "./server-record.js";
+import type { BackendServerRecord } from "./server-record.js";
+import type { SlowStart } from "./slow-start.js";
 
 /** Load that a server told in an answer. */
 export interface LoadReport {
@@ -16,13 +16,13 @@
 }
 
 /** Why a server may not take a request now. */
-type Unfitness = "draining" | "replaced" | "unlisted" | "ejected" | "cold";
+type ExclusionReason = "draining" | "replaced" | "unlisted" | "ejected" | "cold";
 
 /** State of one server as this box sees it. */
-export interface ServerStanding {
-    readonly record: () => ServerRecord;
+export interface ServerState {
+    readonly record: () => BackendServerRecord;
     /** Takes a newer record of the same server. */
-    readonly applyRecord: (record: ServerRecord, at: Milliseconds) => void;
+    readonly applyRecord: (record: BackendServerRecord, at: Milliseconds) => void;
     /** Discovery no longer lists the server. */
     readonly onUnlisted: (at: Milliseconds) => void;
     readonly onSent: (at: Milliseconds) => void;
@@ -42,7 +42,7 @@
     readonly onReplaced: () => void;
     /** The server tells that it stays cold for so long. */
     readonly onCold: (at: Milliseconds, duration: Milliseconds) => void;
-    readonly unfitness: (at: Milliseconds) => Unfitness | undefined;
+    readonly exclusion: (at: Milliseconds) => ExclusionReason | undefined;
     readonly isCold: (at: Milliseconds) => boolean;
     /** Requests at the server, running and waiting, as far as this box can tell. */
     readonly load: (at: Milliseconds) => number;
@@ -53,8 +53,8 @@
     readonly inFlight: () => number;
     readonly lastAnswerAt: () => Milliseconds | undefined;
     /** When a health check is due, or undefined if none is wanted. */
-    readonly probeDueAt: () => Milliseconds | undefined;
-    readonly onProbed: (at: Milliseconds, healthy: boolean) => void;
+    readonly healthCheckDueAt: () => Milliseconds | undefined;
+    readonly onHealthCheck: (at: Milliseconds, healthy: boolean) => void;
 }
 
 /** `unreachable`: no connection; `brokeOff`: a connection ended or spoiled an answer. */
@@ -79,18 +79,18 @@
 const leastRatio = 0.25;
 const greatestRatio = 20;
 
-export interface ServerStandingOptions {
-    readonly cold: ColdAdmission;
+export interface ServerStateOptions {
+    readonly cold: SlowStart;
     /** Added to the time that a record says a server stays cold, for the record's way here. */
     readonly coldMargin: Milliseconds;
 }
 
-/** Creates the standing of a newly listed server. */
-export function createServerStanding(
-    first: ServerRecord,
+/** Creates the state of a newly listed server. */
+export function createServerState(
+    first: BackendServerRecord,
     at: Milliseconds,
-    options: ServerStandingOptions,
-): ServerStanding {
+    options: ServerStateOptions,
+): ServerState {
     let record = first;
     let unlisted = false;
     let replaced = false;
@@ -105,10 +105,10 @@
     let failures = 0;
     let ejection = firstEjection;
     let ejected = false;
-    let probeAt: number | undefined;
+    let healthCheckAt: number | undefined;
     let lastAnswerAt: Milliseconds | undefined;
 
-    const standing: ServerStanding = {
+    const state: ServerState = {
         record: () => record,
         applyRecord(next, now) {
             if (next.coldFor > 0 && (next.coldFor !== record.coldFor || unlisted)) {
@@ -122,7 +122,7 @@
         },
         onSent(now) {
             inFlight += 1;
-            if (standing.isCold(now)) {
+            if (state.isCold(now)) {
                 options.cold.onSent(now);
             }
         },
@@ -134,12 +134,12 @@
         },
         onAnswerTime(now, ratio) {
             const bounded = Math.min(greatestRatio, Math.max(leastRatio, ratio));
-            slow = standing.slowness(now) * (1 - slownessSmoothing) + bounded * slownessSmoothing;
+            slow = state.slowness(now) * (1 - slownessSmoothing) + bounded * slownessSmoothing;
             slowAt = now;
         },
         onFailure(now, severity) {
             failures += 1;
-            standing.onResult(now, false);
+            state.onResult(now, false);
             if (severity === "unreachable" || failures >= failuresBeforeEjection) {
                 eject(now);
             }
@@ -154,7 +154,7 @@
         onHealthy(now) {
             failures = 0;
             ejected = false;
-            probeAt = undefined;
+            healthCheckAt = undefined;
             ejection = firstEjection;
             lastAnswerAt = now;
         },
@@ -164,7 +164,7 @@
         onCold(now, duration) {
             coldUntil = Math.max(coldUntil, now + duration);
         },
-        unfitness(now) {
+        exclusion(now) {
             if (replaced) {
                 return "replaced";
             }
@@ -177,7 +177,7 @@
             if (ejected) {
                 return "ejected";
             }
-            return standing.isCold(now) && !options.cold.allows(now) ? "cold" : undefined;
+            return state.isCold(now) && !options.cold.allows(now) ? "cold" : undefined;
         },
         isCold: now => now < coldUntil,
         load: estimateLoad,
@@ -187,31 +187,31 @@
         isOutlier: now => currentFailureShare(now) > outlierFailureShare,
         inFlight: () => inFlight,
         lastAnswerAt: () => lastAnswerAt,
-        probeDueAt: () => replaced || unlisted ? undefined : probeAt as Milliseconds | undefined,
-        onProbed(now, healthy) {
+        healthCheckDueAt: () => replaced || unlisted ? undefined : healthCheckAt as Milliseconds | undefined,
+        onHealthCheck(now, healthy) {
             if (healthy) {
-                standing.onHealthy(now);
+                state.onHealthy(now);
                 return;
             }
             eject(now);
         },
     };
-    return standing;
+    return state;
 
     function currentFailureShare(now: Milliseconds): number {
         return failureShare * 0.5 ** ((now - failureShareAt) / failureHalfLife);
     }
 
-    function coldEnd(told: ServerRecord, now: Milliseconds): number {
+    function coldEnd(told: BackendServerRecord, now: Milliseconds): number {
         return told.coldFor > 0 ? now + told.coldFor + options.coldMargin : 0;
     }
 
     function eject(now: Milliseconds): void {
-        if (ejected && probeAt !== undefined && now < probeAt) {
+        if (ejected && healthCheckAt !== undefined && now < healthCheckAt) {
             return;
         }
         ejected = true;
-        probeAt = now + ejection;
+        healthCheckAt = now + ejection;
         ejection = Math.min(longestEjection, ejection * 2);
     }
 
--- a/packages/steering/src/cold-admission.ts
+++ b/packages/decisions/src/servers/slow-start.ts
@@ -6,8 +6,8 @@
  * any second all boxes together send at most the rate plus one a box.
  */
 
-import { type BoxId, hashText, type Milliseconds, type ServerId } from "@chalkdale/kernel";
-import { rendezvousScore } from "./rendezvous.js";
+import { type BackendServerId, type BoxId, hashText, type Milliseconds } from "@chalkdale/kernel";
+import { rendezvousScore } from "../choose/rendezvous.js";
 
 /** Boxes that may send to one cold server. */
 const mostSenders = 4;
@@ -16,15 +16,15 @@
 const second = 1000;
 
 /** Admission of one box to one cold server. */
-export interface ColdAdmission {
+export interface SlowStart {
     /** True if a request may be sent now; it doesn't count as sent. */
     readonly allows: (at: Milliseconds) => boolean;
     readonly onSent: (at: Milliseconds) => void;
 }
 
-export interface ColdAdmissionOptions {
+export interface SlowStartOptions {
     readonly self: BoxId;
-    readonly server: ServerId;
+    readonly server: BackendServerId;
     /** Boxes among which the senders are chosen; one that is not among them sends nothing. */
     readonly boxes: () => readonly BoxId[];
     /** Requests a second that the server bears from all boxes. */
@@ -32,7 +32,7 @@
 }
 
 /** Creates the admission; nothing is saved up at first. */
-export function createColdAdmission(options: ColdAdmissionOptions): ColdAdmission {
+export function createSlowStart(options: SlowStartOptions): SlowStart {
     const serverHash = hashText(options.server);
     let nextAt: number | undefined;
 
--- a/packages/steering/src/configuration.ts
+++ b/packages/decisions/src/shared-state/configuration.ts
@@ -69,6 +69,6 @@
 }
 
 /** True for routes whose requests may run more than once. */
-export function isRepeatable(route: Route): boolean {
+export function isIdempotent(route: Route): boolean {
     return route.kind !== "unsafe";
 }
--- a/packages/steering/src/store-watch-duty.ts
+++ b/packages/decisions/src/shared-state/relay-role.ts
@@ -12,7 +12,7 @@
  */
 
 import { type BoxId, hashText, type Milliseconds, milliseconds, type RegionId } from "@chalkdale/kernel";
-import type { MemberRecord } from "./membership.js";
+import type { MemberRecord } from "../membership/membership.js";
 
 /** Regions with fewer boxes have no relay: each box follows the store. */
 const leastRelayedBoxes = 6;
@@ -24,18 +24,18 @@
 const highestRank = 3;
 
 /** The part of one box in following the store. */
-export interface StoreWatchDuty {
+export interface RelayRole {
     /** True if the region has a relay, this box or another. */
     readonly isRelayed: () => boolean;
     /** True if this box is the relay of its region, or the region has none. */
-    readonly isAlwaysDue: () => boolean;
+    readonly alwaysFollows: () => boolean;
     /** Age of a copy from which this box follows the store itself; 0 for a box that always does. */
-    readonly dueAge: () => Milliseconds;
+    readonly followAfterAge: () => Milliseconds;
     /** How long a watch may wait without a change, or undefined if nobody depends on this box. */
     readonly watchWait: () => Milliseconds | undefined;
 }
 
-export interface StoreWatchDutyOptions {
+export interface RelayRoleOptions {
     readonly self: BoxId;
     readonly region: RegionId;
     /** Boxes that run, this one included; read at each use. */
@@ -45,18 +45,18 @@
 }
 
 /** Creates the duty of one box. */
-export function createStoreWatchDuty(options: StoreWatchDutyOptions): StoreWatchDuty {
+export function createRelayRole(options: RelayRoleOptions): RelayRole {
     const { changeBound } = options;
 
     return {
         isRelayed: () => peersOfRegion().length >= leastRelayedBoxes,
-        isAlwaysDue: () => dueAge() === 0,
-        dueAge,
+        alwaysFollows: () => followAfterAge() === 0,
+        followAfterAge,
         watchWait: () =>
             peersOfRegion().length >= leastRelayedBoxes ? milliseconds(changeBound * watchPart) : undefined,
     };
 
-    function dueAge(): Milliseconds {
+    function followAfterAge(): Milliseconds {
         const ranked = peersOfRegion().sort(byPreference);
         const rank = ranked.findIndex(record => record.box === options.self);
         if (ranked.length < leastRelayedBoxes || rank <= 0) {
--- a/packages/steering/test/budgets.test.ts
+++ b/packages/decisions/test/budgets.test.ts
@@ -1,6 +1,6 @@
-import { boxId, milliseconds, serverId, serviceId } from "@chalkdale/kernel";
+import { backendServerId, boxId, milliseconds, serviceId } from "@chalkdale/kernel";
 import { expect } from "chai";
-import { createColdAdmission, createRepeatBudget, createSlidingCount, createWeightedRotation } from "../src/index.js";
+import { createRetryBudget, createSlidingCount, createSlowStart, createWeightedSplit } from "../src/index.js";
 
 describe("repeat budget [P11]", () => {
     it("keeps all boxes together within ratio and allowance in every window", () => {
@@ -8,7 +8,7 @@
         const boxes = Array.from(
             { length: boxCount },
             () =>
-                createRepeatBudget({
+                createRetryBudget({
                     ratio: 0.2,
                     window: milliseconds(10_000),
                     allowance: 58,
@@ -36,7 +36,7 @@
     it("keeps all boxes together within the rate and one request for each sender", () => {
         const names = Array.from({ length: 80 }, (_, index) => boxId(`box-${index}`));
         const admissions = names.map(self =>
-            createColdAdmission({ self, server: serverId("s-1"), boxes: () => names, rate: () => 14 })
+            createSlowStart({ self, server: backendServerId("s-1"), boxes: () => names, rate: () => 14 })
         );
         const sent: number[] = [];
         for (let time = 0; time < 3000; time += 5) {
@@ -58,7 +58,7 @@
         const senders = ["a", "b", "c"].map(name => boxId(name));
         const others = Array.from({ length: 20 }, (_, index) => boxId(`box-${index}`));
         const admissions = others.map(self =>
-            createColdAdmission({ self, server: serverId("s-1"), boxes: () => senders, rate: () => 14 })
+            createSlowStart({ self, server: backendServerId("s-1"), boxes: () => senders, rate: () => 14 })
         );
         expect(admissions.filter(admission => admission.allows(milliseconds(0)))).to.deep.equal([]);
     });
@@ -77,7 +77,7 @@
 
 describe("weighted rotation", () => {
     it("gives each destination its share to within one request [P20]", () => {
-        const next = createWeightedRotation([
+        const next = createWeightedSplit([
             { service: serviceId("a"), weight: 90 },
             { service: serviceId("b"), weight: 10 },
         ]);
--- a/packages/steering/test/member.ts
+++ b/packages/decisions/test/member.ts
@@ -1,4 +1,4 @@
-import { boxId, incarnationId, regionId, zoneId } from "@chalkdale/kernel";
+import { availabilityZoneId, boxId, incarnationId, regionId } from "@chalkdale/kernel";
 import type { MemberRecord } from "../src/index.js";
 
 /** Returns the record of a box in the north, with changes. */
@@ -10,7 +10,7 @@
         leaving: false,
         ready: true,
         region: regionId("north"),
-        zone: zoneId("north-a"),
+        zone: availabilityZoneId("north-a"),
         peerAddress: `${box}:1`,
         callerAddress: `${box}:2`,
         capacity: 1,
--- a/packages/steering/test/store-watch-duty.test.ts
+++ b/packages/decisions/test/relay-role.test.ts
@@ -1,15 +1,15 @@
 import { boxId, milliseconds, regionId } from "@chalkdale/kernel";
 import { expect } from "chai";
-import { createStoreWatchDuty, type MemberRecord } from "../src/index.js";
+import { createRelayRole, type MemberRecord } from "../src/index.js";
 import { createMember } from "./member.js";
 
 describe("duty to follow the store [P8]", () => {
     const changeBound = milliseconds(3000);
     const names = ["a", "b", "c", "d", "e", "f", "g", "h"];
     const dutyOf = (self: string, alive: readonly MemberRecord[]) =>
-        createStoreWatchDuty({ self: boxId(self), region: regionId("north"), alive: () => alive, changeBound });
+        createRelayRole({ self: boxId(self), region: regionId("north"), alive: () => alive, changeBound });
     const dueAges = (alive: readonly MemberRecord[]) =>
-        alive.map(record => dutyOf(record.box, alive).dueAge() as number);
+        alive.map(record => dutyOf(record.box, alive).followAfterAge() as number);
 
     it("falls to every box of a small region, with watches of the store's own length", () => {
         const alive = names.slice(0, 5).map(name => createMember(name));
@@ -25,9 +25,9 @@
 
     it("falls to the strongest box, and not to one that leaves", () => {
         const alive = names.map(name => createMember(name, { capacity: name === "c" ? 4 : name === "d" ? 3 : 1 }));
-        expect(dutyOf("c", alive).isAlwaysDue()).to.equal(true);
+        expect(dutyOf("c", alive).alwaysFollows()).to.equal(true);
         const leaving = alive.map(record => ({ ...record, leaving: record.box === "c" }));
-        expect(dutyOf("d", leaving).isAlwaysDue()).to.equal(true);
+        expect(dutyOf("d", leaving).alwaysFollows()).to.equal(true);
     });
 
     it("leaves every box the time to ask the store itself within the bound on changes", () => {
--- a/packages/steering/test/server-choice.test.ts
+++ b/packages/decisions/test/server-choice.test.ts
@@ -1,17 +1,17 @@
-import { hashText, milliseconds, regionId, serverId, serviceId, zoneId } from "@chalkdale/kernel";
+import { availabilityZoneId, backendServerId, hashText, milliseconds, regionId, serviceId } from "@chalkdale/kernel";
 import { boxId } from "@chalkdale/kernel";
 import { expect } from "chai";
 import {
+    type BackendServerRecord,
     type ChoiceRequest,
-    createColdAdmission,
     createRecentKeys,
     createServerCatalog,
     createServerChoice,
-    createServerStanding,
+    createServerState,
+    createSlowStart,
     createWorkEstimate,
     hashKey,
     type Route,
-    type ServerRecord,
 } from "../src/index.js";
 
 const service = serviceId("profiles");
@@ -34,12 +34,12 @@
     };
 }
 
-function createRecord(name: string, changes: Partial<ServerRecord> = {}): ServerRecord {
+function createRecord(name: string, changes: Partial<BackendServerRecord> = {}): BackendServerRecord {
     return {
-        id: serverId(name),
+        id: backendServerId(name),
         service,
         address: `192.0.2.${name.length}:80`,
-        zone: zoneId("north-a"),
+        zone: availabilityZoneId("north-a"),
         region: regionId("north"),
         slots: 4,
         draining: false,
@@ -49,11 +49,11 @@
     };
 }
 
-function createSetup(records: readonly ServerRecord[], closedZones: readonly string[] = []) {
+function createSetup(records: readonly BackendServerRecord[], closedZones: readonly string[] = []) {
     const catalog = createServerCatalog((record, now) =>
-        createServerStanding(record, now, {
+        createServerState(record, now, {
             coldMargin: milliseconds(0),
-            cold: createColdAdmission({
+            cold: createSlowStart({
                 self: boxId("box-1"),
                 server: record.id,
                 boxes: () => [boxId("box-1")],
@@ -66,7 +66,7 @@
     const work = createWorkEstimate();
     const choose = createServerChoice({
         region: regionId("north"),
-        zone: zoneId("north-a"),
+        zone: availabilityZoneId("north-a"),
         catalog,
         recentKeys,
         work,
@@ -105,7 +105,7 @@
             for (let key = 0; key < 200; key++) {
                 const keyHash = hashText(`key-${key}`);
                 const was = before.chosen({ keyHash });
-                if (was !== serverId("s-1")) {
+                if (was !== backendServerId("s-1")) {
                     expect(after.chosen({ keyHash })).to.equal(was);
                 }
             }
@@ -115,7 +115,7 @@
             const { chosen } = createSetup([createRecord("s-1", { slots: 9 }), createRecord("s-2", { slots: 3 })]);
             let first = 0;
             for (let key = 0; key < 1000; key++) {
-                first += chosen({ keyHash: hashText(`key-${key}`) }) === serverId("s-1") ? 1 : 0;
+                first += chosen({ keyHash: hashText(`key-${key}`) }) === backendServerId("s-1") ? 1 : 0;
             }
             expect(first).to.be.within(690, 810);
         });
@@ -123,16 +123,16 @@
         it("leaves a server whose wait costs more than cold work elsewhere [P2]", () => {
             const { catalog, chosen } = createSetup(fourServers);
             const first = chosen();
-            const { standing } = catalog.get(serverId(String(first)))!;
-            Array.from({ length: 24 }, () => standing.onSent(at));
+            const { state } = catalog.get(backendServerId(String(first)))!;
+            Array.from({ length: 24 }, () => state.onSent(at));
             expect(chosen()).not.to.equal(first);
         });
 
         it("leaves a slow server, and comes back when its slowness is forgotten", () => {
             const { catalog, chosen } = createSetup(fourServers);
             const first = chosen();
-            const { standing } = catalog.get(serverId(String(first)))!;
-            Array.from({ length: 8 }, () => standing.onAnswerTime(at, 10));
+            const { state } = catalog.get(backendServerId(String(first)))!;
+            Array.from({ length: 8 }, () => state.onAnswerTime(at, 10));
             expect(chosen()).not.to.equal(first);
             expect(chosen({ at: milliseconds(at + 60_000) })).to.equal(first);
         });
@@ -140,10 +140,10 @@
 
     describe("outliers", () => {
         const fail = (setup: ReturnType<typeof createSetup>, server: string, times: number) => {
-            const { standing } = setup.catalog.get(serverId(server))!;
+            const { state } = setup.catalog.get(backendServerId(server))!;
             for (let count = 0; count < times; count++) {
-                standing.onHealthy(at);
-                standing.onResult(at, false);
+                state.onHealthy(at);
+                state.onResult(at, false);
             }
         };
 
@@ -178,7 +178,7 @@
             for (let load = 0; load < 40; load++) {
                 const server = setup.chosen();
                 seen.add(server);
-                setup.catalog.get(serverId(String(server)))!.standing.onSent(at);
+                setup.catalog.get(backendServerId(String(server)))!.state.onSent(at);
             }
             expect(seen.size).to.equal(2);
         });
@@ -188,24 +188,24 @@
         it("leaves out draining, unlisted, replaced and tried servers [P6]", () => {
             const records = [createRecord("s-1", { draining: true }), ...fourServers.slice(1)];
             const { catalog, chosen } = createSetup(records);
-            catalog.get(serverId("s-2"))!.standing.onReplaced();
-            catalog.applyList(records.filter(record => record.id !== serverId("s-3")), at);
+            catalog.get(backendServerId("s-2"))!.state.onReplaced();
+            catalog.applyList(records.filter(record => record.id !== backendServerId("s-3")), at);
             for (let key = 0; key < 50; key++) {
-                expect(chosen({ keyHash: hashText(`key-${key}`) })).to.equal(serverId("s-4"));
+                expect(chosen({ keyHash: hashText(`key-${key}`) })).to.equal(backendServerId("s-4"));
             }
-            expect(chosen({ tried: new Set([serverId("s-4")]) })).to.equal("noServer");
+            expect(chosen({ tried: new Set([backendServerId("s-4")]) })).to.equal("noServer");
         });
 
         it("leaves out closed zones and regions that are no home of the route [P15] [P16]", () => {
             const records = [
                 createRecord("s-1"),
-                createRecord("s-2", { zone: zoneId("north-b") }),
-                createRecord("s-3", { zone: zoneId("south-a"), region: regionId("south") }),
+                createRecord("s-2", { zone: availabilityZoneId("north-b") }),
+                createRecord("s-3", { zone: availabilityZoneId("south-a"), region: regionId("south") }),
             ];
             const { chosen } = createSetup(records, ["north-a"]);
             const route = createRoute({ homeRegions: [regionId("north")] });
             for (let key = 0; key < 50; key++) {
-                expect(chosen({ route, keyHash: hashText(`key-${key}`) })).to.equal(serverId("s-2"));
+                expect(chosen({ route, keyHash: hashText(`key-${key}`) })).to.equal(backendServerId("s-2"));
             }
         });
 
@@ -229,7 +229,7 @@
                 const now = milliseconds(at + time);
                 const choice = choose(request({ at: now, timeLeft: milliseconds(5000) }));
                 if (choice.kind === "chosen") {
-                    catalog.get(choice.server.id)!.standing.onSent(now);
+                    catalog.get(choice.server.id)!.state.onSent(now);
                     sent += 1;
                 }
             }
--- a/packages/kernel/src/ids.ts
+++ b/packages/kernel/src/ids.ts
@@ -9,7 +9,7 @@
 /** Name of a region within a deployment. */
 export type RegionId = Branded<string, "RegionId">;
 /** Name of an availability zone, unique within a deployment. */
-export type ZoneId = Branded<string, "ZoneId">;
+export type AvailabilityZoneId = Branded<string, "ZoneId">;
 /** Name of a service that backend servers offer. */
 export type ServiceId = Branded<string, "ServiceId">;
 /** Name of an entry box. A replacement may carry the same name. */
@@ -17,7 +17,7 @@
 /** One life of a process on a box; a restart draws a new one. */
 export type IncarnationId = Branded<string, "IncarnationId">;
 /** Name of a backend server. */
-export type ServerId = Branded<string, "ServerId">;
+export type BackendServerId = Branded<string, "ServerId">;
 /** Version of an object at the platform; only ever goes up. */
 export type ObjectVersion = Branded<number, "ObjectVersion">;
 /** A duration, or a point on the monotonic clock, in milliseconds. */
@@ -26,7 +26,7 @@
 /** Takes a text as a region's name. */
 export const regionId = (text: string) => text as RegionId;
 /** Takes a text as an availability zone's name. */
-export const zoneId = (text: string) => text as ZoneId;
+export const availabilityZoneId = (text: string) => text as AvailabilityZoneId;
 /** Takes a text as a service's name. */
 export const serviceId = (text: string) => text as ServiceId;
 /** Takes a text as an entry box's name. */
@@ -34,7 +34,7 @@
 /** Takes a text as an incarnation. */
 export const incarnationId = (text: string) => text as IncarnationId;
 /** Takes a text as a backend server's name. */
-export const serverId = (text: string) => text as ServerId;
+export const backendServerId = (text: string) => text as BackendServerId;
 /** Takes a whole number as an object's version. */
 export const objectVersion = (value: number) => value as ObjectVersion;
 /** Takes a number as milliseconds. */
--- a/packages/testing/src/demo/main.ts
+++ b/packages/testing/src/demo/main.ts
@@ -12,8 +12,8 @@
 import { startCallers } from "../soak/callers.js";
 import { findBreaches, type Interval } from "../soak/checks.js";
 import { createSoakWorld, host, inForceWithin, type SoakWorld } from "../soak/soak-world.js";
-import { sendRequest } from "../users-platform/client.js";
-import { pause } from "../users-platform/deployment.js";
+import { sendRequest } from "../standins/client.js";
+import { pause } from "../standins/deployment.js";
 
 const seed = 1;
 const boxes = 6;
--- a/packages/testing/src/emulator/day.ts
+++ b/packages/testing/src/emulator/day.ts
@@ -2,20 +2,20 @@
  * A day in the emulator: places, boxes, servers, callers in waves, troubles.
  */
 
+import type { BackendServerRecord, Route, RouteKind } from "@chalkdale/decisions";
 import {
+    type AvailabilityZoneId,
+    availabilityZoneId,
+    backendServerId,
     boxId,
     createSeededRandom,
     type Milliseconds,
     milliseconds,
     type RandomSource,
     regionId,
-    serverId,
     type ServiceId,
     serviceId,
-    type ZoneId,
-    zoneId,
 } from "@chalkdale/kernel";
-import type { Route, RouteKind, ServerRecord } from "@chalkdale/steering";
 import { createEmulatedBox, type EmulatedBox } from "./emulated-box.js";
 import { createEmulatedServer, type EmulatedServer } from "./emulated-server.js";
 import { createEventQueue } from "./event-queue.js";
@@ -151,12 +151,12 @@
         return created;
     }
 
-    function createRecord(service: EmulatedService, zone: string, index: number): ServerRecord {
+    function createRecord(service: EmulatedService, zone: string, index: number): BackendServerRecord {
         return {
-            id: serverId(`${service.name}-${zone}-${index}`),
+            id: backendServerId(`${service.name}-${zone}-${index}`),
             service: serviceId(service.name),
             address: "192.0.2.1:80",
-            zone: zoneId(zone),
+            zone: availabilityZoneId(zone),
             region: regionId(deployment.zones[zone]),
             slots: service.slots,
             draining: false,
@@ -173,7 +173,7 @@
         return places.map(({ id, zone }) =>
             createEmulatedBox({
                 id,
-                zone: zoneId(zone),
+                zone: availabilityZoneId(zone),
                 region: regionId(deployment.zones[zone]),
                 boxes: ids,
                 policy: options.policy,
@@ -256,7 +256,7 @@
                 partOf(trouble.share).forEach(server => server.setSlowness(trouble.factor));
                 return;
             case "closedZone":
-                setClosedZones(new Set([zoneId(trouble.zone)]));
+                setClosedZones(new Set([availabilityZoneId(trouble.zone)]));
                 return;
             case "lostServers":
                 partOf(trouble.share).forEach(server => gone.add(server.id));
@@ -274,7 +274,7 @@
         burst = trouble.kind === "burst" ? 1 : burst;
     }
 
-    function setClosedZones(closed: ReadonlySet<ZoneId>): void {
+    function setClosedZones(closed: ReadonlySet<AvailabilityZoneId>): void {
         boxes.forEach(box => box.closeZones(closed));
     }
 
--- a/packages/testing/src/emulator/emulated-box.ts
+++ b/packages/testing/src/emulator/emulated-box.ts
@@ -4,29 +4,29 @@
  */
 
 import {
-    type BoxId,
-    type Milliseconds,
-    milliseconds,
-    type RandomSource,
-    type RegionId,
-    type ServerId,
-    type ServiceId,
-    type ZoneId,
-} from "@chalkdale/kernel";
-import {
+    type BackendServerRecord,
     type Choice,
     type ChoiceRequest,
-    createColdAdmission,
     createRecentKeys,
-    createRepeatBudget,
+    createRetryBudget,
     createServerCatalog,
-    createServerStanding,
+    createServerState,
+    createSlowStart,
     createWorkEstimate,
     hashKey,
-    type RepeatBudget,
+    type RetryBudget,
     type Route,
-    type ServerRecord,
-} from "@chalkdale/steering";
+} from "@chalkdale/decisions";
+import {
+    type AvailabilityZoneId,
+    type BackendServerId,
+    type BoxId,
+    type Milliseconds,
+    milliseconds,
+    type RandomSource,
+    type RegionId,
+    type ServiceId,
+} from "@chalkdale/kernel";
 import type { EmulatedServer, ServerEnding } from "./emulated-server.js";
 import type { EventQueue } from "./event-queue.js";
 import { createPolicy, type PolicyName } from "./policies.js";
@@ -48,24 +48,24 @@
 export interface EmulatedBox {
     readonly id: BoxId;
     readonly region: RegionId;
-    readonly applyServers: (records: readonly ServerRecord[]) => void;
-    readonly closeZones: (zones: ReadonlySet<ZoneId>) => void;
+    readonly applyServers: (records: readonly BackendServerRecord[]) => void;
+    readonly closeZones: (zones: ReadonlySet<AvailabilityZoneId>) => void;
     readonly serve: (request: EmulatedRequest, done: (ending: RequestEnding) => void) => void;
 }
 
 export interface EmulatedBoxOptions {
     readonly id: BoxId;
     readonly region: RegionId;
-    readonly zone: ZoneId;
+    readonly zone: AvailabilityZoneId;
     readonly boxes: readonly BoxId[];
     readonly policy: PolicyName;
     readonly random: RandomSource;
     readonly events: EventQueue;
-    readonly server: (id: ServerId) => EmulatedServer;
-    readonly roundTrip: (zone: ZoneId) => number;
+    readonly server: (id: BackendServerId) => EmulatedServer;
+    readonly roundTrip: (zone: AvailabilityZoneId) => number;
     readonly coldRate: number;
     /** Told of each arrival at a server, with its number for the request. */
-    readonly onArrival: (server: ServerId, count: number) => void;
+    readonly onArrival: (server: BackendServerId, count: number) => void;
     /** Told of each decision, for sessions that are kept as golden files. */
     readonly onDecision: (line: string) => void;
 }
@@ -74,9 +74,9 @@
 export function createEmulatedBox(options: EmulatedBoxOptions): EmulatedBox {
     const { events } = options;
     const catalog = createServerCatalog((record, at) =>
-        createServerStanding(record, at, {
+        createServerState(record, at, {
             coldMargin: milliseconds(1000),
-            cold: createColdAdmission({
+            cold: createSlowStart({
                 self: options.id,
                 server: record.id,
                 boxes: () => options.boxes,
@@ -86,8 +86,8 @@
     );
     const recentKeys = createRecentKeys();
     const work = createWorkEstimate();
-    const budgets = new Map<ServiceId, RepeatBudget>();
-    let closed: ReadonlySet<ZoneId> = new Set();
+    const budgets = new Map<ServiceId, RetryBudget>();
+    let closed: ReadonlySet<AvailabilityZoneId> = new Set();
     const choose = createPolicy(options.policy, {
         region: options.region,
         zone: options.zone,
@@ -115,7 +115,7 @@
 
     function attempt(
         request: EmulatedRequest,
-        tried: Set<ServerId>,
+        tried: Set<BackendServerId>,
         endsAt: number,
         done: (ending: RequestEnding) => void,
     ): void {
@@ -129,8 +129,8 @@
         options.onDecision(`${options.id} ${request.route.name} ${request.key} to ${server.id} rank ${choice.rank}`);
         tried.add(server.id);
         const sentAt = events.now();
-        const way = options.roundTrip(server.standing.record().zone);
-        server.standing.onSent(sentAt);
+        const way = options.roundTrip(server.state.record().zone);
+        server.state.onSent(sentAt);
         options.onArrival(server.id, tried.size);
         events.after(
             way / 2,
@@ -144,7 +144,11 @@
         );
     }
 
-    function choiceRequest(request: EmulatedRequest, tried: ReadonlySet<ServerId>, endsAt: number): ChoiceRequest {
+    function choiceRequest(
+        request: EmulatedRequest,
+        tried: ReadonlySet<BackendServerId>,
+        endsAt: number,
+    ): ChoiceRequest {
         const at = events.now();
         return {
             route: request.route,
@@ -161,13 +165,13 @@
         choice: Choice & { readonly kind: "chosen"; },
         ending: ServerEnding,
         sentAt: Milliseconds,
-        tried: Set<ServerId>,
+        tried: Set<BackendServerId>,
         endsAt: number,
         done: (ending: RequestEnding) => void,
     ): void {
-        const { standing } = choice.server;
+        const { state } = choice.server;
         const now = events.now();
-        standing.onEnded(now, ending.load);
+        state.onEnded(now, ending.load);
         if (now > endsAt) {
             done("timedOut");
             return;
@@ -177,7 +181,7 @@
             done("answered");
             return;
         }
-        standing.onFull(now);
+        state.onFull(now);
         const mayRepeat = tried.size < request.route.maxAttempts && budgetOf(request.service).tryTake(now);
         if (!mayRepeat) {
             options.onDecision(`${options.id} ${request.route.name} ${request.key} refused full`);
@@ -194,17 +198,17 @@
         sentAt: Milliseconds,
     ): void {
         const { server } = choice;
-        const duration = now - sentAt - options.roundTrip(server.standing.record().zone);
-        server.standing.onHealthy(now);
-        server.standing.onAnswerTime(now, work.onMeasured(request.route, choice.warm, milliseconds(duration)));
+        const duration = now - sentAt - options.roundTrip(server.state.record().zone);
+        server.state.onHealthy(now);
+        server.state.onAnswerTime(now, work.onMeasured(request.route, choice.warm, milliseconds(duration)));
         recentKeys.add(server.id, hashKey(request.service, `${request.route.name} ${request.key}`), now);
     }
 
-    function budgetOf(service: ServiceId): RepeatBudget {
+    function budgetOf(service: ServiceId): RetryBudget {
         let budget = budgets.get(service);
         if (budget === undefined) {
             const boxCount = () => options.boxes.length;
-            budget = createRepeatBudget({ ratio: 0.2, window: milliseconds(10_000), allowance: 58, boxCount });
+            budget = createRetryBudget({ ratio: 0.2, window: milliseconds(10_000), allowance: 58, boxCount });
             budgets.set(service, budget);
         }
         return budget;
--- a/packages/testing/src/emulator/emulated-server.ts
+++ b/packages/testing/src/emulator/emulated-server.ts
@@ -2,8 +2,8 @@
  * A backend server in the emulator: slots, a queue, warm keys, speed.
  */
 
-import type { ServerId } from "@chalkdale/kernel";
-import type { LoadReport, ServerRecord } from "@chalkdale/steering";
+import type { BackendServerRecord, LoadReport } from "@chalkdale/decisions";
+import type { BackendServerId } from "@chalkdale/kernel";
 import type { EventQueue } from "./event-queue.js";
 
 /** How a request at a server ended. */
@@ -13,9 +13,9 @@
 
 /** A server. */
 export interface EmulatedServer {
-    readonly id: ServerId;
-    readonly record: () => ServerRecord;
-    readonly setRecord: (record: ServerRecord) => void;
+    readonly id: BackendServerId;
+    readonly record: () => BackendServerRecord;
+    readonly setRecord: (record: BackendServerRecord) => void;
     /** Works times as long as others. */
     readonly setSlowness: (factor: number) => void;
     /** Takes a request; `done` is told when it ends. `work` is the time with a key that is not known. */
@@ -27,7 +27,7 @@
 }
 
 export interface EmulatedServerOptions {
-    readonly record: ServerRecord;
+    readonly record: BackendServerRecord;
     readonly queueLength: number;
     readonly rememberedKeys: number;
     /** Part of the work that a known key saves. */
--- a/packages/testing/src/emulator/policies.ts
+++ b/packages/testing/src/emulator/policies.ts
@@ -2,15 +2,15 @@
  * Ways to choose a server, to be compared: the product's own and its rivals.
  */
 
-import type { RandomSource } from "@chalkdale/kernel";
 import {
-    type CatalogServer,
+    type BackendServer,
     type Choice,
     type ChoiceRequest,
     createServerChoice,
     rendezvousScore,
     type ServerChoiceOptions,
-} from "@chalkdale/steering";
+} from "@chalkdale/decisions";
+import type { RandomSource } from "@chalkdale/kernel";
 
 /** Names of the policies. */
 export const policyNames = ["affinity", "rendezvous", "two-choices", "candidate-set"] as const;
@@ -41,12 +41,12 @@
 
     function chosen(
         request: ChoiceRequest,
-        choose: (servers: readonly CatalogServer[]) => CatalogServer,
+        choose: (servers: readonly BackendServer[]) => BackendServer,
     ): Choice {
         const servers = options.catalog.ofService(request.service).filter(server =>
             !request.tried.has(server.id)
-            && options.admitsZone(server.standing.record().zone)
-            && server.standing.unfitness(request.at) === undefined
+            && options.admitsZone(server.state.record().zone)
+            && server.state.exclusion(request.at) === undefined
         );
         if (servers.length === 0) {
             return { kind: "noServer" };
@@ -62,29 +62,29 @@
         };
     }
 
-    function score(server: CatalogServer, request: ChoiceRequest): number {
-        return rendezvousScore(request.keyHash, server.idHash, server.standing.record().slots);
+    function score(server: BackendServer, request: ChoiceRequest): number {
+        return rendezvousScore(request.keyHash, server.idHash, server.state.record().slots);
     }
 
-    function pick(servers: readonly CatalogServer[]): CatalogServer {
+    function pick(servers: readonly BackendServer[]): BackendServer {
         return servers[Math.floor(random() * servers.length)];
     }
 
-    function lessLoaded(a: CatalogServer, b: CatalogServer, request: ChoiceRequest): CatalogServer {
+    function lessLoaded(a: BackendServer, b: BackendServer, request: ChoiceRequest): BackendServer {
         return relativeLoad(b, request) < relativeLoad(a, request) ? b : a;
     }
 
     /** The paper's rule: the most idle of the lightly loaded servers, else the least loaded of all. */
-    function mostIdle(servers: readonly CatalogServer[], request: ChoiceRequest): CatalogServer {
+    function mostIdle(servers: readonly BackendServer[], request: ChoiceRequest): BackendServer {
         const light = servers.filter(server => relativeLoad(server, request) < lightLoad);
         return best(light.length > 0 ? light : servers, server => -relativeLoad(server, request));
     }
 
-    function relativeLoad(server: CatalogServer, request: ChoiceRequest): number {
-        return server.standing.load(request.at) / server.standing.record().slots;
+    function relativeLoad(server: BackendServer, request: ChoiceRequest): number {
+        return server.state.load(request.at) / server.state.record().slots;
     }
 }
 
-function best(servers: readonly CatalogServer[], valueOf: (server: CatalogServer) => number): CatalogServer {
+function best(servers: readonly BackendServer[], valueOf: (server: BackendServer) => number): BackendServer {
     return servers.reduce((found, next) => valueOf(next) > valueOf(found) ? next : found);
 }
--- a/packages/testing/src/promises/mechanisms.ts
+++ b/packages/testing/src/promises/mechanisms.ts
@@ -43,10 +43,10 @@
     readonly specs: readonly string[];
 }
 
-const steering = (name: string) => `packages/steering/dist/src/${name}.js`;
-const gateway = (name: string) => `packages/gateway/dist/src/${name}.js`;
-const steeringTest = (name: string) => `packages/steering/dist/test/${name}.test.js`;
-const gatewayTest = (name: string) => `packages/gateway/dist/test/${name}.test.js`;
+const decision = (name: string) => `packages/decisions/dist/src/${name}.js`;
+const box = (name: string) => `packages/box/dist/src/${name}.js`;
+const decisionTest = (name: string) => `packages/decisions/dist/test/${name}.test.js`;
+const boxTest = (name: string) => `packages/box/dist/test/${name}.test.js`;
 const wholeTest = (name: string) => `packages/testing/dist/test/${name}.test.js`;
 
 /** All mechanisms, for each promise one or more. */
@@ -54,39 +54,39 @@
     {
         promise: "P1",
         name: "the place of a key by hashing",
-        file: steering("server-choice"),
+        file: decision("choose/server-choice"),
         find: "rendezvousScore(request.keyHash, server.idHash,",
         replace: "rendezvousScore(request.keyHash, servers.indexOf(server),",
-        specs: [steeringTest("server-choice")],
+        specs: [decisionTest("server-choice")],
     },
     {
         promise: "P2",
         name: "the wait at servers that are full",
-        file: steering("server-choice"),
-        find: "Math.max(0, server.standing.load(at) + 1 - slots)",
+        file: decision("choose/server-choice"),
+        find: "Math.max(0, server.state.load(at) + 1 - slots)",
         replace: "0",
         specs: [wholeTest("emulator")],
     },
     {
         promise: "P2",
         name: "the refusal of what can't be answered in time",
-        file: steering("server-choice"),
+        file: decision("choose/server-choice"),
         find: "best.least > request.timeLeft",
         replace: "false",
-        specs: [steeringTest("server-choice")],
+        specs: [decisionTest("server-choice")],
     },
     {
         promise: "P3",
         name: "the check of the answer's request id",
-        file: gateway("exchange"),
+        file: box("servers/exchange"),
         find: "options.requestId !== undefined && answeredId !== options.requestId",
         replace: "false",
-        specs: [gatewayTest("exchange")],
+        specs: [boxTest("exchange")],
     },
     {
         promise: "P3",
         name: "the missing length of an answer without one",
-        file: gateway("caller-answers"),
+        file: box("requests/caller-answers"),
         find: "if (answer.framed) {",
         replace: "if (true) {",
         specs: [wholeTest("box-requests")],
@@ -94,7 +94,7 @@
     {
         promise: "P4",
         name: "the status that promises nothing for a request that may have run",
-        file: gateway("refusals"),
+        file: decision("give-up/refusals"),
         find: "brokenOff: { status: 502",
         replace: "brokenOff: { status: 503",
         specs: [wholeTest("box-requests")],
@@ -102,40 +102,40 @@
     {
         promise: "P5",
         name: "the end of a request that may not be repeated once it broke",
-        file: gateway("attempt-loop"),
+        file: box("requests/attempt-loop"),
         find:
-            "if (!isRepeatable(active.route)) {\n                        return { kind: \"refusal\", refusal: \"brokenOff\" };",
+            "if (!isIdempotent(active.route)) {\n                        return { kind: \"refusal\", refusal: \"brokenOff\" };",
         replace: "if (false) {\n                        return { kind: \"refusal\", refusal: \"brokenOff\" };",
         specs: [wholeTest("box-requests")],
     },
     {
         promise: "P6",
         name: "draining servers",
-        file: steering("server-standing"),
+        file: decision("servers/server-state"),
         find: "if (record.draining) {",
         replace: "if (false) {",
-        specs: [steeringTest("server-choice")],
+        specs: [decisionTest("server-choice")],
     },
     {
         promise: "P6",
         name: "servers whose record is gone",
-        file: steering("server-standing"),
+        file: decision("servers/server-state"),
         find: "if (unlisted) {",
         replace: "if (false) {",
-        specs: [steeringTest("server-choice")],
+        specs: [decisionTest("server-choice")],
     },
     {
         promise: "P7",
         name: "the wait for answers that are still leaving",
-        file: gateway("caller-connections"),
+        file: box("callers/caller-connections"),
         find: "if (requests === 0) {\n                    socket.end();",
         replace: "if (true) {\n                    socket.destroy();",
-        specs: [gatewayTest("caller-connections")],
+        specs: [boxTest("caller-connections")],
     },
     {
         promise: "P7",
         name: "new work while callers still hold the address",
-        file: gateway("planned-stop"),
+        file: box("planned-stop"),
         find: "await sleep(grace * takeWorkPart, never);",
         replace: "",
         specs: [wholeTest("box-requests")],
@@ -143,15 +143,15 @@
     {
         promise: "P7",
         name: "the servers that are left out while they fail requests",
-        file: steering("server-standing"),
+        file: decision("servers/server-state"),
         find: "isOutlier: now => currentFailureShare(now) > outlierFailureShare",
         replace: "isOutlier: () => false",
-        specs: [steeringTest("server-choice"), wholeTest("box-requests")],
+        specs: [decisionTest("server-choice"), wholeTest("box-requests")],
     },
     {
         promise: "P8",
         name: "the refusal of older versions",
-        file: gateway("shared-state"),
+        file: box("state/shared-state"),
         find: "next.version <= configuration.version",
         replace: "false",
         specs: [wholeTest("box-requests")],
@@ -159,15 +159,15 @@
     {
         promise: "P8",
         name: "the refusal of older snapshots",
-        file: steering("replica"),
+        file: decision("shared-state/replica"),
         find: "if (revision !== undefined && snapshot.revision <= revision) {",
         replace: "if (false) {",
-        specs: [steeringTest("replica")],
+        specs: [decisionTest("replica")],
     },
     {
         promise: "P8",
         name: "what other boxes know",
-        file: gateway("replicator"),
+        file: box("state/replicator"),
         find: "if (told.complete >= 0 && readAt < (status.readAt ?? Infinity)) {",
         replace: "if (false) {",
         specs: [wholeTest("box-state")],
@@ -175,7 +175,7 @@
     {
         promise: "P8",
         name: "the boxes that follow the store when their relay can't",
-        file: steering("store-watch-duty"),
+        file: decision("shared-state/relay-role"),
         find: "return milliseconds(changeBound * (patiencePart + rankPart * Math.min(rank, highestRank)));",
         replace: "return milliseconds(1e9);",
         specs: [wholeTest("box-state")],
@@ -183,7 +183,7 @@
     {
         promise: "P8",
         name: "the changes that a relay passes on, and the copies that it tells of",
-        file: gateway("peer-link"),
+        file: box("peers/peer-link"),
         find: "if (data.length > largestDatagram) {\n            return;",
         replace: "if (true) {\n            return;",
         specs: [wholeTest("box-state")],
@@ -191,7 +191,7 @@
     {
         promise: "P9",
         name: "the path as the caller sent it",
-        file: gateway("attempt"),
+        file: box("requests/attempt"),
         find: "path: request.path,",
         replace: "path: \"/other/\",",
         specs: [wholeTest("box-requests")],
@@ -199,7 +199,7 @@
     {
         promise: "P10",
         name: "503 as long as no configuration is known",
-        file: gateway("request-handler"),
+        file: box("requests/request-handler"),
         find: "refuseCaller(response, \"notReady\");",
         replace: "refuseCaller(response, \"noRoute\");",
         specs: [wholeTest("box-state")],
@@ -207,7 +207,7 @@
     {
         promise: "P11",
         name: "the bound on attempts",
-        file: gateway("attempt-loop"),
+        file: box("requests/attempt-loop"),
         find: "if (active.sent >= active.route.maxAttempts) {",
         replace: "if (false) {",
         specs: [wholeTest("box-requests")],
@@ -215,15 +215,15 @@
     {
         promise: "P11",
         name: "the share of repeats",
-        file: steering("repeat-budget"),
+        file: decision("retry/retry-budget"),
         find: "if (repeats.total(at) + 1 > earned + granted) {",
         replace: "if (false) {",
-        specs: [steeringTest("budgets")],
+        specs: [decisionTest("budgets")],
     },
     {
         promise: "P11",
         name: "the deadline handed on",
-        file: gateway("attempt"),
+        file: box("requests/attempt"),
         find: "String(Math.max(1, Math.floor(request.timeLeft())))",
         replace: "\"999999\"",
         specs: [wholeTest("box-requests")],
@@ -231,7 +231,7 @@
     {
         promise: "P12",
         name: "the end of the work when the caller leaves",
-        file: gateway("request-handler"),
+        file: box("requests/request-handler"),
         find: "response.on(\"close\", () => controller.abort());",
         replace: "",
         specs: [wholeTest("box-requests")],
@@ -239,7 +239,7 @@
     {
         promise: "P13",
         name: "the timer at the route's limit",
-        file: gateway("request-handler"),
+        file: box("requests/request-handler"),
         find: "Math.max(0, active.endsAt - startedAt)",
         replace: "100_000",
         specs: [wholeTest("box-requests")],
@@ -247,39 +247,39 @@
     {
         promise: "P14",
         name: "the rate of a cold server",
-        file: steering("server-standing"),
-        find: "standing.isCold(now) && !options.cold.allows(now)",
+        file: decision("servers/server-state"),
+        find: "state.isCold(now) && !options.cold.allows(now)",
         replace: "false",
-        specs: [steeringTest("server-choice")],
+        specs: [decisionTest("server-choice")],
     },
     {
         promise: "P14",
         name: "the few boxes that may send to a cold server",
-        file: steering("cold-admission"),
+        file: decision("servers/slow-start"),
         find: "return better < senders ?",
         replace: "return true ?",
-        specs: [steeringTest("budgets")],
+        specs: [decisionTest("budgets")],
     },
     {
         promise: "P15",
         name: "the homes of a route",
-        file: steering("server-choice"),
+        file: decision("choose/server-choice"),
         find: "(homes.length === 0 || homes.includes(region))",
         replace: "true",
-        specs: [steeringTest("server-choice")],
+        specs: [decisionTest("server-choice")],
     },
     {
         promise: "P16",
         name: "zones that admit nothing",
-        file: steering("server-choice"),
+        file: decision("choose/server-choice"),
         find: "&& options.admitsZone(zone)",
         replace: "",
-        specs: [steeringTest("server-choice")],
+        specs: [decisionTest("server-choice")],
     },
     {
         promise: "P17",
         name: "the start from another box's copies",
-        file: gateway("replicator"),
+        file: box("state/replicator"),
         find: "if (state.replica(kind).revision() === undefined) {\n            return 0;",
         replace: "if (state.replica(kind).revision() === undefined) {\n            return 1e9;",
         specs: [wholeTest("box-state")],
@@ -287,7 +287,7 @@
     {
         promise: "P18",
         name: "the name of the server that may run a request",
-        file: gateway("attempt"),
+        file: box("requests/attempt"),
         find: "protocol.headers.expectedServer,",
         replace: "\"x-nobody\",",
         specs: [wholeTest("box-requests")],
@@ -295,10 +295,10 @@
     {
         promise: "P19",
         name: "boxes whose heartbeat stands still",
-        file: steering("membership"),
+        file: decision("membership/membership"),
         find: "return at - entry.changedAt < options.failAfter;",
         replace: "return true;",
-        specs: [steeringTest("replica")],
+        specs: [decisionTest("replica")],
     },
     {
         promise: "P8",
@@ -311,7 +311,7 @@
     {
         promise: "P9",
         name: "the refusal of bodies that are too large",
-        file: gateway("request-handler"),
+        file: box("requests/request-handler"),
         find: "if (body.kind === \"tooLarge\") {",
         replace: "if (false) {",
         specs: [wholeTest("box-callers")],
@@ -319,9 +319,9 @@
     {
         promise: "P20",
         name: "the weights of a split",
-        file: steering("weighted-rotation"),
+        file: decision("admit/weighted-split"),
         find: "credit[index] += destination.weight;",
         replace: "credit[index] += 1;",
-        specs: [steeringTest("budgets")],
+        specs: [decisionTest("budgets")],
     },
 ];
--- a/packages/testing/src/soak/callers.ts
+++ b/packages/testing/src/soak/callers.ts
@@ -4,8 +4,8 @@
  */
 
 import { milliseconds } from "@chalkdale/kernel";
-import { type Client, createClient } from "../users-platform/client.js";
-import { pause } from "../users-platform/deployment.js";
+import { type Client, createClient } from "../standins/client.js";
+import { pause } from "../standins/deployment.js";
 import type { ObservedAttempt } from "./checks.js";
 import { host, servicesByPath, type SoakWorld } from "./soak-world.js";
 
--- a/packages/testing/src/soak/checks.ts
+++ b/packages/testing/src/soak/checks.ts
@@ -2,8 +2,8 @@
  * What the soak checks, from what callers and servers see.
  */
 
-import type { BackendRun } from "../users-platform/backend.js";
-import type { ClientAnswer } from "../users-platform/client.js";
+import type { ServerRun } from "../standins/backend-server.js";
+import type { ClientAnswer } from "../standins/client.js";
 
 /** A promise that was not kept. */
 export interface Breach {
@@ -29,7 +29,7 @@
 }
 
 /** A run at a server, with when it began. */
-export interface ObservedRun extends BackendRun {
+export interface ObservedRun extends ServerRun {
     readonly at: number;
     readonly server: string;
     readonly service: string;
--- a/packages/testing/src/soak/faults.ts
+++ b/packages/testing/src/soak/faults.ts
@@ -4,9 +4,9 @@
  */
 
 import { milliseconds, type RandomSource } from "@chalkdale/kernel";
-import type { BackendBehaviour } from "../users-platform/backend.js";
-import { pause } from "../users-platform/deployment.js";
-import type { StoreFault } from "../users-platform/metadata-store-server.js";
+import type { ServerBehaviour } from "../standins/backend-server.js";
+import { pause } from "../standins/deployment.js";
+import type { StoreFault } from "../standins/metadata-store-server.js";
 import type { BoxProcess } from "./box-process.js";
 import type { Interval } from "./checks.js";
 import type { LinkState, Proxy } from "./proxy.js";
@@ -122,7 +122,7 @@
 
     async function misbehave(): Promise<void> {
         const server = pick(servers, random);
-        const behaviour = pick<BackendBehaviour>(
+        const behaviour = pick<ServerBehaviour>(
             [
                 { kind: "shed" },
                 { kind: "fail", status: 500 },
--- a/packages/testing/src/soak/soak-world.ts
+++ b/packages/testing/src/soak/soak-world.ts
@@ -7,9 +7,9 @@
 import { mkdtempSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
-import { type Backend, startBackend } from "../users-platform/backend.js";
-import { type MetadataStoreServer, serveMetadataStore } from "../users-platform/metadata-store-server.js";
-import { createMetadataStore, type MetadataStore } from "../users-platform/metadata-store.js";
+import { type ServerStandIn, startServerStandIn } from "../standins/backend-server.js";
+import { type MetadataStoreServer, serveMetadataStore } from "../standins/metadata-store-server.js";
+import { createMetadataStore, type MetadataStore } from "../standins/metadata-store.js";
 import { type BoxProcess, createBoxProcess } from "./box-process.js";
 import type { Interval, ObservedRun } from "./checks.js";
 import { type Proxy, startProxy } from "./proxy.js";
@@ -31,7 +31,7 @@
 
 /** One server behind its link. */
 interface SoakServer {
-    readonly backend: Backend;
+    readonly backend: ServerStandIn;
     readonly proxy: Proxy;
     readonly service: string;
     readonly zone: string;
@@ -115,7 +115,7 @@
     }
 
     async function addServer(service: string, zone: string): Promise<void> {
-        const backend = await startBackend({ id: `i-${service}-${servers.length}` });
+        const backend = await startServerStandIn({ id: `i-${service}-${servers.length}` });
         backend.setWork(serverWork);
         const proxy = await startProxy(backend.address());
         const server = { backend, proxy, service, zone, gone: false };
--- a/packages/testing/src/soak/soak.ts
+++ b/packages/testing/src/soak/soak.ts
@@ -5,7 +5,7 @@
  */
 
 import { createSeededRandom, milliseconds } from "@chalkdale/kernel";
-import { pause } from "../users-platform/deployment.js";
+import { pause } from "../standins/deployment.js";
 import { startCallers } from "./callers.js";
 import { type Breach, findBreaches } from "./checks.js";
 import { injectFaults } from "./faults.js";
--- a/packages/testing/src/users-platform/backend.ts
+++ b/packages/testing/src/standins/backend-server.ts
@@ -7,7 +7,7 @@
 import { type AddressInfo, Server as NetServer } from "node:net";
 
 /** What the server does with a request. */
-export type BackendBehaviour =
+export type ServerBehaviour =
     | { readonly kind: "serve"; }
     /** Full: not run. */
     | { readonly kind: "shed"; }
@@ -27,7 +27,7 @@
     | { readonly kind: "early"; };
 
 /** A request that the server began to work on. */
-export interface BackendRun {
+export interface ServerRun {
     readonly requestId: string;
     readonly method: string;
     readonly url: string;
@@ -37,17 +37,17 @@
 }
 
 /** A running stand-in. */
-export interface Backend {
+export interface ServerStandIn {
     readonly id: string;
     readonly address: () => string;
-    readonly runs: readonly BackendRun[];
+    readonly runs: readonly ServerRun[];
     /** Requests that came, run or not. */
     readonly arrivals: () => number;
     /** Connections accepted so far. */
     readonly connections: () => number;
     /** Requests whose connection closed while they ran. */
     readonly abandoned: () => number;
-    setBehaviour: (behaviour: (request: IncomingMessage) => BackendBehaviour) => void;
+    setBehaviour: (behaviour: (request: IncomingMessage) => ServerBehaviour) => void;
     /** Work on a key that is not known, in milliseconds; a known one takes less. */
     setWork: (milliseconds: number) => void;
     /** Tells in its health answers that it stays cold for so long. */
@@ -59,7 +59,7 @@
     readonly close: () => void;
 }
 
-export interface BackendOptions {
+export interface ServerStandInOptions {
     readonly id: string;
     readonly slots?: number;
     readonly queue?: number;
@@ -79,13 +79,13 @@
 const warmPart = 0.3;
 
 /** Starts a server on loopback. */
-export async function startBackend(options: BackendOptions): Promise<Backend> {
-    const runs: BackendRun[] = [];
+export async function startServerStandIn(options: ServerStandInOptions): Promise<ServerStandIn> {
+    const runs: ServerRun[] = [];
     const keys = new Set<string>();
     const waiting: (() => void)[] = [];
     const slots = options.slots ?? defaultSlots;
     const host = options.host ?? "127.0.0.1";
-    let behaviourOf: (request: IncomingMessage) => BackendBehaviour = () => ({ kind: "serve" });
+    let behaviourOf: (request: IncomingMessage) => ServerBehaviour = () => ({ kind: "serve" });
     let work = 0;
     let coldFor = 0;
     let leaving = false;
@@ -177,7 +177,7 @@
         response: ServerResponse,
         requestId: string,
         body: string,
-        behaviour: BackendBehaviour,
+        behaviour: ServerBehaviour,
     ): Promise<void> {
         const warm = remember(String(request.headers["affinity-key"] ?? ""));
         const { headers, method = "", url = "" } = request;
@@ -207,7 +207,7 @@
         request: IncomingMessage,
         response: ServerResponse,
         requestId: string,
-        behaviour: BackendBehaviour,
+        behaviour: ServerBehaviour,
     ): void {
         const text = `answer of ${options.id} to ${requestId}`;
         const headers = {
--- a/packages/testing/src/users-platform/deployment.ts
+++ b/packages/testing/src/standins/deployment.ts
@@ -3,11 +3,11 @@
  * boxes in this process, each with an address of its own.
  */
 
-import { type Gateway, startGateway } from "@chalkdale/gateway";
+import { type Box, startBox } from "@chalkdale/box";
 import { incarnationId, type Milliseconds, milliseconds } from "@chalkdale/kernel";
 import { createLog, type Log } from "@chalkdale/runtime";
 import { createObjectReader, createStoreClient, platformProtocol, readSettings } from "@chalkdale/users-platform";
-import { type Backend, type BackendOptions, startBackend } from "./backend.js";
+import { type ServerStandIn, type ServerStandInOptions, startServerStandIn } from "./backend-server.js";
 import { type MetadataStoreServer, serveMetadataStore } from "./metadata-store-server.js";
 import { createMetadataStore, type MetadataStore } from "./metadata-store.js";
 
@@ -27,7 +27,7 @@
 /** A box of the deployment. */
 export interface TestBox {
     readonly name: string;
-    readonly gateway: Gateway;
+    readonly running: Box;
     readonly callers: string;
     readonly directory: string;
     readonly readiness: string;
@@ -40,9 +40,9 @@
 export interface Deployment {
     readonly store: MetadataStore;
     readonly storeServer: MetadataStoreServer;
-    readonly addServer: (options: BackendOptions & ServerPlace) => Promise<Backend>;
+    readonly addServer: (options: ServerStandInOptions & ServerPlace) => Promise<ServerStandIn>;
     /** Writes the record of a server again, with changes. */
-    readonly recordServer: (backend: Backend, place: ServerPlace) => void;
+    readonly recordServer: (backend: ServerStandIn, place: ServerPlace) => void;
     readonly configure: (version: number, rules: readonly RuleOptions[]) => void;
     readonly startBox: (options?: BoxOptions) => TestBox;
     readonly close: () => Promise<void>;
@@ -79,14 +79,14 @@
     const clock = () => milliseconds(performance.now());
     const store = createMetadataStore({ clock });
     const storeServer = await serveMetadataStore(store);
-    const backends: Backend[] = [];
+    const backends: ServerStandIn[] = [];
     const boxes: TestBox[] = [];
 
     return {
         store,
         storeServer,
         async addServer(options) {
-            const backend = await startBackend(options);
+            const backend = await startServerStandIn(options);
             backends.push(backend);
             recordServer(backend, options);
             return backend;
@@ -101,13 +101,13 @@
             return box;
         },
         async close() {
-            await Promise.all(boxes.map(box => box.gateway.stop()));
+            await Promise.all(boxes.map(box => box.running.stop()));
             backends.forEach(backend => backend.close());
             storeServer.close();
         },
     };
 
-    function recordServer(backend: Backend, place: ServerPlace): void {
+    function recordServer(backend: ServerStandIn, place: ServerPlace): void {
         store.put("servers", backend.id, {
             service: place.service ?? "profiles",
             address: backend.address(),
@@ -131,17 +131,17 @@
         const log: Log = process.env.CHALKDALE_TEST_LOG === "1"
             ? createLog()
             : createLog({ write: line => logged.push(line) });
-        const { gateway: gatewaySettings, storeAddress } = settings.val;
-        const gateway = startGateway({
+        const { box: boxSettings, storeAddress } = settings.val;
+        const running = startBox({
             settings: {
-                ...gatewaySettings,
+                ...boxSettings,
                 metrics: metricsPort === undefined ? undefined : { host, port: metricsPort },
             },
             protocol: platformProtocol,
             store: createStoreClient({
                 address: storeAddress,
                 localAddress: host,
-                reader: createObjectReader(gatewaySettings.regionOfZone),
+                reader: createObjectReader(boxSettings.regionOfZone),
                 log,
                 random: Math.random,
             }),
@@ -150,7 +150,7 @@
             log,
             incarnation: incarnationId(`${Date.now().toString(36)}-${nextPort}`),
         });
-        return { name, gateway, callers, directory, readiness, peers, logged };
+        return { name, running, callers, directory, readiness, peers, logged };
     }
 
     function settingsText(box: {
--- a/packages/testing/test/box-callers.test.ts
+++ b/packages/testing/test/box-callers.test.ts
@@ -5,20 +5,14 @@
 import { createSeededRandom } from "@chalkdale/kernel";
 import { expect } from "chai";
 import { connect } from "node:net";
-import type { Backend } from "../src/users-platform/backend.js";
-import { type ClientRequest, sendRequest } from "../src/users-platform/client.js";
-import {
-    type Deployment,
-    eventually,
-    startDeployment,
-    type TestBox,
-    testHost,
-} from "../src/users-platform/deployment.js";
+import type { ServerStandIn } from "../src/standins/backend-server.js";
+import { type ClientRequest, sendRequest } from "../src/standins/client.js";
+import { type Deployment, eventually, startDeployment, type TestBox, testHost } from "../src/standins/deployment.js";
 
 describe("a box and its callers", () => {
     let deployment: Deployment;
     let box: TestBox;
-    let servers: readonly Backend[];
+    let servers: readonly ServerStandIn[];
 
     beforeEach(async () => {
         deployment = await startDeployment();
@@ -31,7 +25,7 @@
             { name: "save", path: "/save/", kind: "unsafe", timeout: "20s" },
         ]);
         box = deployment.startBox();
-        await eventually(() => box.gateway.isReady(), "the box is ready");
+        await eventually(() => box.running.isReady(), "the box is ready");
     });
 
     afterEach(() => deployment.close());
--- a/packages/testing/test/box-program.test.ts
+++ b/packages/testing/test/box-program.test.ts
@@ -8,8 +8,8 @@
 import { tmpdir } from "node:os";
 import { join, resolve } from "node:path";
 import { createBoxProcess } from "../src/soak/box-process.js";
-import { sendRequest } from "../src/users-platform/client.js";
-import { eventually, startDeployment, testHost } from "../src/users-platform/deployment.js";
+import { sendRequest } from "../src/standins/client.js";
+import { eventually, startDeployment, testHost } from "../src/standins/deployment.js";
 import { workspace } from "../src/workspace.js";
 
 const program = resolve(workspace, "platform/dist/src/main.js");
--- a/packages/testing/test/box-requests.test.ts
+++ b/packages/testing/test/box-requests.test.ts
@@ -7,8 +7,8 @@
 import { expect } from "chai";
 import { once } from "node:events";
 import { connect } from "node:net";
-import type { Backend, BackendBehaviour } from "../src/users-platform/backend.js";
-import { type ClientRequest, createClient, lookUp, sendRequest } from "../src/users-platform/client.js";
+import type { ServerBehaviour, ServerStandIn } from "../src/standins/backend-server.js";
+import { type ClientRequest, createClient, lookUp, sendRequest } from "../src/standins/client.js";
 import {
     type Deployment,
     eventually,
@@ -17,7 +17,7 @@
     startDeployment,
     type TestBox,
     testHost,
-} from "../src/users-platform/deployment.js";
+} from "../src/standins/deployment.js";
 
 const rules: readonly RuleOptions[] = [
     { name: "lookup", path: "/lookup/", kind: "safe" },
@@ -30,8 +30,8 @@
 describe("a box on the users' platform", () => {
     let deployment: Deployment;
     let box: TestBox;
-    let first: Backend;
-    let second: Backend;
+    let first: ServerStandIn;
+    let second: ServerStandIn;
     let requestCount = 0;
 
     beforeEach(async () => {
@@ -41,7 +41,7 @@
         await deployment.addServer({ id: "i-3", service: "packs" });
         deployment.configure(2, rules);
         box = deployment.startBox();
-        await eventually(() => box.gateway.isReady(), "the box is ready");
+        await eventually(() => box.running.isReady(), "the box is ready");
     });
 
     afterEach(() => deployment.close());
@@ -51,7 +51,7 @@
         const requestId = `r-${requestCount}`;
         return sendRequest({ address: box.callers, host: testHost, path, requestId, affinityKey: "k-1", ...options });
     };
-    const misbehave = (behaviour: BackendBehaviour, times = Infinity) => {
+    const misbehave = (behaviour: ServerBehaviour, times = Infinity) => {
         let left = times;
         for (const backend of [first, second]) {
             backend.setBehaviour(() => {
@@ -149,7 +149,7 @@
     });
 
     describe("an answer that is lost", () => {
-        const losses: readonly BackendBehaviour[] = [
+        const losses: readonly ServerBehaviour[] = [
             { kind: "loseAnswer", by: "close" },
             { kind: "loseAnswer", by: "reset" },
             { kind: "breakOff", by: "close" },
@@ -210,8 +210,8 @@
 
     describe("a server that fails requests while it accepts connections", () => {
         /** The server that runs the next request goes on to misbehave; the other one serves. */
-        const misbehaveFirst = (behaviour: BackendBehaviour) => {
-            let spoiled: Backend | undefined;
+        const misbehaveFirst = (behaviour: ServerBehaviour) => {
+            let spoiled: ServerStandIn | undefined;
             for (const backend of [first, second]) {
                 backend.setBehaviour(() => {
                     spoiled ??= backend;
@@ -425,7 +425,7 @@
             second.setWork(200);
             const inFlight = ask("/lookup/");
             await eventually(() => runs().length === 1, "the request runs");
-            const stopped = box.gateway.stop();
+            const stopped = box.running.stop();
             const found = await lookUp(box.directory, { name: testHost, region: "north", zone: "north-a" });
             expect(found.addresses).to.deep.equal([]);
             const late = await ask("/lookup/");
--- a/packages/testing/test/box-state.test.ts
+++ b/packages/testing/test/box-state.test.ts
@@ -5,7 +5,7 @@
 import { milliseconds } from "@chalkdale/kernel";
 import { expect } from "chai";
 import { createSocket } from "node:dgram";
-import { lookUp, sendRequest } from "../src/users-platform/client.js";
+import { lookUp, sendRequest } from "../src/standins/client.js";
 import {
     type Deployment,
     eventually,
@@ -14,8 +14,8 @@
     startDeployment,
     type TestBox,
     testHost,
-} from "../src/users-platform/deployment.js";
-import { createMetadataStore, type MetadataStore, type StoreAnswer } from "../src/users-platform/metadata-store.js";
+} from "../src/standins/deployment.js";
+import { createMetadataStore, type MetadataStore, type StoreAnswer } from "../src/standins/metadata-store.js";
 
 const rules: readonly RuleOptions[] = [{ name: "lookup", path: "/lookup/", kind: "safe" }];
 const place = { name: testHost, region: "north", zone: "north-a" };
@@ -33,7 +33,7 @@
 
     const ask = (box: TestBox, path: string) =>
         sendRequest({ address: box.callers, host: testHost, path, requestId: `s-${path}` });
-    const ready = (box: TestBox) => eventually(() => box.gateway.isReady(), `${box.name} is ready`);
+    const ready = (box: TestBox) => eventually(() => box.running.isReady(), `${box.name} is ready`);
 
     it("find each other through the store, and name each other to callers [P19]", async () => {
         const boxes = [deployment.startBox(), deployment.startBox({ zone: "north-b" }), deployment.startBox()];
@@ -47,7 +47,7 @@
         const [stays, leaves] = [deployment.startBox(), deployment.startBox()];
         await Promise.all([ready(stays), ready(leaves)]);
         await eventually(async () => (await lookUp(stays.directory, place)).addresses.length === 2, "both are named");
-        const stopped = leaves.gateway.stop();
+        const stopped = leaves.running.stop();
         await eventually(async () => (await lookUp(stays.directory, place)).addresses.length === 1, "one is named");
         await stopped;
     });
@@ -56,7 +56,7 @@
         deployment.storeServer.setFault(() => ({ kind: "refused", status: 503 }));
         const box = deployment.startBox();
         await eventually(async () => (await ask(box, "/lookup/")).status === 503, "it listens");
-        expect(box.gateway.isReady()).to.equal(false);
+        expect(box.running.isReady()).to.equal(false);
         expect((await lookUp(box.directory, place)).status).to.equal(503);
         deployment.storeServer.setFault(() => ({ kind: "none" }));
         await ready(box);
--- a/packages/testing/test/command-line-deployment.test.ts
+++ b/packages/testing/test/command-line-deployment.test.ts
@@ -8,14 +8,8 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { runCommandLine } from "../src/command-line.js";
-import { sendRequest } from "../src/users-platform/client.js";
-import {
-    type Deployment,
-    eventually,
-    startDeployment,
-    type TestBox,
-    testHost,
-} from "../src/users-platform/deployment.js";
+import { sendRequest } from "../src/standins/client.js";
+import { type Deployment, eventually, startDeployment, type TestBox, testHost } from "../src/standins/deployment.js";
 
 const metricsPort = 29_464;
 
@@ -36,7 +30,7 @@
         await deployment.addServer({ id: "i-1" });
         deployment.configure(2, [{ name: "lookup", path: "/lookup/", kind: "safe" }]);
         boxes = ["127.0.0.2", "127.0.0.3"].map(host => deployment.startBox({ host, metricsPort }));
-        await eventually(() => boxes.every(box => box.gateway.isReady()), "the boxes are ready");
+        await eventually(() => boxes.every(box => box.running.isReady()), "the boxes are ready");
         at = ["--peer", boxes[0].peers, "--metrics-port", String(metricsPort)];
         folder = await mkdtemp(join(tmpdir(), "chalkdale-"));
     });
--- a/scripts/build-target.mjs
+++ b/scripts/build-target.mjs
@@ -1,7 +1,7 @@
 // Bundles the platform's program from its sources into target/, which is all that a box needs.
 import { build } from "esbuild";
 
-const packages = ["kernel", "runtime", "steering", "gateway"];
+const packages = ["kernel", "runtime", "decisions", "box"];
 
 await build({
     entryPoints: ["platform/src/main.ts"],
