--- a/packages/box/src/requests/active-request.ts
+++ b/packages/box/src/requests/active-request.ts
@@ -67,6 +67,7 @@
     };
 }
 
-function singleValue(value: string | string[] | undefined): string | undefined {
+/** Returns the first value of a header. */
+export function singleValue(value: string | string[] | undefined): string | undefined {
     return Array.isArray(value) ? value[0] : value;
 }
--- a/packages/box/src/requests/request-handler.ts
+++ b/packages/box/src/requests/request-handler.ts
@@ -14,7 +14,7 @@
 import type { CallerProtocol } from "../callers/caller-protocol.js";
 import type { ServerAnswer } from "../servers/exchange.js";
 import type { SharedState } from "../state/shared-state.js";
-import { activateRequest, type ActiveRequest, type Ending } from "./active-request.js";
+import { activateRequest, type ActiveRequest, type Ending, singleValue } from "./active-request.js";
 import { type AttemptLoopOptions, createAttemptLoop } from "./attempt-loop.js";
 import { passBack, refuse } from "./caller-answers.js";
 import { readBody } from "./request-body.js";
@@ -43,24 +43,25 @@
 
     return function onRequest(request, response) {
         void handle(request, response).catch(error => {
-            log.error("request.fault", { reason: error instanceof Error ? error.stack : String(error) });
+            const reason = error instanceof Error ? error.stack : String(error);
+            log.error("request.fault", { request: requestIdOf(request), reason });
             refuseCaller(response, "internalFault");
         });
     };
 
     async function handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
         const startedAt = clock();
+        const host = request.headers.host ?? "";
+        const url = request.url ?? "/";
         const admission = admit({
             routes: state.routes(),
             isComplete: state.isComplete(),
             phase: options.phase(),
-            host: request.headers.host ?? "",
-            path: pathOf(request.url ?? "/"),
+            host,
+            path: pathOf(url),
         });
         if (admission.kind === "refused") {
-            if (admission.refusal === "noRoute") {
-                log.info("request.noRoute", { host: request.headers.host, path: request.url });
-            }
+            requestLog.notAdmitted({ requestId: requestIdOf(request), host, path: url }, admission.refusal);
             refuseCaller(response, admission.refusal);
             return;
         }
@@ -85,6 +86,7 @@
         try {
             const body = await readBody(request, mostBodyBytes(), controller.signal);
             if (body.kind === "tooLarge") {
+                requestLog.refused(active, "bodyTooLarge");
                 refuseCaller(response, "bodyTooLarge");
                 return;
             }
@@ -133,6 +135,10 @@
         return answer.headers[headers.serverStamp] !== undefined && answer.headers["content-encoding"] === undefined;
     }
 
+    function requestIdOf(request: IncomingMessage): string | undefined {
+        return singleValue(request.headers[headers.requestId]);
+    }
+
     /** True once callers should use other boxes. */
     function isLeaving(): boolean {
         return options.phase() !== "running";
--- a/packages/box/src/requests/request-log.ts
+++ b/packages/box/src/requests/request-log.ts
@@ -1,6 +1,6 @@
 /**
- * The lines and figures of each request: what was decided, on which inputs, and
- * how it ended.
+ * The lines and counts of each request: what was decided, on which inputs, and
+ * how it ended. Every refusal leaves a line with the request's id, within the budget of lines.
  */
 
 import type { RefusalKind } from "@chalkdale/decisions";
@@ -16,9 +16,19 @@
     readonly attemptFailed: (active: ActiveRequest, server: BackendServerId, reason: string) => void;
     readonly served: (active: ActiveRequest, answer: ServerAnswer) => void;
     readonly refused: (active: ActiveRequest, refusal: RefusalKind) => void;
+    /** A request was refused before it had a route. */
+    readonly notAdmitted: (request: UnroutedRequest, refusal: RefusalKind) => void;
     readonly callerLeft: (active: ActiveRequest) => void;
 }
 
+/** A request that has no route. */
+interface UnroutedRequest {
+    readonly requestId: string | undefined;
+    readonly host: string;
+    /** With its query. */
+    readonly path: string;
+}
+
 export interface RequestLogOptions {
     readonly clock: Clock;
     readonly log: Log;
@@ -66,6 +76,15 @@
                 servers: state.replica("servers").revision(),
             });
         },
+        notAdmitted({ host, path, requestId }, refusal) {
+            const version = state.configuration()?.version;
+            if (refusal === "noRoute") {
+                log.info("request.noRoute", { request: requestId, host, path, version });
+                return;
+            }
+            const servers = state.replica("servers").revision();
+            log.info("request.refused", { request: requestId, refusal, version, servers });
+        },
         callerLeft(active) {
             metrics.onEnding(active.route.name, "callerLeft", ageOf(active));
             log.info("request.callerLeft", {
--- a/packages/testing/test/box-callers.test.ts
+++ b/packages/testing/test/box-callers.test.ts
@@ -70,6 +70,38 @@
         });
     });
 
+    describe("a request that is refused before a server is chosen", () => {
+        const lineOf = (id: string) => box.logged.findLast(line => line.includes(`request=${id} `));
+
+        it("leaves a line with its id and the reason when its body is too large", async () => {
+            await ask("large", { path: "/save/", method: "POST", body: "x".repeat(1_000_001) });
+            expect(lineOf("large")).to.include("event=request.refused").and.include("refusal=bodyTooLarge");
+        });
+
+        it("leaves one when there is no route", async () => {
+            await ask("nowhere", { path: "/nowhere/" });
+            expect(lineOf("nowhere")).to.include("event=request.noRoute").and.include("version=2");
+        });
+
+        it("leaves one when the box takes no new work", async () => {
+            servers.forEach(server => server.setWork(1500));
+            const last = ask("last", { deadlineMs: 5000 });
+            await eventually(() => runs().length === 1, "the request runs");
+            const stopped = box.running.stop();
+            await eventually(async () => (await ask("late")).status === 503, "the box refuses");
+            expect(lineOf("late")).to.include("event=request.refused").and.include("refusal=leaving");
+            await last;
+            await stopped;
+        });
+
+        it("leaves one when the box knows no configuration yet", async () => {
+            deployment.storeServer.setFault(() => ({ kind: "refused", status: 503 }));
+            box = deployment.startBox();
+            await eventually(async () => (await ask("early")).status === 503, "the box refuses");
+            expect(lineOf("early")).to.include("event=request.refused").and.include("refusal=notReady");
+        });
+    });
+
     describe("bytes that are no proper request [P9]", () => {
         it("get 400 and reach no server", async () => {
             for (
