--- a/packages/box/src/box.ts
+++ b/packages/box/src/box.ts
@@ -96,6 +96,7 @@
         onAdvertisedChanged: (advertised, alive) =>
             log.info("carriers.changed", { carriers: advertised, alive: alive.length, load: sumOfLoads(alive) }),
     });
+    // A cold server of a service that the configuration doesn't name gets nothing.
     const catalog = createCatalog(settings, limits, service => state.service(service)?.coldRate ?? 0);
     const state: SharedState = createSharedState({
         clock,
--- a/packages/box/src/join.ts
+++ b/packages/box/src/join.ts
@@ -44,7 +44,7 @@
             return;
         }
         catch (error) {
-            log.debug("members.joinFailed", { reason: String(error) });
+            log.info("members.joinFailed", { reason: String(error) });
             await sleep(retryPause, signal);
         }
     }
--- a/packages/box/src/peers/peer-link.ts
+++ b/packages/box/src/peers/peer-link.ts
@@ -96,7 +96,7 @@
     function sendToRegion(message: PeerMessage): void {
         const data = JSON.stringify(message);
         if (data.length > largestDatagram) {
-            log.debug("peer.updateTooLarge", { bytes: data.length });
+            log.info("peer.updateTooLarge", { bytes: data.length });
             return;
         }
         const { box, region } = message.from;
@@ -125,7 +125,7 @@
         const { host, port } = splitAddress(peerAddress);
         socket.send(data, port, host, error => {
             if (error) {
-                log.debug("peer.sendFailed", { peer: peerAddress, reason: error.message });
+                log.info("peer.sendFailed", { peer: peerAddress, reason: error.message });
             }
         });
     }
@@ -134,7 +134,7 @@
         try {
             const message = readMessage(data);
             if ("fault" in message) {
-                log.debug("peer.unreadable", { bytes: data.length, reason: message.fault });
+                log.info("peer.unreadable", { bytes: data.length, reason: message.fault });
                 return;
             }
             onMessage(message);
@@ -184,7 +184,7 @@
             membership.merge(await readPeerMembers(peerAddress, signal), clock());
         }
         catch (error) {
-            log.debug("peer.membersFailed", { peer: peerAddress, reason: String(error) });
+            log.info("peer.membersFailed", { peer: peerAddress, reason: String(error) });
         }
     }
 }
--- a/packages/box/src/state/snapshot-catch-up.ts
+++ b/packages/box/src/state/snapshot-catch-up.ts
@@ -89,7 +89,7 @@
             }
         }
         catch (error) {
-            log.debug("state.peerFailed", { kind, peer, reason: String(error) });
+            log.info("state.peerFailed", { kind, peer, reason: String(error) });
         }
     }
 }
--- a/packages/cli/src/box-figures.ts
+++ b/packages/cli/src/box-figures.ts
@@ -47,6 +47,7 @@
         return statusCode === 200 ? parseFigures(text) : undefined;
     }
     catch {
+        // A box that can't be reached is a row of its own in what the commands show.
         return undefined;
     }
 }
--- a/packages/cli/src/settings-stored.ts
+++ b/packages/cli/src/settings-stored.ts
@@ -128,6 +128,7 @@
         return { key, value: JSON.parse(value) as unknown };
     }
     catch {
+        // What is no JSON is taken as a text, so that names need no quotes.
         return { key, value };
     }
 }
--- a/packages/runtime/src/log-budget.ts
+++ b/packages/runtime/src/log-budget.ts
@@ -3,7 +3,7 @@
  * counted in one line a second and event.
  */
 
-import type { Log, LogFields } from "./log.js";
+import type { Log, LogFields, LogLevel } from "./log.js";
 
 /** A log whose frequent events are bounded. */
 export interface BudgetedLog extends Log {
@@ -18,12 +18,10 @@
     readonly byEvent?: Readonly<Record<string, number>>;
 }
 
-type Level = "error" | "warn" | "info" | "debug";
-
 /** Wraps a log. The seconds are those between calls of `report`. */
 export function createBudgetedLog(log: Log, options: LogBudgetOptions): BudgetedLog {
     const written = new Map<string, number>();
-    const at = (level: Level) => (event: string, fields?: LogFields) => {
+    const at = (level: LogLevel) => (event: string, fields?: LogFields) => {
         const count = (written.get(event) ?? 0) + 1;
         written.set(event, count);
         if (count <= mostOf(event)) {
@@ -35,8 +33,6 @@
         error: at("error"),
         warn: at("warn"),
         info: at("info"),
-        debug: at("debug"),
-        child: fields => log.child(fields),
         report() {
             for (const [event, count] of written) {
                 const lines = count - mostOf(event);
--- a/packages/runtime/src/log.ts
+++ b/packages/runtime/src/log.ts
@@ -3,58 +3,45 @@
  * then the event's fields. Values are quoted when they need it.
  */
 
-import { type ConsolaInstance, createConsola, type LogObject } from "consola";
+import { createConsola, type LogObject } from "consola";
 
 /** A field's value. */
 type LogValue = string | number | boolean | undefined;
 /** Fields of an event; those that are undefined are left out. */
 export type LogFields = Readonly<Record<string, LogValue>>;
-/** How much is logged. */
-type LogLevel = "error" | "warn" | "info" | "debug";
+/** How much a line matters. */
+export type LogLevel = "error" | "warn" | "info";
 
 /** Logs of one program. */
 export interface Log {
     readonly error: (event: string, fields?: LogFields) => void;
     readonly warn: (event: string, fields?: LogFields) => void;
     readonly info: (event: string, fields?: LogFields) => void;
-    readonly debug: (event: string, fields?: LogFields) => void;
-    /** Returns a log that adds fields to every event. */
-    readonly child: (fields: LogFields) => Log;
 }
 
 export interface LogOptions {
-    readonly level?: LogLevel;
     /** Takes each line without its line end. Standard error by default. */
     readonly write?: (line: string) => void;
     /** Wall-clock time of each line. */
     readonly now?: () => Date;
 }
 
-const levelNumbers: Readonly<Record<LogLevel, number>> = { error: 0, warn: 1, info: 3, debug: 4 };
+/** The library's number for lines up to information; its own default depends on the environment. */
+const infoLevel = 3;
 
 /** Creates the log of a program. */
 export function createLog(options: LogOptions = {}): Log {
     const write = options.write ?? (line => process.stderr.write(`${line}\n`));
     const now = options.now ?? (() => new Date());
     const logger = createConsola({
-        level: levelNumbers[options.level ?? "info"],
+        level: infoLevel,
         reporters: [{ log: entry => write(formatEntry(entry, now())) }],
         throttle: 0,
     });
-    return wrap(logger, {});
-}
-
-function wrap(logger: ConsolaInstance, common: LogFields): Log {
     const at = (level: LogLevel) => (event: string, fields: LogFields = {}) => {
-        logger[level]({ message: event, additional: undefined, fields: { ...common, ...fields } } as never);
-    };
-    return {
-        error: at("error"),
-        warn: at("warn"),
-        info: at("info"),
-        debug: at("debug"),
-        child: fields => wrap(logger, { ...common, ...fields }),
+        logger[level]({ message: event, additional: undefined, fields } as never);
     };
+    return { error: at("error"), warn: at("warn"), info: at("info") };
 }
 
 function formatEntry(entry: LogObject, time: Date): string {
--- a/packages/testing/test/box-state.test.ts
+++ b/packages/testing/test/box-state.test.ts
@@ -97,6 +97,8 @@
         await send("[]");
         await send("{\"from\":7");
         socket.close();
+        const refused = () => box.logged.filter(line => line.includes("event=peer.unreadable")).length;
+        await eventually(() => refused() === 3, "each left a line");
         deployment.configure(3, [{ ...rules[0], path: "/next/" }]);
         await eventually(async () => (await ask(box, "/next/")).status === 200, "the version is in force");
         await deployment.addServer({ id: "i-2" });
