--- a/packages/box/src/box.ts
+++ b/packages/box/src/box.ts
@@ -20,13 +20,11 @@
     type ServerCatalog,
     type SharedLimits,
 } from "@chalkdale/decisions";
-import { boxId, type Clock, type Milliseconds, type ServiceId } from "@chalkdale/kernel";
-import { type Address, createBudgetedLog, every, type Log } from "@chalkdale/runtime";
+import { boxId, type Clock, type ServiceId } from "@chalkdale/kernel";
+import { createBudgetedLog, every, type Log } from "@chalkdale/runtime";
 import { setMaxListeners } from "node:events";
-import { createServer, type Server } from "node:http";
-import { trackCallerConnections } from "./callers/caller-connections.js";
 import type { CallerProtocol } from "./callers/caller-protocol.js";
-import { createDirectoryListener, createMetricsListener, createReadinessListener } from "./callers/listeners.js";
+import { startCallerServer } from "./callers/caller-server.js";
 import { joinMembers } from "./join.js";
 import { createLoadMeter } from "./load-meter.js";
 import { createBoxMetrics } from "./metrics.js";
@@ -58,8 +56,6 @@
     readonly isReady: () => boolean;
 }
 
-/** Where the box's own figures are served. */
-const metricsPath = "/metrics";
 /**
  * Lines a second for each event; what matters most when something fails gets more. On a calm day the log and the metrics
  * cost 1.6 MB and 0.003 of a core a box (748aa698).
@@ -70,11 +66,6 @@
 const upkeepInterval = 250;
 /** Milliseconds between two measurements of the load, and between two counts of left out lines. */
 const second = 1000;
-/** Bytes of a request's head that Node takes; what the configuration allows is less. */
-const largestHead = 64 * 1024;
-/** Milliseconds for which a caller's idle connection is kept beyond the time that callers are told. */
-const keepAliveMargin = 1000;
-
 /** Starts a box. */
 export function startBox(options: BoxOptions): Box {
     const { clock, protocol, random, settings, store } = options;
@@ -103,19 +94,19 @@
         log,
         catalog,
         regionOfZone: settings.regionOfZone,
-        onConfiguration: ({ limits }) => keepIdleCallers(callers, limits.idleTimeout),
+        onConfiguration: configuration => callerServer.setIdleTimeout(configuration.limits.idleTimeout),
     });
 
     const plannedStop = createPlannedStop({
         clock,
         log,
         grace: bounds.stopGrace,
-        inFlight: () => callerConnections.inFlight(),
+        inFlight: () => callerServer.connections.inFlight(),
         onLeaving: () => {
             updateOwnRecord();
             peerLink.gossipToAll();
         },
-        onClosing: () => callerConnections.endIdle(),
+        onClosing: () => callerServer.connections.endIdle(),
     });
     const isReady = () => state.isComplete() && plannedStop.phase() === "running";
     const requests = createRequestPath({
@@ -131,25 +122,19 @@
         phase: plannedStop.phase,
     });
 
-    const callers = createServer({ maxHeaderSize: largestHead, requestTimeout: 0, noDelay: true });
-    const callerConnections = trackCallerConnections(callers);
-    callers.on("request", requests.onRequest);
-    const listeners = [
-        listen(callers, settings.callers),
-        listen(createServer(createReadinessListener(protocol, isReady)), settings.readiness),
-        listen(
-            createServer(createDirectoryListener({
-                protocol,
-                lifetime: bounds.lookupLifetime,
-                onLookup: metrics.onLookup,
-                inService: () => {
-                    updateOwnRecord();
-                    return membership.inService(clock());
-                },
-            })),
-            settings.directory,
-        ),
-    ];
+    const callerServer = startCallerServer({
+        log,
+        protocol,
+        settings,
+        onRequest: requests.onRequest,
+        isReady,
+        inService: () => {
+            updateOwnRecord();
+            return membership.inService(clock());
+        },
+        onLookup: metrics.onLookup,
+        metricsText: () => metrics.text(readGauges()),
+    });
 
     const replicator = startReplicator({
         clock,
@@ -200,10 +185,6 @@
         loadMeter.measure();
         log.report();
     });
-    if (settings.metrics !== undefined) {
-        const metricsText = () => metrics.text(readGauges());
-        listeners.push(listen(createServer(createMetricsListener(metricsPath, metricsText)), settings.metrics));
-    }
     settings.seeds.forEach(peerLink.sendGossip);
     void joinMembers({
         clock,
@@ -224,7 +205,7 @@
     async function stopAsPlanned(): Promise<void> {
         await plannedStop.begin();
         lifetime.abort();
-        listeners.forEach(server => server.close());
+        callerServer.close();
     }
 
     function updateOwnRecord(): void {
@@ -243,21 +224,12 @@
             boxes_alive: membership.alive(clock()).length,
             boxes_carrying: limits.advertisedCount(),
             own_load_cores: loadMeter.cores(),
-            callers_connections: callerConnections.count(),
-            callers_in_flight: callerConnections.inFlight(),
+            callers_connections: callerServer.connections.count(),
+            callers_in_flight: callerServer.connections.inFlight(),
             servers_connections: requests.connectionCount(),
             memory_bytes: process.memoryUsage.rss(),
         };
     }
-
-    function listen(server: Server, { host, port }: Address): Server {
-        server.on("error", error => {
-            log.error("listen.failed", { port, reason: error.message });
-            process.exitCode = 1;
-        });
-        server.listen(port, host);
-        return server;
-    }
 }
 
 /** Creates the catalog of servers; each cold one is bounded by its own slow start. */
@@ -279,10 +251,6 @@
     );
 }
 
-function keepIdleCallers(callers: Server, idleTimeout: Milliseconds): void {
-    callers.keepAliveTimeout = idleTimeout + keepAliveMargin;
-}
-
 function ownRecord({ incarnation, settings }: BoxOptions): MemberRecord {
     return {
         box: boxId(settings.box),
--- a/packages/box/src/callers/caller-protocol.ts
+++ b/packages/box/src/callers/caller-protocol.ts
@@ -29,7 +29,7 @@
     /** Reads where a caller of the directory is from the query. */
     readonly readCallerPlace: (query: URLSearchParams) => CallerPlace;
     readonly writeLookup: (addresses: readonly string[], lifetime: Milliseconds) => string;
-    /** Reads the load that a server tells, if it does. */
+    /** Reads the load that a server reports, if it does. */
     readonly readLoad: (headers: NodeJS.Dict<string | string[]>) => LoadReport | undefined;
     /** Reads how much longer a server says that it is cold. */
     readonly readColdFor: (headers: NodeJS.Dict<string | string[]>) => Milliseconds | undefined;
--- a/packages/box/src/callers/listeners.ts
+++ b/packages/box/src/callers/listeners.ts
@@ -13,7 +13,7 @@
     /** How long callers may keep an answer. */
     readonly lifetime: Milliseconds;
     readonly inService: () => readonly MemberRecord[];
-    /** Told of each look-up. */
+    /** Called for each look-up. */
     readonly onLookup: () => void;
 }
 
@@ -51,7 +51,7 @@
     };
 }
 
-/** Returns the listener that tells the box's own figures. */
+/** Returns the listener that serves the box's metrics. */
 export function createMetricsListener(path: string, text: () => string) {
     return (request: IncomingMessage, response: ServerResponse): void => {
         if (request.url !== path) {
--- a/packages/box/src/join.ts
+++ b/packages/box/src/join.ts
@@ -18,7 +18,7 @@
     readonly self: BoxId;
     readonly membership: Membership;
     readonly store: StateStore;
-    /** Tells another box about this one. */
+    /** Sends what this box knows of all boxes to another. */
     readonly sendGossip: (peerAddress: string) => void;
     readonly signal: AbortSignal;
 }
--- a/packages/box/src/peers/peer-link.ts
+++ b/packages/box/src/peers/peer-link.ts
@@ -3,7 +3,7 @@
  *
  * Every round a box sends its heartbeat, the highest heartbeats it knows and how
  * far its copies reach to one box of its region and to one of another. A box
- * that follows the store tells its whole region.
+ * that follows the store sends to its whole region.
  *
  * Owns the socket and the listener for reads; relies on the membership for who
  * there is, and hands what it hears of copies to the replicator.
@@ -37,7 +37,7 @@
     readonly digest: () => StateDigest;
     readonly onDigest: (peer: StatePeer, digest: StateDigest) => void;
     readonly onUpdate: (update: StateUpdate) => void;
-    /** True while the boxes of the region depend on what this one tells of its copies. */
+    /** True while the boxes of the region depend on what this one says of its copies. */
     readonly isFollowing: () => boolean;
     readonly snapshot: (kind: SharedKind) => Snapshot<unknown> | undefined;
     readonly signal: AbortSignal;
@@ -45,9 +45,9 @@
 
 /** The link of one box to the others. */
 export interface PeerLink {
-    /** Tells the box at an address about this one and others. */
+    /** Sends what this box knows of all boxes to the one at an address. */
     readonly sendGossip: (peerAddress: string) => void;
-    /** Tells all known boxes at once, for instance that this one is leaving. */
+    /** The same to all known boxes at once, for instance that this one is leaving. */
     readonly gossipToAll: () => void;
     /** Passes changes on to the boxes of the region; they read those that are too large for a datagram themselves. */
     readonly publish: (update: StateUpdate) => void;
@@ -120,7 +120,7 @@
         return { from, beats, digest: options.digest(), update };
     }
 
-    /** A datagram that could not be sent is as lost as one on the way: the next round tells the same. */
+    /** A datagram that could not be sent is as lost as one on the way: the next round says the same. */
     function send(data: string, peerAddress: string): void {
         const { host, port } = splitAddress(peerAddress);
         socket.send(data, port, host, error => {
--- a/packages/box/src/planned-stop.ts
+++ b/packages/box/src/planned-stop.ts
@@ -14,9 +14,9 @@
     /** Time between the signal to stop and the kill. */
     readonly grace: Milliseconds;
     readonly inFlight: () => number;
-    /** Told at once when the stop begins. */
+    /** Called at once when the stop begins. */
     readonly onLeaving: () => void;
-    /** Told when new work is no longer taken. */
+    /** Called when new work is no longer taken. */
     readonly onClosing: () => void;
 }
 
--- a/packages/box/src/requests/attempt.ts
+++ b/packages/box/src/requests/attempt.ts
@@ -1,28 +1,25 @@
 /**
- * One attempt: a connection to the chosen server, the request on it, and what
- * is learned of the server from how it ended.
+ * One attempt: a connection to the chosen server, and the request on it.
  *
- * Carries out the decisions on time limits and verdicts; owns no state.
+ * Owns the connection while the request is on it; hands how it ended to the
+ * feedback on the server.
  */
 
 import {
-    type AnswerVerdict,
     type BackendServer,
     connectTimeoutOfRequest,
     isIdempotent,
-    judgeAnswer,
-    type LoadReport,
     longestRestBefore,
     overdueTime,
-    restAfterAnswer,
     type Route,
 } from "@chalkdale/decisions";
-import { type Clock, type Milliseconds, milliseconds, type ServiceId } from "@chalkdale/kernel";
+import type { Clock, Milliseconds, ServiceId } from "@chalkdale/kernel";
 import type { Socket } from "node:net";
 import type { CallerProtocol } from "../callers/caller-protocol.js";
-import { exchange, readKeepAlive, type ServerAnswer } from "../servers/exchange.js";
+import { exchange, type ServerAnswer } from "../servers/exchange.js";
 import type { LivenessCheck } from "../servers/liveness-check.js";
-import type { ConnectFailure, ServerConnections } from "../servers/server-connections.js";
+import type { ServerConnections } from "../servers/server-connections.js";
+import { createServerFeedback } from "./server-feedback.js";
 
 /** How an attempt ended. */
 export type AttemptOutcome =
@@ -53,9 +50,9 @@
     /** Expected time until the answer. */
     readonly expected: Milliseconds;
     readonly signal: AbortSignal;
-    /** Told once the request is about to be sent. */
+    /** Called once the request is about to be sent. */
     readonly onSend: () => void;
-    /** Told how long the server took for a success, without the way there and back. */
+    /** Called with how long the server took for a success, without the way there and back. */
     readonly onServed: (duration: Milliseconds) => void;
 }
 
@@ -71,6 +68,7 @@
 /** Returns the function that makes attempts. Never rejects. */
 export function createAttempt(options: AttemptOptions): (request: AttemptRequest) => Promise<AttemptOutcome> {
     const { clock, connections, protocol } = options;
+    const feedback = createServerFeedback(options);
 
     return async function attempt(request) {
         const connected = await connections.acquire({
@@ -82,28 +80,15 @@
             signal: request.signal,
         });
         if (connected.err) {
-            return onNoConnection(request, connected.val);
+            return feedback.onNoConnection(request, connected.val);
         }
         if (request.signal.aborted) {
-            connected.val.socket.destroy();
+            connected.val.destroy();
             return { kind: "cancelled" };
         }
-        return send(request, connected.val.socket);
+        return send(request, connected.val);
     };
 
-    function onNoConnection(request: AttemptRequest, failure: ConnectFailure): AttemptOutcome {
-        switch (failure) {
-            case "cancelled":
-                return { kind: "cancelled" };
-            case "unreachable":
-                request.server.state.onFailure(clock(), "unreachable");
-                connections.closeIdle(request.server.id);
-                return { kind: "notSent", reason: failure };
-            case "tooMany":
-                return { kind: "notSent", reason: failure };
-        }
-    }
-
     async function send(request: AttemptRequest, socket: Socket): Promise<AttemptOutcome> {
         const sentAt = clock();
         request.onSend();
@@ -123,29 +108,12 @@
         silence.end();
         switch (outcome.kind) {
             case "answer":
-                return onAnswer(request, socket, outcome.answer, sentAt);
+                return feedback.onAnswer(request, socket, outcome.answer, sentAt);
             case "broken":
-                request.server.state.onEnded(clock());
-                request.server.state.onFailure(clock(), "brokeOff");
-                return outcome;
+                return feedback.onBroken(request, outcome.reason);
             case "cancelled":
-                return onCancelled(request, sentAt);
-        }
-    }
-
-    /** The caller left, the request's time is over, or its server is silent. */
-    function onCancelled(request: AttemptRequest, sentAt: Milliseconds): AttemptOutcome {
-        const { state } = request.server;
-        state.onEnded(clock());
-        if (isOverdue(request, sentAt)) {
-            state.onResult(clock(), false);
+                return feedback.onCancelled(request, sentAt);
         }
-        return request.signal.aborted ? { kind: "cancelled" } : { kind: "broken", reason: "server silent" };
-    }
-
-    /** True if the server has had the request for far longer than expected. */
-    function isOverdue(request: AttemptRequest, sentAt: Milliseconds): boolean {
-        return clock() - sentAt >= overdueTime(request.expected);
     }
 
     /** Aborts an idempotent request once it is overdue and its server turns out to take no connection. */
@@ -186,65 +154,6 @@
         }
         return headers;
     }
-
-    function onAnswer(
-        request: AttemptRequest,
-        socket: Socket,
-        answer: ServerAnswer,
-        sentAt: Milliseconds,
-    ): AttemptOutcome {
-        const { id, state } = request.server;
-        const load = protocol.readLoad(answer.headers);
-        state.onEnded(clock(), load);
-        if (answer.reusable) {
-            connections.release(id, socket, restAfterAnswer(readKeepAlive(answer.headers)));
-        }
-        return applyVerdict(request, answer, verdictOf(request, answer, load, sentAt), sentAt);
-    }
-
-    function verdictOf(
-        request: AttemptRequest,
-        answer: ServerAnswer,
-        load: LoadReport | undefined,
-        sentAt: Milliseconds,
-    ): AnswerVerdict {
-        return judgeAnswer({
-            status: answer.status,
-            saysNotRun: answer.headers[protocol.headers.notRun] !== undefined,
-            load,
-            isCold: request.server.state.isCold(clock()),
-            isOverdue: isOverdue(request, sentAt),
-        });
-    }
-
-    function applyVerdict(
-        request: AttemptRequest,
-        answer: ServerAnswer,
-        verdict: AnswerVerdict,
-        sentAt: Milliseconds,
-    ): AttemptOutcome {
-        const { id, state } = request.server;
-        const now = clock();
-        switch (verdict.kind) {
-            case "otherServer":
-                state.onReplaced();
-                connections.closeIdle(id);
-                return { kind: "notRun", status: answer.status };
-            case "full":
-                state.onFull(now);
-                if (verdict.isFailure) {
-                    state.onResult(now, false);
-                }
-                return { kind: "notRun", status: answer.status };
-            case "ran":
-                state.onHealthy();
-                state.onResult(now, !verdict.isFailure);
-                if (verdict.isSuccess) {
-                    request.onServed(milliseconds(Math.max(0, now - sentAt - request.roundTrip)));
-                }
-                return { kind: "answered", answer };
-        }
-    }
 }
 
 const methodsWithoutBody = new Set(["GET", "HEAD", "DELETE", "OPTIONS"]);
--- a/packages/box/src/requests/request-log.ts
+++ b/packages/box/src/requests/request-log.ts
@@ -11,7 +11,7 @@
 import type { SharedState } from "../state/shared-state.js";
 import type { ActiveRequest } from "./active-request.js";
 
-/** Tells of requests. */
+/** Log of the requests of one box. */
 export interface RequestLog {
     readonly attemptFailed: (active: ActiveRequest, server: BackendServerId, reason: string) => void;
     readonly served: (active: ActiveRequest, answer: ServerAnswer) => void;
--- /dev/null
+++ b/packages/box/src/requests/server-feedback.ts
@@ -0,0 +1,117 @@
+/**
+ * What a box learns of a server from how an attempt ended, and what becomes of
+ * the connection.
+ *
+ * Carries out the verdict on an answer; owns no state.
+ */
+
+import { type AnswerVerdict, judgeAnswer, overdueTime, restAfterAnswer } from "@chalkdale/decisions";
+import { type Clock, type Milliseconds, milliseconds } from "@chalkdale/kernel";
+import type { Socket } from "node:net";
+import type { CallerProtocol } from "../callers/caller-protocol.js";
+import { readKeepAlive, type ServerAnswer } from "../servers/exchange.js";
+import type { ConnectFailure, ServerConnections } from "../servers/server-connections.js";
+import type { AttemptOutcome, AttemptRequest } from "./attempt.js";
+
+export interface ServerFeedbackOptions {
+    readonly clock: Clock;
+    readonly protocol: CallerProtocol;
+    readonly connections: ServerConnections;
+}
+
+/** Takes each way in which an attempt can end, and returns its outcome. */
+export interface ServerFeedback {
+    readonly onNoConnection: (request: AttemptRequest, failure: ConnectFailure) => AttemptOutcome;
+    readonly onAnswer: (
+        request: AttemptRequest,
+        socket: Socket,
+        answer: ServerAnswer,
+        sentAt: Milliseconds,
+    ) => AttemptOutcome;
+    readonly onBroken: (request: AttemptRequest, reason: string) => AttemptOutcome;
+    /** The caller left, the request's time is over, or its server is silent. */
+    readonly onCancelled: (request: AttemptRequest, sentAt: Milliseconds) => AttemptOutcome;
+}
+
+/** Creates the feedback of one box. */
+export function createServerFeedback(options: ServerFeedbackOptions): ServerFeedback {
+    const { clock, connections, protocol } = options;
+
+    return {
+        onNoConnection(request, failure) {
+            switch (failure) {
+                case "cancelled":
+                    return { kind: "cancelled" };
+                case "tooMany":
+                    return { kind: "notSent", reason: failure };
+                case "unreachable":
+                    request.server.state.onFailure(clock(), "unreachable");
+                    connections.closeIdle(request.server.id);
+                    return { kind: "notSent", reason: failure };
+            }
+        },
+        onAnswer(request, socket, answer, sentAt) {
+            const { id, state } = request.server;
+            const load = protocol.readLoad(answer.headers);
+            state.onEnded(clock(), load);
+            if (answer.reusable) {
+                connections.release(id, socket, restAfterAnswer(readKeepAlive(answer.headers)));
+            }
+            const verdict = judgeAnswer({
+                status: answer.status,
+                saysNotRun: answer.headers[protocol.headers.notRun] !== undefined,
+                load,
+                isCold: state.isCold(clock()),
+                isOverdue: isOverdue(request, sentAt),
+            });
+            return applyVerdict(request, answer, verdict, sentAt);
+        },
+        onBroken(request, reason) {
+            request.server.state.onEnded(clock());
+            request.server.state.onFailure(clock(), "brokeOff");
+            return { kind: "broken", reason };
+        },
+        onCancelled(request, sentAt) {
+            const { state } = request.server;
+            state.onEnded(clock());
+            if (isOverdue(request, sentAt)) {
+                state.onResult(clock(), false);
+            }
+            return request.signal.aborted ? { kind: "cancelled" } : { kind: "broken", reason: "server silent" };
+        },
+    };
+
+    /** True if the server has had the request for far longer than expected. */
+    function isOverdue(request: AttemptRequest, sentAt: Milliseconds): boolean {
+        return clock() - sentAt >= overdueTime(request.expected);
+    }
+
+    function applyVerdict(
+        request: AttemptRequest,
+        answer: ServerAnswer,
+        verdict: AnswerVerdict,
+        sentAt: Milliseconds,
+    ): AttemptOutcome {
+        const { id, state } = request.server;
+        const now = clock();
+        switch (verdict.kind) {
+            case "otherServer":
+                state.onReplaced();
+                connections.closeIdle(id);
+                return { kind: "notRun", status: answer.status };
+            case "full":
+                state.onFull(now);
+                if (verdict.isFailure) {
+                    state.onResult(now, false);
+                }
+                return { kind: "notRun", status: answer.status };
+            case "ran":
+                state.onHealthy();
+                state.onResult(now, !verdict.isFailure);
+                if (verdict.isSuccess) {
+                    request.onServed(milliseconds(Math.max(0, now - sentAt - request.roundTrip)));
+                }
+                return { kind: "answered", answer };
+        }
+    }
+}
--- a/packages/box/src/servers/exchange.ts
+++ b/packages/box/src/servers/exchange.ts
@@ -42,11 +42,11 @@
     readonly requestId: string | undefined;
     readonly headers: Pick<HeaderNames, "requestId">;
     readonly signal: AbortSignal;
-    /** Told when the answer begins. */
+    /** Called when the answer begins. */
     readonly onHead?: () => void;
 }
 
-/** Largest answer that is taken in whole, in bytes. */
+/** Largest answer that is taken in whole, in bytes; the sites' have 90 KB. It bounds the memory of a box. Not measured. */
 const largestAnswer = 32 * 1024 * 1024;
 
 /** Sends the request and resolves with how it ended. Never rejects. */
--- a/packages/box/src/servers/health-checker.ts
+++ b/packages/box/src/servers/health-checker.ts
@@ -81,7 +81,7 @@
         });
     }
 
-    /** Takes what a health answer tells; true if it is this server's own. */
+    /** Learns from a health answer; true if it is this server's own. */
     function learn(server: BackendServer, response: IncomingMessage): boolean {
         const id = protocol.readServerId(response.headers);
         const coldFor = protocol.readColdFor(response.headers);
--- a/packages/box/src/servers/liveness-check.ts
+++ b/packages/box/src/servers/liveness-check.ts
@@ -20,7 +20,7 @@
     readonly localAddress: string;
     /** Time in which a connection must come up. */
     readonly connectTimeout: (server: BackendServer) => Milliseconds;
-    /** Told of a server that accepts none. */
+    /** Called with a server that accepts none. */
     readonly onSilent: (server: BackendServer) => void;
 }
 
--- a/packages/box/src/settings.ts
+++ b/packages/box/src/settings.ts
@@ -1,6 +1,6 @@
 /**
- * What one box is told at its start: its place, its addresses and the bounds
- * that its decisions keep.
+ * Settings of one box: its place, its addresses and the bounds that its
+ * decisions keep.
  */
 
 import type { AvailabilityZoneId, BoxId, Milliseconds, RegionId } from "@chalkdale/kernel";
@@ -34,7 +34,7 @@
     readonly capacity: number;
     /** Other boxes reach this one here, over TCP and UDP. */
     readonly peers: Address;
-    /** Where the box tells its own figures, if it does. */
+    /** Where the box serves its metrics, if it does. */
     readonly metrics?: Address;
     /** Peer addresses of some boxes, which may be out of date. */
     readonly seeds: readonly string[];
--- a/packages/box/src/state/replicator.ts
+++ b/packages/box/src/state/replicator.ts
@@ -34,9 +34,9 @@
     readonly digest: () => StateDigest;
     /** Milliseconds since the store stopped answering; 0 while it answers. */
     readonly storeLostFor: () => number;
-    /** True while this box follows the store, so that others depend on what it tells. */
+    /** True while this box follows the store, so that others depend on what it says. */
     readonly isFollowing: () => boolean;
-    /** Another box told what it knows. */
+    /** Another box said how far its copies reach. */
     readonly onDigest: (peer: StatePeer, digest: StateDigest) => void;
     /** Another box passed changes on. */
     readonly onUpdate: (update: StateUpdate) => void;
--- a/packages/box/src/state/shared-state.ts
+++ b/packages/box/src/state/shared-state.ts
@@ -45,7 +45,7 @@
     readonly log: Log;
     readonly catalog: ServerCatalog;
     readonly regionOfZone: ReadonlyMap<AvailabilityZoneId, RegionId>;
-    /** Told of each configuration that comes into force. */
+    /** Called with each configuration that comes into force. */
     readonly onConfiguration: (configuration: Configuration) => void;
 }
 
--- a/packages/box/src/state/snapshot-catch-up.ts
+++ b/packages/box/src/state/snapshot-catch-up.ts
@@ -20,7 +20,7 @@
     signal: AbortSignal,
 ) => Promise<Snapshot<SharedItems[Kind]>>;
 
-/** The box that told something. */
+/** The box that a message came from. */
 export interface StatePeer {
     readonly peerAddress: string;
     readonly region: RegionId;
@@ -38,7 +38,7 @@
     readonly signal: AbortSignal;
 }
 
-/** Returns the function that takes what another box tells of its copy of a kind. */
+/** Returns the function that takes how far another box's copy of a kind reaches. */
 export function createSnapshotCatchUp(options: SnapshotCatchUpOptions) {
     const { clock, log, signal, state, statuses } = options;
 
--- a/packages/cli/src/box-figures.ts
+++ b/packages/cli/src/box-figures.ts
@@ -33,7 +33,7 @@
         }
     }
     catch {
-        // Told below, as for an answer that is none.
+        // Reported below, like an answer that is no list of members.
     }
     throw new CommandError(`no box answers at ${peer}; name the peer address of a running box`, exitCodes.unavailable);
 }
--- a/packages/cli/src/context.ts
+++ b/packages/cli/src/context.ts
@@ -34,14 +34,14 @@
     readonly run: (args: readonly string[], context: CommandContext) => Promise<ExitCode>;
 }
 
-/** A failure that is told in one line, with its exit code. */
+/** A failure that is shown in one line, with its exit code. */
 export class CommandError extends Error {
     constructor(message: string, readonly exitCode: ExitCode) {
         super(message);
     }
 }
 
-/** Tells a failure and returns its exit code. */
+/** Shows a failure and returns its exit code. */
 export function writeFailure({ writeError }: CommandContext, error: unknown): ExitCode {
     if (error instanceof CommandError) {
         writeError(`chalkdale: ${error.message}`);
--- a/packages/cli/src/deployment.ts
+++ b/packages/cli/src/deployment.ts
@@ -33,16 +33,18 @@
     summary: "all boxes: capacity, load, versions in force, store",
     async run(_, context): Promise<ExitCode> {
         const found = await readDeployment(context);
-        const carriers = new Set(
+        const advertised = new Set(
             advertisedBoxes(found.map(({ member }) => member).filter(isInService)).map(({ box }) => box),
         );
         if (context.flags.json) {
-            context.write(JSON.stringify(found.map(entry => ({ ...entry, carries: carriers.has(entry.member.box) }))));
+            context.write(
+                JSON.stringify(found.map(entry => ({ ...entry, carries: advertised.has(entry.member.box) }))),
+            );
         }
         else {
             context.write(formatTable(
                 ["box", "zone", "state", "carries", "load", "version", "servers", "store", "in flight", "memory"],
-                found.map(entry => rowOf(entry, carriers.has(entry.member.box))),
+                found.map(entry => rowOf(entry, advertised.has(entry.member.box))),
             ));
         }
         return found.every(({ figures }) => figures !== undefined) ? exitCodes.success : exitCodes.unavailable;
--- a/packages/decisions/src/limits/shared-limits.ts
+++ b/packages/decisions/src/limits/shared-limits.ts
@@ -2,7 +2,7 @@
  * One box's part of the limits that hold for all boxes together: retries,
  * connections to servers, and requests to cold servers.
  *
- * The parts are equal among the boxes that callers are told. Any other box has
+ * The parts are equal among the advertised boxes, those that the directory names. Any other box has
  * no part, since only callers with an old answer of the directory reach it.
  * Nobody counts for all: the sum of the parts is the limit as long as boxes
  * know each other; a box that is cut off takes the whole.
@@ -24,7 +24,7 @@
     readonly retries: Omit<RetryBudgetOptions, "boxCount">;
     /** Connections that one server of a service accepts from all boxes; undefined if that is not known. */
     readonly connectionsOf: (service: ServiceId) => number | undefined;
-    /** Told when the number of boxes that callers are told has changed. */
+    /** Called when the number of advertised boxes has changed. */
     readonly onAdvertisedChanged: (advertisedCount: number, alive: readonly MemberRecord[]) => void;
 }
 
@@ -38,7 +38,7 @@
     readonly mostConnections: (service: ServiceId) => number;
 }
 
-/** Milliseconds for which the told boxes are not computed anew: less than a round of gossip, which changes them. */
+/** Milliseconds for which the advertised boxes are not computed anew: less than a round of gossip, which changes them. */
 const advertisedLifetime = milliseconds(250);
 /** Part of a server's connections that all boxes together use; the rest is for health checks and boxes that restart. Not measured. */
 const usedPartOfConnections = 0.8;
@@ -64,15 +64,15 @@
         },
     };
 
-    /** The boxes that callers are told; before any is in service, those that run. */
+    /** The advertised boxes; before any is in service, those that run. */
     function findAdvertised(): readonly MemberRecord[] {
         const alive = membership.alive(clock());
-        const told = advertisedBoxes(membership.inService(clock()));
-        if (told.length !== knownCount) {
-            knownCount = told.length;
-            options.onAdvertisedChanged(told.length, alive);
+        const named = advertisedBoxes(membership.inService(clock()));
+        if (named.length !== knownCount) {
+            knownCount = named.length;
+            options.onAdvertisedChanged(named.length, alive);
         }
-        return told.length > 0 ? told : alive;
+        return named.length > 0 ? named : alive;
     }
 
     /** Boxes with an equal part; without end for a box that has none. */
--- a/packages/decisions/src/place/advertised-boxes.ts
+++ b/packages/decisions/src/place/advertised-boxes.ts
@@ -1,9 +1,9 @@
 /**
- * Which boxes callers are told, and so which boxes share what is bounded for
- * all of them together.
+ * Which boxes the directory names to callers, and so which boxes share what is
+ * bounded for all of them together.
  *
  * Boxes differ in what they can carry. Callers choose among the addresses they
- * are told with equal chances, so much weaker boxes are told only when the
+ * get with equal chances, so much weaker boxes are advertised only when the
  * strong ones of the region are too few or too busy. Every box computes the
  * same answer from the members it knows; nobody coordinates.
  */
@@ -16,15 +16,15 @@
  * 1.35 cores; not measured against other parts.
  */
 const weakBelow = 0.5;
-/** Boxes of a region that are told at least, as far as it has so many: one may be lost and one may stop. Not measured. */
+/** Boxes of a region that are advertised at least, as far as it has so many: one may be lost and one may stop. Not measured. */
 const leastAdvertised = 3;
 /**
- * Part of their capacity that the told boxes use at most before weaker ones join them. With these three constants light days
+ * Part of their capacity that the advertised boxes use at most before weaker ones join them. With these three constants light days
  * of kodeyard-ng-grown went from 0.687, 0.565, 0.630 to 0.786, 0.706, 0.782, the relays' part included (1c359300, a5abbaf2).
  */
 const usedCapacity = 0.5;
 
-/** Returns the boxes of one region that callers are told, the strongest first. `inService` may hold boxes of all regions. */
+/** Returns the advertised boxes of one region, the strongest first. `inService` may hold boxes of all regions. */
 export function advertisedBoxesOfRegion(inService: readonly MemberRecord[], region: RegionId): readonly MemberRecord[] {
     const boxes = inService.filter(record => record.region === region).sort(strongestFirst);
     if (boxes.length === 0) {
@@ -39,13 +39,13 @@
     return boxes.slice(0, count);
 }
 
-/** Returns the boxes that callers are told, of all regions. */
+/** Returns the advertised boxes of all regions. */
 export function advertisedBoxes(inService: readonly MemberRecord[]): readonly MemberRecord[] {
     const regions = [...new Set(inService.map(record => record.region))];
     return regions.flatMap(region => advertisedBoxesOfRegion(inService, region));
 }
 
-/** Returns the boxes that may send to a cold server of a region: the region's own of those told, if it has any. */
+/** Returns the boxes that may send to a cold server of a region: the region's own advertised boxes, if it has any. */
 export function slowStartSenders(advertised: readonly MemberRecord[], region: RegionId): readonly BoxId[] {
     const ofRegion = advertised.filter(record => record.region === region);
     return (ofRegion.length > 0 ? ofRegion : advertised).map(record => record.box);
--- a/packages/decisions/src/place/directory.ts
+++ b/packages/decisions/src/place/directory.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses the boxes that a caller is told to use: the carriers of its region,
- * or those of the other regions if its own has none.
+ * Chooses the boxes that the directory names to a caller: the advertised boxes of
+ * its region, or those of the other regions if its own has none.
  */
 
 import type { AvailabilityZoneId, RegionId } from "@chalkdale/kernel";
--- a/packages/decisions/src/servers/server-state.ts
+++ b/packages/decisions/src/servers/server-state.ts
@@ -39,9 +39,9 @@
     readonly onHealthy: () => void;
     /** Another server has the address. */
     readonly onReplaced: () => void;
-    /** The server tells that it stays cold for so long. */
+    /** The server says that it stays cold for so long. */
     readonly onCold: (at: Milliseconds, duration: Milliseconds) => void;
-    /** Why the server gets nothing now, or undefined if it may. Outliers are told apart: see `isOutlier`. */
+    /** Why the server gets nothing now, or undefined if it may. Outliers are not among them: see `isOutlier`. */
     readonly exclusion: (at: Milliseconds) => ExclusionReason | undefined;
     readonly isCold: (at: Milliseconds) => boolean;
     /** Requests at the server, running and waiting, as far as this box can tell. */
--- a/packages/decisions/src/servers/slow-start.ts
+++ b/packages/decisions/src/servers/slow-start.ts
@@ -31,7 +31,7 @@
     readonly server: BackendServerId;
     /** Boxes among which the senders are chosen; one that is not among them sends nothing. */
     readonly boxes: () => readonly BoxId[];
-    /** Requests a second that the server bears from all boxes. */
+    /** Requests a second that the server can serve, from all boxes together. */
     readonly rate: () => number;
 }
 
--- a/packages/decisions/src/shared-state/configuration.ts
+++ b/packages/decisions/src/shared-state/configuration.ts
@@ -7,7 +7,7 @@
 
 import type { Milliseconds, RegionId, ServiceId } from "@chalkdale/kernel";
 
-/** Whether a request may run more than once. Downloads are repeatable and have large answers. */
+/** Whether a request may run more than once. Downloads are idempotent and have large answers. */
 export type RouteKind = "safe" | "unsafe" | "download";
 
 /** One destination of a route and its part of the requests. */
@@ -34,7 +34,7 @@
     readonly maxAttempts: number;
     /** 0 is the most urgent. */
     readonly priority: number;
-    /** Servers do repeated work on the same object faster. */
+    /** Servers work faster on an object that they worked on lately. */
     readonly sticky: boolean;
     /** The only regions that may serve the route; empty when all may. */
     readonly homeRegions: readonly RegionId[];
@@ -48,7 +48,7 @@
     readonly maxConnections: number;
     /** Time for which a newly started server is cold. */
     readonly warmup: Milliseconds;
-    /** Requests a second that a cold server bears from all callers together. */
+    /** Requests a second that a cold server can serve, from all boxes together. */
     readonly coldRate: number;
 }
 
--- a/packages/decisions/src/shared-state/copy-refresh.ts
+++ b/packages/decisions/src/shared-state/copy-refresh.ts
@@ -11,12 +11,12 @@
  * Milliseconds that changes have to come by the ordinary way, before a snapshot is read from a box that knows them already.
  *
  * - `watch`: by the box's own watch. 1 s left a change 2.7 s late after a cut (CONFIG on kodeyard-ng scale-2, 87cfbcda).
- * - `relay`: from the relay that tells of them; its message is on the way.
+ * - `relay`: from the relay that knows of them; its message is on the way.
  * - `otherRegion`: from the relay while only other regions know of them, since a relay pauses for up to 500 ms after a change.
  */
 const headStart = { watch: milliseconds(300), relay: milliseconds(100), otherRegion: milliseconds(1000) };
 
-/** What a box knows when another tells it that there are changes which it has not. */
+/** What a box knows when another one's copy turns out to hold more. */
 export interface HeadStartInputs {
     /** The box has a copy of the kind. */
     readonly hasCopy: boolean;
--- a/packages/decisions/src/shared-state/relay-role.ts
+++ b/packages/decisions/src/shared-state/relay-role.ts
@@ -3,7 +3,7 @@
  * changes from another box.
  *
  * Every call of the store is paid for and its rate is bounded, so in a large
- * region one box, the relay, follows the store and tells the others. Each copy
+ * region one box, the relay, follows the store and passes changes on to the others. Each copy
  * has an age: the time since the store confirmed, to this box or through
  * another, that the copy was complete. A box whose copy grows too old follows
  * the store itself, those that rank next after the relay first. So a lost,
