--- a/packages/box/src/load-meter.ts
+++ b/packages/box/src/load-meter.ts
@@ -1,5 +1,7 @@
 /**
  * How much of the processor this box uses, from how long its event loop is busy.
+ *
+ * Owns the last measurement; relies on Node's own clock of the event loop.
  */
 
 import { performance } from "node:perf_hooks";
@@ -12,7 +14,9 @@
     readonly cores: () => number;
 }
 
+/** Weight of the newest second: a load that lasts five seconds counts for two thirds. Not measured. */
 const smoothing = 0.2;
+/** The load is sent to other boxes, to two digits. */
 const hundredths = 100;
 
 /** Creates the measurement for a box of the given capacity in cores; the load is 0 at first. */
--- a/packages/box/src/metrics.ts
+++ b/packages/box/src/metrics.ts
@@ -19,8 +19,11 @@
 
 const prefix = "chalkdale";
 const quantiles = [0.5, 0.9, 0.99, 0.999];
+/** Longest latency that is told apart, in milliseconds. */
 const highestMilliseconds = 600_000;
+/** Digits of a latency that count: few, since each more costs ten times the memory. */
 const significantDigits = 2;
+/** Latencies are recorded in tenths of a millisecond. */
 const tenths = 10;
 
 /** Creates metrics at zero. Latencies are kept to a tenth of a millisecond. */
--- a/packages/cli/src/box-figures.ts
+++ b/packages/cli/src/box-figures.ts
@@ -14,6 +14,7 @@
     readonly value: number;
 }
 
+/** Milliseconds for one box to answer; an operator waits for it. Not measured. */
 const requestTimeout = 3000;
 const prefix = "chalkdale_";
 const figureLine = /^(\w+)(?:\{(.*)\})? (\S+)$/;
--- a/packages/cli/src/stored-settings.ts
+++ b/packages/cli/src/stored-settings.ts
@@ -24,7 +24,9 @@
 import { userInfo } from "node:os";
 import { type CommandContext, CommandError } from "./context.js";
 
+/** Milliseconds for one call of the store; an operator waits for it. Not measured. */
 const callTimeout = 5000;
+/** Writes that are tried while other operators write at the same time. Not measured. */
 const attempts = 8;
 
 /** The tree with the version that the platform gave it. */
--- a/packages/decisions/src/retry/answer-verdict.ts
+++ b/packages/decisions/src/retry/answer-verdict.ts
@@ -32,6 +32,7 @@
 const statusMisdirected = 421;
 /** A server answers so at the request's deadline; within the expected time that is no fault of the server. */
 const statusDeadline = 504;
+/** Statuses of a server's own failures begin here; below it an answer is the caller's. */
 const leastFailureStatus = 500;
 
 /** Judges an answer. */
@@ -46,11 +47,16 @@
     const isExcused = status === statusDeadline && !inputs.isOverdue;
     return {
         kind: "ran",
-        isFailure: status >= leastFailureStatus && !isExcused,
+        isFailure: isFailureStatus(status) && !isExcused,
         isSuccess: status >= 200 && status < 300,
     };
 }
 
+/** True for a status by which a server says that it failed. */
+export function isFailureStatus(status: number): boolean {
+    return status >= leastFailureStatus;
+}
+
 function hasRoom({ running, slots, waiting }: LoadReport): boolean {
     return waiting === 0 && running < slots;
 }
--- a/packages/decisions/src/retry/retry-decision.ts
+++ b/packages/decisions/src/retry/retry-decision.ts
@@ -9,6 +9,7 @@
 
 import type { Milliseconds } from "@chalkdale/kernel";
 import type { RefusalKind } from "../give-up/refusals.js";
+import { isFailureStatus } from "./answer-verdict.js";
 
 /** How an attempt ended, as far as a retry depends on it. */
 export type AttemptEnd =
@@ -53,8 +54,6 @@
 const mostNotSent = 4;
 /** Milliseconds that must be left for another attempt: a way there and back within a region. Not measured. */
 const leastTimeLeft = 20;
-/** A server's failures of its own begin here; below it an answer is the caller's. */
-const leastFailureStatus = 500;
 
 /** Decides what follows an attempt. */
 export function decideRetry(end: AttemptEnd, inputs: RetryInputs): RetryDecision {
@@ -70,7 +69,7 @@
 
 /** An answer ends the request unless it is a failure, or unverified, and the request may run again. */
 function isFinal(answer: AttemptEnd & { readonly kind: "answered"; }, isIdempotent: boolean): boolean {
-    return answer.status < leastFailureStatus && answer.isVerified || !isIdempotent;
+    return !isFailureStatus(answer.status) && answer.isVerified || !isIdempotent;
 }
 
 function obstacleToRetry(end: AttemptEnd, inputs: RetryInputs): RefusalKind | undefined {
