--- a/packages/testing/src/promises/mechanisms.ts
+++ b/packages/testing/src/promises/mechanisms.ts
@@ -89,7 +89,7 @@
         file: box("requests/caller-answers"),
         find: "if (answer.framed) {",
         replace: "if (true) {",
-        specs: [wholeTest("box-requests")],
+        specs: [wholeTest("box-servers")],
     },
     {
         promise: "P4",
@@ -97,7 +97,7 @@
         file: decision("give-up/refusals"),
         find: "brokenOff: { status: 502",
         replace: "brokenOff: { status: 503",
-        specs: [wholeTest("box-requests")],
+        specs: [wholeTest("box-servers")],
     },
     {
         promise: "P5",
@@ -105,7 +105,7 @@
         file: decision("retry/retry-decision"),
         find: "if (end.kind === \"broken\" && !inputs.isIdempotent) {",
         replace: "if (false) {",
-        specs: [wholeTest("box-requests")],
+        specs: [wholeTest("box-servers")],
     },
     {
         promise: "P6",
@@ -145,7 +145,7 @@
         file: decision("servers/outlier-detection"),
         find: "isOutlier: now => currentShare(now) > outlierShare",
         replace: "isOutlier: () => false",
-        specs: [decisionTest("server-choice"), wholeTest("box-requests")],
+        specs: [decisionTest("server-choice"), wholeTest("box-servers")],
     },
     {
         promise: "P8",
@@ -209,7 +209,7 @@
         file: decision("retry/retry-decision"),
         find: "if (inputs.sent >= inputs.maxAttempts) {",
         replace: "if (false) {",
-        specs: [wholeTest("box-requests")],
+        specs: [wholeTest("box-servers")],
     },
     {
         promise: "P11",
@@ -289,7 +289,7 @@
         file: box("requests/attempt"),
         find: "protocol.headers.expectedServer,",
         replace: "\"x-nobody\",",
-        specs: [wholeTest("box-requests")],
+        specs: [wholeTest("box-servers")],
     },
     {
         promise: "P19",
--- a/packages/testing/test/box-requests.test.ts
+++ b/packages/testing/test/box-requests.test.ts
@@ -1,66 +1,34 @@
 /**
- * One box on the users' platform, over real sockets: what callers get and what
- * servers see.
+ * One box on the users' platform, over real sockets: what callers get, and what
+ * reaches the servers.
  */
 
-import { createSeededRandom, milliseconds } from "@chalkdale/kernel";
+import { createSeededRandom } from "@chalkdale/kernel";
 import { expect } from "chai";
 import { once } from "node:events";
 import { connect } from "node:net";
-import type { ServerBehaviour, ServerStandIn } from "../src/standins/backend-server.js";
-import { type ClientRequest, createClient, lookUp, sendRequest } from "../src/standins/client.js";
-import {
-    type Deployment,
-    eventually,
-    pause,
-    type RuleOptions,
-    startDeployment,
-    type TestBox,
-    testHost,
-} from "../src/standins/deployment.js";
-
-const rules: readonly RuleOptions[] = [
-    { name: "lookup", path: "/lookup/", kind: "safe" },
-    { name: "save", path: "/save/", kind: "unsafe" },
-    { name: "pack", path: "/pack/", kind: "download", service: "packs" },
-    { name: "patient", path: "/patient/", kind: "safe", timeout: "60s" },
-    { name: "brief", path: "/brief/", kind: "safe", timeout: "150ms" },
-];
+import type { ServerStandIn } from "../src/standins/backend-server.js";
+import { createClient, lookUp, sendRequest } from "../src/standins/client.js";
+import { type Deployment, eventually, type TestBox, testHost } from "../src/standins/deployment.js";
+import { type OneBox, rules, startOneBox } from "./one-box.js";
 
 describe("a box on the users' platform", () => {
+    let world: OneBox;
     let deployment: Deployment;
     let box: TestBox;
     let first: ServerStandIn;
     let second: ServerStandIn;
-    let requestCount = 0;
 
     beforeEach(async () => {
-        deployment = await startDeployment();
-        first = await deployment.addServer({ id: "i-1" });
-        second = await deployment.addServer({ id: "i-2", zone: "south-a" });
-        await deployment.addServer({ id: "i-3", service: "packs" });
-        deployment.configure(2, rules);
-        box = deployment.startBox();
-        await eventually(() => box.running.isReady(), "the box is ready");
+        world = await startOneBox();
+        ({ box, deployment, first, second } = world);
     });
 
     afterEach(() => deployment.close());
 
-    const ask = (path: string, options: Partial<ClientRequest> = {}) => {
-        requestCount += 1;
-        const requestId = `r-${requestCount}`;
-        return sendRequest({ address: box.callers, host: testHost, path, requestId, affinityKey: "k-1", ...options });
-    };
-    const misbehave = (behaviour: ServerBehaviour, times = Infinity) => {
-        let left = times;
-        for (const backend of [first, second]) {
-            backend.setBehaviour(() => {
-                left -= 1;
-                return left >= 0 ? behaviour : { kind: "serve" };
-            });
-        }
-    };
-    const runs = () => [...first.runs, ...second.runs];
+    const ask: OneBox["ask"] = (...args) => world.ask(...args);
+    const misbehave: OneBox["misbehave"] = (...args) => world.misbehave(...args);
+    const runs = () => world.runs();
 
     describe("a request of each kind", () => {
         it("reaches a server unchanged, and its answer comes back unchanged [P3] [P9]", async () => {
@@ -117,168 +85,6 @@
         });
     });
 
-    describe("a server that refuses unrun", () => {
-        it("makes the box try another, for every kind of request", async () => {
-            misbehave({ kind: "shed" }, 1);
-            expect((await ask("/save/", { method: "POST", body: "b" })).status).to.equal(200);
-            expect(runs()).to.have.length(1);
-        });
-
-        it("ends in a refusal with a time to come back when all refuse [P4]", async () => {
-            misbehave({ kind: "shed" });
-            const answer = await ask("/save/", { method: "POST", body: "b" });
-            expect(answer.status).to.equal(503);
-            expect(Number(answer.headers["retry-after"])).to.be.greaterThan(0);
-            expect(answer.headers["server-stamp"]).to.equal(undefined);
-            expect(runs()).to.have.length(0);
-        });
-
-        it("does not run a request meant for the server that had its address [P18]", async () => {
-            const address = first.address();
-            first.close();
-            const other = await deployment.addServer({
-                id: "i-9",
-                service: "packs",
-                port: Number(address.split(":")[1]),
-            });
-            for (let key = 0; key < 12; key++) {
-                expect((await ask("/lookup/", { affinityKey: `k-${key}` })).status).to.equal(200);
-            }
-            expect(other.runs.filter(run => run.url.startsWith("/lookup/"))).to.have.length(0);
-        });
-    });
-
-    describe("an answer that is lost", () => {
-        const losses: readonly ServerBehaviour[] = [
-            { kind: "loseAnswer", by: "close" },
-            { kind: "loseAnswer", by: "reset" },
-            { kind: "breakOff", by: "close" },
-            { kind: "breakOff", by: "reset" },
-            { kind: "garbage" },
-        ];
-        for (const loss of losses) {
-            const name = "by" in loss ? `${loss.kind} by ${loss.by}` : loss.kind;
-            it(`is asked again of another server if it may be repeated (${name})`, async () => {
-                misbehave(loss, 1);
-                const answer = await ask("/lookup/");
-                expect(answer.status).to.equal(200);
-                expect(answer.body).to.match(/^answer of/);
-            });
-
-            it(`is never asked again, nor promised unrun, if it may not (${name}) [P4] [P5]`, async () => {
-                misbehave(loss, 1);
-                const answer = await ask("/save/", { method: "POST", body: "b" });
-                expect(answer.status).to.equal(502);
-                expect(runs()).to.have.length(1);
-            });
-        }
-
-        it("stays within the route's attempts [P11]", async () => {
-            misbehave({ kind: "loseAnswer", by: "reset" });
-            expect((await ask("/lookup/")).status).to.equal(502);
-            expect(runs()).to.have.length(2);
-        });
-    });
-
-    describe("a server that goes silent while it works", () => {
-        /** Both servers fall silent at their next request; the one that has it also takes no connection any more. */
-        const silence = () => {
-            for (const backend of [first, second]) {
-                backend.setBehaviour(() => {
-                    backend.stopAccepting();
-                    for (const other of [first, second]) {
-                        other.setBehaviour(() => ({ kind: "serve" }));
-                    }
-                    return { kind: "loseAnswer", by: "silence" };
-                });
-            }
-        };
-
-        it("loses a request that may be repeated to another, long before its deadline", async () => {
-            silence();
-            const answer = await ask("/lookup/", { deadlineMs: 60_000 });
-            expect(answer.status).to.equal(200);
-            expect(runs()).to.have.length(2);
-        });
-
-        it("keeps one that may not, until its time is over [P5]", async () => {
-            silence();
-            expect((await ask("/save/", { method: "POST", body: "b" })).status).to.equal(504);
-            expect(runs()).to.have.length(1);
-        });
-    });
-
-    describe("a server that fails requests while it accepts connections", () => {
-        /** The server that runs the next request goes on to misbehave; the other one serves. */
-        const misbehaveFirst = (behaviour: ServerBehaviour) => {
-            let spoiled: ServerStandIn | undefined;
-            for (const backend of [first, second]) {
-                backend.setBehaviour(() => {
-                    spoiled ??= backend;
-                    return spoiled === backend ? behaviour : { kind: "serve" };
-                });
-            }
-        };
-        const save = () => ask("/save/", { method: "POST", body: "b", deadlineMs: 900 });
-
-        for (
-            const [name, behaviour] of [
-                ["with failures of its own", { kind: "fail", status: 500 }],
-                ["by answers that never come", { kind: "loseAnswer", by: "silence" }],
-                ["as full though it has free slots", { kind: "shed" }],
-            ] as const
-        ) {
-            it(`loses the key to another, ${name} [P7]`, async () => {
-                misbehaveFirst(behaviour);
-                await save();
-                await save();
-                const before = [first.runs.length, second.runs.length];
-                expect((await save()).status).to.equal(200);
-                expect((await save()).status).to.equal(200);
-                expect(runs()).to.have.length(before[0] + before[1] + 2);
-                expect(box.logged.filter(line => line.includes("event=attempt.failed")).length).to.be.lessThan(4);
-            });
-        }
-    });
-
-    describe("an answer that is not what it seems", () => {
-        it("without a length goes back without a length [P3]", async () => {
-            misbehave({ kind: "unframed" });
-            const answer = await ask("/lookup/");
-            expect(answer.status).to.equal(200);
-            expect(answer.headers["content-length"]).to.equal(undefined);
-            expect(answer.headers["transfer-encoding"]).to.equal(undefined);
-            expect(answer.headers.connection).to.equal("close");
-        });
-
-        for (const afterMs of [0, 30]) {
-            it(`a second answer after ${afterMs} ms reaches nobody [P3]`, async () => {
-                misbehave({ kind: "extra", afterMs });
-                for (let count = 0; count < 5; count++) {
-                    const requestId = `extra-${afterMs}-${count}`;
-                    const answer = await ask("/lookup/", { requestId });
-                    expect(answer.body).to.match(new RegExp(`${requestId}$`));
-                    await pause(milliseconds(afterMs / 2));
-                }
-            });
-        }
-
-        it("a second answer on a connection that rests spoils no later request [P3]", async () => {
-            misbehave({ kind: "extra", afterMs: 20 });
-            const save = () => ask("/save/", { method: "POST", body: "b" });
-            expect((await save()).status).to.equal(200);
-            await pause(milliseconds(150));
-            expect((await save()).status).to.equal(200);
-        });
-
-        it("a failure of the server's own keeps its status and stamp", async () => {
-            misbehave({ kind: "fail", status: 500 });
-            const answer = await ask("/save/", { method: "POST", body: "b", requestId: "f-1" });
-            expect(answer.status).to.equal(500);
-            expect(answer.headers["server-stamp"]).to.equal("stamp.f-1");
-        });
-    });
-
     describe("time", () => {
         it("ends a request at its route's limit with a final answer [P13]", async () => {
             first.setWork(5000);
@@ -305,37 +111,6 @@
         });
     });
 
-    describe("servers that leave", () => {
-        it("get nothing once they are draining, nor once their record is gone [P6]", async () => {
-            deployment.recordServer(first, { state: "draining" });
-            await eventually(() => box.logged.some(line => line.includes("draining=i-1")), "the box knows");
-            deployment.store.delete("servers", "i-2");
-            await eventually(() => box.logged.some(line => line.includes("removed=i-2")), "the box knows");
-            expect((await ask("/lookup/")).status).to.equal(503);
-            expect(runs()).to.have.length(0);
-        });
-
-        it("get nothing while their zone is evacuated, and again when it is taken back [P16]", async () => {
-            deployment.store.put("evacuations", "north-a", {});
-            deployment.store.put("evacuations", "south-a", {});
-            await eventually(() => box.logged.some(line => line.includes("closed=north-a,south-a")), "the box knows");
-            expect((await ask("/lookup/")).status).to.equal(503);
-            deployment.store.delete("evacuations", "south-a");
-            await eventually(async () => (await ask("/lookup/")).status === 200, "the zone serves again");
-            expect(first.runs).to.have.length(0);
-        });
-
-        it("outside the homes of a route get nothing [P15]", async () => {
-            deployment.configure(3, [{ ...rules[0], homeRegions: ["south"] }]);
-            await eventually(() => box.logged.some(line => line.includes("version=3")), "the version is in force");
-            for (let key = 0; key < 12; key++) {
-                await ask("/lookup/", { affinityKey: `k-${key}` });
-            }
-            expect(first.runs).to.have.length(0);
-            expect(second.runs).to.have.length(12);
-        });
-    });
-
     describe("the configuration", () => {
         it("is divided between the parts of a split by weight [P20]", async () => {
             const split = [{ service: "profiles", weight: 75 }, { service: "packs", weight: 25 }];
@@ -378,26 +153,6 @@
         });
     });
 
-    describe("connections that servers close", () => {
-        it("because they rested are not used for the next request", async () => {
-            const brief = await deployment.addServer({ id: "i-8", service: "packs", idleMs: 1000 });
-            deployment.store.delete("servers", "i-3");
-            await eventually(() => box.logged.some(line => line.includes("removed=i-3")), "the box knows");
-            await ask("/pack/");
-            await pause(milliseconds(1300));
-            expect((await ask("/pack/")).status).to.equal(200);
-            expect(brief.connections()).to.equal(2);
-        });
-
-        it("since they are leaving are not kept", async () => {
-            first.setLeaving(true);
-            second.setLeaving(true);
-            await ask("/lookup/");
-            await ask("/lookup/");
-            expect(first.connections() + second.connections()).to.equal(2);
-        });
-    });
-
     describe("clients that look up first", () => {
         for (const pooled of [true, false]) {
             it(`are served over ${pooled ? "kept" : "new"} connections, and retry what was refused`, async () => {
--- a/packages/testing/test/box-state.test.ts
+++ b/packages/testing/test/box-state.test.ts
@@ -15,7 +15,7 @@
     type TestBox,
     testHost,
 } from "../src/standins/deployment.js";
-import { createMetadataStore, type MetadataStore, type StoreAnswer } from "../src/standins/metadata-store.js";
+import type { StoreAnswer } from "../src/standins/metadata-store.js";
 
 const rules: readonly RuleOptions[] = [{ name: "lookup", path: "/lookup/", kind: "safe" }];
 const place = { name: testHost, region: "north", zone: "north-a" };
@@ -241,68 +241,3 @@
     const { items } = answer.body as { items: { metadata: { name: string; }; }[]; };
     return items.map(item => item.metadata.name);
 }
-
-describe("the stand-in for the platform's store", () => {
-    let time = 0;
-    let store: MetadataStore;
-
-    beforeEach(() => {
-        time = 0;
-        store = createMetadataStore({ clock: () => milliseconds(time), pageSize: 2, lag: milliseconds(500) });
-    });
-
-    it("lists by page", () => {
-        ["c", "a", "b"].forEach(name => store.put("things", name, {}));
-        const first = store.list("things");
-        expect(itemsOf(first)).to.deep.equal(["a", "b"]);
-        expect((first.body as { more: boolean; }).more).to.equal(true);
-        expect(itemsOf(store.list("things", { after: "b" }))).to.deep.equal(["c"]);
-    });
-
-    it("writes under a condition, and gives the object on a conflict", () => {
-        expect(store.create("things", { name: "a", spec: 1 }).status).to.equal(201);
-        expect(store.create("things", { name: "a", spec: 2 }).status).to.equal(409);
-        const conflict = store.replace("things", { name: "a", spec: 2, revision: 99 });
-        expect([conflict.status, (conflict.body as { spec: number; }).spec]).to.deep.equal([409, 1]);
-        expect(store.replace("things", { name: "a", spec: 2, revision: 1 }).status).to.equal(200);
-    });
-
-    it("raises no revision for a write that changes nothing", () => {
-        store.create("things", { name: "a", spec: 1 });
-        store.replace("things", { name: "a", spec: 1 });
-        expect(store.revision()).to.equal(1);
-    });
-
-    it("keeps an object with finalizers as deleting until they are gone", () => {
-        store.create("things", { name: "a", spec: 1, finalizers: ["me"] });
-        store.remove("things", "a");
-        expect((store.get("things", "a").body as { metadata: { deleting: boolean; }; }).metadata.deleting).to.equal(
-            true,
-        );
-        store.replace("things", { name: "a", spec: 1, finalizers: [] });
-        expect(store.get("things", "a").status).to.equal(404);
-    });
-
-    it("answers a watch at the next change, at the end of its wait, or with 410", () => {
-        const answers: StoreAnswer[] = [];
-        store.watch("things", 0, milliseconds(100), answer => answers.push(answer));
-        store.put("things", "a", {});
-        expect((answers[0].body as { events: unknown[]; at: number; }).events).to.have.length(1);
-        store.watch("things", 1, milliseconds(100), answer => answers.push(answer));
-        time = 100;
-        store.step();
-        expect((answers[1].body as { events: unknown[]; }).events).to.have.length(0);
-        store.compact();
-        store.watch("things", 0, milliseconds(100), answer => answers.push(answer));
-        expect(answers[2].status).to.equal(410);
-    });
-
-    it("gives stale reads as old as its lag", () => {
-        store.put("things", "a", {});
-        time = 1000;
-        store.put("things", "b", {});
-        expect(itemsOf(store.list("things", { stale: true }))).to.deep.equal(["a"]);
-        time = 1600;
-        expect(itemsOf(store.list("things", { stale: true }))).to.deep.equal(["a", "b"]);
-    });
-});
