--- a/packages/box/src/callers/caller-connections.ts
+++ b/packages/box/src/callers/caller-connections.ts
@@ -4,6 +4,9 @@
  * Node's own `closeIdleConnections` takes a connection as idle once its answer
  * was written, also while the caller still reads it; here it is idle only once
  * the answer has left the process.
+ *
+ * Owns the count of requests whose answers have not left; relies on the server's
+ * events for each connection and request.
  */
 
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
--- a/packages/box/src/callers/caller-protocol.ts
+++ b/packages/box/src/callers/caller-protocol.ts
@@ -1,6 +1,8 @@
 /**
  * How callers and backend servers spell what a box means. The deployment
  * supplies it; the box itself knows no header by name.
+ *
+ * Owns nothing; `platform/` implements it.
  */
 
 import type { CallerPlace, LoadReport } from "@chalkdale/decisions";
--- a/packages/box/src/callers/listeners.ts
+++ b/packages/box/src/callers/listeners.ts
@@ -1,6 +1,8 @@
 /**
  * The listeners that callers and the deployment ask: which boxes to use, and
  * whether this one is ready, and its own figures.
+ *
+ * Owns no state: what they answer is read at each question.
  */
 
 import { chooseBoxes, type MemberRecord } from "@chalkdale/decisions";
--- a/packages/box/src/metrics.ts
+++ b/packages/box/src/metrics.ts
@@ -1,5 +1,8 @@
 /**
  * What a box counts, in the Prometheus text format, version 0.0.4.
+ *
+ * Owns the counters and latency histograms since the start; gauges are read when
+ * someone asks.
  */
 
 import { build, type Histogram } from "hdr-histogram-js";
--- a/packages/box/src/requests/active-request.ts
+++ b/packages/box/src/requests/active-request.ts
@@ -1,5 +1,7 @@
 /**
  * One request of a caller while it is served, and how it ends.
+ *
+ * Owns what is counted for the request; one handler and its attempts use it.
  */
 
 import { hashKey, type RefusalKind, requestLimit, type Route } from "@chalkdale/decisions";
--- a/packages/box/src/requests/caller-answers.ts
+++ b/packages/box/src/requests/caller-answers.ts
@@ -1,6 +1,8 @@
 /**
  * Writes answers to callers: a server's, unchanged, or the box's own. A box
  * that is leaving ends each connection with its answer.
+ *
+ * Owns nothing; relies on the table of refusals.
  */
 
 import { type RefusalKind, refusals } from "@chalkdale/decisions";
--- a/packages/box/src/requests/headers.ts
+++ b/packages/box/src/requests/headers.ts
@@ -1,5 +1,7 @@
 /**
  * Which headers go on to a server, and which go back to the caller.
+ *
+ * Owns nothing; names are compared in lower case.
  */
 
 /** Headers that concern one connection only. */
--- a/packages/box/src/requests/request-body.ts
+++ b/packages/box/src/requests/request-body.ts
@@ -1,5 +1,7 @@
 /**
  * Reads a caller's request body whole, within a bound.
+ *
+ * Owns the parts until the body is whole; relies on the signal for its end.
  */
 
 import type { IncomingMessage } from "node:http";
--- a/packages/box/src/settings.ts
+++ b/packages/box/src/settings.ts
@@ -1,6 +1,8 @@
 /**
  * Settings of one box: its place, its addresses and the bounds that its
  * decisions keep.
+ *
+ * Owns nothing; read once, at the start.
  */
 
 import type { AvailabilityZoneId, BoxId, Milliseconds, RegionId } from "@chalkdale/kernel";
--- a/packages/box/src/state/copy-status.ts
+++ b/packages/box/src/state/copy-status.ts
@@ -1,5 +1,7 @@
 /**
  * What a box knows of each of its copies beside the copy itself.
+ *
+ * Owned by the replicator; its store follower and its catch-up write to it.
  */
 
 import type { SharedKind } from "@chalkdale/decisions";
--- a/packages/box/src/state/replicator.ts
+++ b/packages/box/src/state/replicator.ts
@@ -1,6 +1,6 @@
 /**
  * Keeps the copies of shared state up to date: from the store while that is
- * this box's part, and from what other boxes tell. Any one source suffices.
+ * this box's part, and from what other boxes say. Any one source suffices.
  *
  * Owns the age of each copy; the copies themselves belong to the shared state.
  */
--- a/packages/box/src/state/state-messages.ts
+++ b/packages/box/src/state/state-messages.ts
@@ -1,5 +1,5 @@
 /**
- * What boxes tell each other about their copies of shared state, and the check
+ * What boxes say to each other about their copies of shared state, and the check
  * of what arrives. Field names are those of the messages.
  */
 
--- a/packages/box/src/state/state-store.ts
+++ b/packages/box/src/state/state-store.ts
@@ -1,5 +1,7 @@
 /**
  * The store that keeps what must last, as a box sees it.
+ *
+ * Owns nothing; `platform/` implements it.
  */
 
 import type { ItemChange, MemberRecord, SharedItems, SharedKind, Snapshot } from "@chalkdale/decisions";
--- a/packages/cli/src/box-figures.ts
+++ b/packages/cli/src/box-figures.ts
@@ -1,5 +1,7 @@
 /**
  * Reads the members that a running box knows, and the figures of each box.
+ *
+ * Owns nothing; relies on a box's peer address and on its metrics.
  */
 
 import type { MemberRecord } from "@chalkdale/decisions";
--- a/packages/cli/src/deployment.ts
+++ b/packages/cli/src/deployment.ts
@@ -1,6 +1,8 @@
 /**
  * Commands on a whole deployment of the box program: `boxes` and `burn`. They
  * ask a running box for the members and every member for its figures.
+ *
+ * Owns the file of samples that `burn` appends to.
  */
 
 import { advertisedBoxes, type MemberRecord } from "@chalkdale/decisions";
--- a/packages/cli/src/settings-stored.ts
+++ b/packages/cli/src/settings-stored.ts
@@ -1,5 +1,5 @@
 /**
- * Commands on the tree at the platform: `settings apply | diff | edit | history`.
+ * Commands on the tree in its store: `settings apply | diff | edit | history`.
  */
 
 import { type ExitCode, exitCodes } from "@chalkdale/runtime";
@@ -21,7 +21,7 @@
     },
 };
 
-/** `settings apply FILE`: makes the tree at the platform that of the file. */
+/** `settings apply FILE`: makes the tree in its store that of the file. */
 export const settingsApply: Command = {
     words: ["settings", "apply"],
     usage: "settings apply FILE [--dry-run]",
--- a/packages/cli/src/stored-settings.ts
+++ b/packages/cli/src/stored-settings.ts
@@ -1,5 +1,5 @@
 /**
- * The settings tree at the platform, as the command line reads and edits it.
+ * The settings tree in its store, as the command line reads and edits it.
  */
 
 import { exitCodes, parseAddress, urlOf } from "@chalkdale/runtime";
@@ -29,7 +29,7 @@
 /** Writes that are tried while other operators write at the same time. Not measured. */
 const attempts = 8;
 
-/** The tree with the version that the platform gave it. */
+/** The tree with the version that its store gave it. */
 export interface VersionedSettings extends StoredSettings {
     readonly version: number;
 }
--- a/packages/decisions/src/admit/route-table.ts
+++ b/packages/decisions/src/admit/route-table.ts
@@ -1,6 +1,8 @@
 /**
  * Finds the route of a request: of the routes of its host, the one with the
  * longest path prefix.
+ *
+ * Owns an index of one configuration; a new configuration gets a new table.
  */
 
 import type { Configuration, Route } from "../shared-state/configuration.js";
--- a/packages/decisions/src/admit/weighted-split.ts
+++ b/packages/decisions/src/admit/weighted-split.ts
@@ -3,6 +3,8 @@
  *
  * Smooth weighted rotation: over any run of requests each destination gets its
  * share to within one request, and the order is spread out.
+ *
+ * Owns the credit of each destination, on one box and for one configuration.
  */
 
 import type { ServiceId } from "@chalkdale/kernel";
--- a/packages/decisions/src/choose/recent-keys.ts
+++ b/packages/decisions/src/choose/recent-keys.ts
@@ -1,5 +1,7 @@
 /**
  * The affinity keys that a server worked on recently, as far as this box knows.
+ *
+ * Owns the keys of the last seconds; relies on answers that this box had.
  */
 
 import type { BackendServerId, Milliseconds } from "@chalkdale/kernel";
--- a/packages/decisions/src/choose/rendezvous.ts
+++ b/packages/decisions/src/choose/rendezvous.ts
@@ -5,6 +5,8 @@
  * Scores are `-weight / ln(u)` with a hash `u` in (0, 1), so that each server is
  * first for a share of the keys in proportion to its weight (Schindelhauer and
  * Schomaker, weighted distributed hash tables).
+ *
+ * Owns nothing; relies on ids that hash alike on every box.
  */
 
 import { hashText } from "@chalkdale/kernel";
--- a/packages/decisions/src/choose/round-trips.ts
+++ b/packages/decisions/src/choose/round-trips.ts
@@ -1,5 +1,7 @@
 /**
  * Time to each availability zone and back, learned from how long connections take to open.
+ *
+ * Owns one smoothed time for each zone; relies on new connections.
  */
 
 import { type AvailabilityZoneId, type Milliseconds, milliseconds, type RegionId } from "@chalkdale/kernel";
--- a/packages/decisions/src/choose/work-estimate.ts
+++ b/packages/decisions/src/choose/work-estimate.ts
@@ -1,6 +1,8 @@
 /**
  * Learns how long servers work on the requests of each route, when they have
  * worked on the same object recently (warm) and when not (cold).
+ *
+ * Owns two smoothed times for each route; relies on answers that this box had.
  */
 
 import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
--- a/packages/decisions/src/give-up/stop-schedule.ts
+++ b/packages/decisions/src/give-up/stop-schedule.ts
@@ -2,6 +2,8 @@
  * How a planned stop advances within its grace: new work at first, since
  * callers still hold the box's address; then only the work in flight; then the
  * end, before the process would be killed.
+ *
+ * Owns no state; the planned stop asks it as time passes.
  */
 
 import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
--- a/packages/decisions/src/give-up/time-limits.ts
+++ b/packages/decisions/src/give-up/time-limits.ts
@@ -1,6 +1,8 @@
 /**
  * How long a box waits: for a connection, for an answer, for a caller, and
  * how long a connection may rest before it carries the next request.
+ *
+ * Owns no state; whoever waits asks here for how long.
  */
 
 import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
--- a/packages/decisions/src/limits/cached.ts
+++ b/packages/decisions/src/limits/cached.ts
@@ -1,5 +1,7 @@
 /**
  * A value that is computed anew only when it has grown old.
+ *
+ * Owns the last value; relies on the clock that is handed in.
  */
 
 import type { Clock, Milliseconds } from "@chalkdale/kernel";
--- a/packages/decisions/src/membership/membership.ts
+++ b/packages/decisions/src/membership/membership.ts
@@ -5,6 +5,9 @@
  * Each box counts up its own heartbeat and passes on the highest counters that
  * it knows. A box whose counter stood still for too long counts as failed. No
  * clocks are compared.
+ *
+ * Owns the record of this box and the latest of all others; relies on whoever
+ * sends and receives the gossip.
  */
 
 import {
--- a/packages/decisions/src/place/advertised-boxes.ts
+++ b/packages/decisions/src/place/advertised-boxes.ts
@@ -6,6 +6,8 @@
  * get with equal chances, so much weaker boxes are advertised only when the
  * strong ones of the region are too few or too busy. Every box computes the
  * same answer from the members it knows; nobody coordinates.
+ *
+ * Owns no state; relies on the load and capacity that boxes put into gossip.
  */
 
 import type { BoxId, RegionId } from "@chalkdale/kernel";
--- a/packages/decisions/src/place/directory.ts
+++ b/packages/decisions/src/place/directory.ts
@@ -1,6 +1,8 @@
 /**
  * Chooses the boxes that the directory names to a caller: the advertised boxes of
  * its region, or those of the other regions if its own has none.
+ *
+ * Owns no state; relies on the members in service.
  */
 
 import type { AvailabilityZoneId, RegionId } from "@chalkdale/kernel";
--- a/packages/decisions/src/place/place-settings.ts
+++ b/packages/decisions/src/place/place-settings.ts
@@ -3,6 +3,8 @@
  *
  * A zone inherits each value from its region and a region from the root unless
  * it says otherwise.
+ *
+ * Owns no state; relies on the copy of closed availability zones.
  */
 
 import type { AvailabilityZoneId, RegionId } from "@chalkdale/kernel";
--- a/packages/decisions/src/retry/answer-verdict.ts
+++ b/packages/decisions/src/retry/answer-verdict.ts
@@ -3,6 +3,8 @@
  *
  * A server is judged by the answers to callers' requests before its health
  * checks, which lag and mislead.
+ *
+ * Owns no state; the feedback on a server carries the verdict out.
  */
 
 import type { LoadReport } from "../servers/load-estimate.js";
--- a/packages/decisions/src/retry/retry-budget.ts
+++ b/packages/decisions/src/retry/retry-budget.ts
@@ -5,6 +5,9 @@
  * Every box keeps its own part: a share of its own requests of the last window
  * and an equal part of the common allowance. The sum over all boxes then stays
  * within the whole.
+ *
+ * Owns the counts of one box and service; relies on the number of boxes that
+ * share the allowance.
  */
 
 import type { Milliseconds } from "@chalkdale/kernel";
--- a/packages/decisions/src/retry/sliding-count.ts
+++ b/packages/decisions/src/retry/sliding-count.ts
@@ -1,5 +1,7 @@
 /**
  * Counts events of the last so many milliseconds in a ring of small intervals.
+ *
+ * Owns the ring; relies on times that never go back.
  */
 
 import type { Milliseconds } from "@chalkdale/kernel";
--- a/packages/decisions/src/servers/ejection.ts
+++ b/packages/decisions/src/servers/ejection.ts
@@ -1,6 +1,9 @@
 /**
  * Ejection: a server that takes no connection, or breaks off several answers in
  * a row, gets nothing until a health check or an answer shows that it works.
+ *
+ * Owns the failures in a row and the time of the next check; relies on whoever
+ * makes the checks.
  */
 
 import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
--- a/packages/decisions/src/servers/load-estimate.ts
+++ b/packages/decisions/src/servers/load-estimate.ts
@@ -1,6 +1,8 @@
 /**
  * Load of one backend server: what this box has sent there, and what the server
- * told with its last answer about all boxes together.
+ * said with its last answer about all boxes together.
+ *
+ * Owns this box's requests in flight and the last report.
  */
 
 import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
--- a/packages/decisions/src/servers/outlier-detection.ts
+++ b/packages/decisions/src/servers/outlier-detection.ts
@@ -1,6 +1,9 @@
 /**
  * Outlier detection: finds servers that fail part of their requests, whatever
  * their health checks say.
+ *
+ * Owns a share that fades; the choice of a server decides how many outliers may
+ * be left out.
  */
 
 import type { Milliseconds } from "@chalkdale/kernel";
--- a/packages/decisions/src/servers/server-catalog.ts
+++ b/packages/decisions/src/servers/server-catalog.ts
@@ -1,5 +1,7 @@
 /**
  * All backend servers that discovery lists, with the state of each.
+ *
+ * Owns the servers and their states; relies on whole lists from the copy.
  */
 
 import { type BackendServerId, hashText, type Milliseconds, milliseconds, type ServiceId } from "@chalkdale/kernel";
--- a/packages/decisions/src/servers/server-record.ts
+++ b/packages/decisions/src/servers/server-record.ts
@@ -1,5 +1,7 @@
 /**
  * What discovery says about one backend server.
+ *
+ * Owns nothing; the fields stand in the snapshots between boxes.
  */
 
 import {
--- a/packages/decisions/src/servers/server-speed.ts
+++ b/packages/decisions/src/servers/server-speed.ts
@@ -1,6 +1,8 @@
 /**
  * Speed of one backend server: how many times as long as expected its answers
  * take. A measured slowness fades, so that a server which gets nothing is tried again.
+ *
+ * Owns one ratio that fades; relies on the estimate of work for what is expected.
  */
 
 import type { Milliseconds } from "@chalkdale/kernel";
--- a/packages/decisions/src/servers/slow-start.ts
+++ b/packages/decisions/src/servers/slow-start.ts
@@ -5,6 +5,9 @@
  * A few boxes, the best by rendezvous hashing for that server, may send to it;
  * each has an equal part of the rate and saves up at most one request. So in
  * any second all boxes together send at most the rate and one more for each sender.
+ *
+ * Owns the time of this box's next request to the server; relies on the members
+ * that all boxes know.
  */
 
 import { type BackendServerId, type BoxId, hashText, type Milliseconds } from "@chalkdale/kernel";
--- a/packages/decisions/src/shared-state/configuration.ts
+++ b/packages/decisions/src/shared-state/configuration.ts
@@ -3,6 +3,9 @@
  *
  * Versions only go up. A process never replaces a configuration by one with a
  * lower version.
+ *
+ * Owns nothing; the fields stand in the snapshots between boxes. No rule goes by
+ * `priority`, `warmup`, `maxHeaderBytes` and `headerTimeout` yet.
  */
 
 import type { Milliseconds, RegionId, ServiceId } from "@chalkdale/kernel";
--- a/packages/decisions/src/shared-state/copy-refresh.ts
+++ b/packages/decisions/src/shared-state/copy-refresh.ts
@@ -2,6 +2,8 @@
  * When a copy of shared state is refreshed, and from where: by the box's own
  * watch of the store, by its region's relay, or by a snapshot of any box that
  * knows more. Every source suffices; this module only says which one waits how long.
+ *
+ * Owns no state; the replicator's parts ask it.
  */
 
 import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
--- a/packages/decisions/src/shared-state/relay-role.ts
+++ b/packages/decisions/src/shared-state/relay-role.ts
@@ -9,6 +9,8 @@
  * the store itself, those that rank next after the relay first. So a lost,
  * frozen or cut off relay costs some time and a few calls, and no box depends on
  * another for longer than the bound on changes allows.
+ *
+ * Owns no state; relies on the members that all boxes know.
  */
 
 import { type BoxId, type Milliseconds, milliseconds, type RegionId } from "@chalkdale/kernel";
--- a/packages/decisions/src/shared-state/replica.ts
+++ b/packages/decisions/src/shared-state/replica.ts
@@ -4,6 +4,8 @@
  *
  * Copies come from the store or from another box. A copy only moves to higher
  * revisions, so an old one never replaces a newer one, whoever sent it.
+ *
+ * Owns the items; relies on revisions that the store raises with each change.
  */
 
 /** A complete copy as of a revision. */
--- a/packages/kernel/src/ids.ts
+++ b/packages/kernel/src/ids.ts
@@ -18,7 +18,7 @@
 export type IncarnationId = Branded<string, "IncarnationId">;
 /** Name of a backend server. */
 export type BackendServerId = Branded<string, "ServerId">;
-/** Version of an object at the platform; only ever goes up. */
+/** Version of an object in the store of the settings tree; only ever goes up. */
 export type ObjectVersion = Branded<number, "ObjectVersion">;
 /** A duration, or a point on the monotonic clock, in milliseconds. */
 export type Milliseconds = Branded<number, "Milliseconds">;
--- a/packages/runtime/src/clock.ts
+++ b/packages/runtime/src/clock.ts
@@ -1,5 +1,5 @@
 /**
- * The monotonic clock of the process and its source of random numbers.
+ * The monotonic clock of the process, and the name of its one life.
  */
 
 import { type Clock, type IncarnationId, incarnationId, milliseconds } from "@chalkdale/kernel";
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * What all programs share: start and stop, logs, time, streams, addresses.
+ * What all programs share: logs, time, streams, addresses, exit codes.
  */
 
 export * from "./addresses.js";
--- a/packages/runtime/src/log-budget.ts
+++ b/packages/runtime/src/log-budget.ts
@@ -1,6 +1,8 @@
 /**
  * Bounds how many lines a second each event may write. What is left out is
  * counted in one line a second and event.
+ *
+ * Owns the counts since the last report; relies on its owner to report each second.
  */
 
 import type { Log, LogFields, LogLevel } from "./log.js";
--- a/packages/runtime/src/output.ts
+++ b/packages/runtime/src/output.ts
@@ -3,6 +3,8 @@
  *
  * Node writes to a pipe without blocking and keeps what its reader has not
  * taken; here that is bounded, and beyond the bound lines are left out and counted.
+ *
+ * Owns the count of lines left out; relies on the stream for how much it holds.
  */
 
 /** Something that takes bytes, as far as this module needs it. */
--- a/packages/settings-store/src/change-object.ts
+++ b/packages/settings-store/src/change-object.ts
@@ -1,5 +1,7 @@
 /**
  * Read, change and write back one object until it stands.
+ *
+ * Owns no state; relies on conditional updates of the store.
  */
 
 import { type ObjectVersion, objectVersion } from "@chalkdale/kernel";
--- a/packages/settings/src/checks.ts
+++ b/packages/settings/src/checks.ts
@@ -1,5 +1,7 @@
 /**
- * Checks across the nodes of a tree, and of trees that come from the platform.
+ * Checks across the nodes of a tree, and of trees that come from their store.
+ *
+ * Owns nothing; all faults are returned at once.
  */
 
 import { Err, Ok, type Result } from "@chalkdale/kernel";
@@ -82,7 +84,7 @@
     return path.slice(path.lastIndexOf("/") + 1);
 }
 
-/** Checks a tree that came as JSON, for instance from the platform. */
+/** Checks a tree that came as JSON, for instance from its store. */
 export function checkJsonDocument(value: unknown): Result<SettingsDocument, readonly DocumentFault[]> {
     const parsed = documentSchema.safeParse(value);
     if (!parsed.success) {
--- a/packages/settings/src/edits.ts
+++ b/packages/settings/src/edits.ts
@@ -1,6 +1,8 @@
 /**
  * Edits of the tree: changes of single values, merged onto whatever others
  * have written meanwhile.
+ *
+ * Owns nothing; a clash is an answer, and nothing of the edit is applied then.
  */
 
 import { Err, Ok, type Result } from "@chalkdale/kernel";
@@ -25,7 +27,7 @@
     readonly changes: readonly ValueChange[];
 }
 
-/** The tree at the platform, with its latest edits. */
+/** The tree in its store, with its latest edits. */
 export interface StoredSettings {
     readonly document: SettingsDocument;
     /** Latest edits, newest last; at most {@link editsKept}. */
--- a/packages/settings/src/schema.ts
+++ b/packages/settings/src/schema.ts
@@ -140,7 +140,7 @@
 /** A settings file, checked. */
 export type SettingsFile = z.infer<typeof fileSchema>;
 
-/** The schema of the tree as it is kept at the platform. */
+/** The schema of the tree as its store keeps it. */
 export const documentSchema = z.strictObject({
     deployment: name,
     nodes: z.record(z.string(), z.record(z.string(), z.unknown())),
--- a/packages/settings/src/tree.ts
+++ b/packages/settings/src/tree.ts
@@ -11,7 +11,7 @@
 /** Path of a node, for instance `/services/profil-api/ro-nord`. */
 export type NodePath = string;
 
-/** The whole tree as it is kept at the platform. */
+/** The whole tree as its store keeps it. */
 export interface SettingsDocument {
     readonly deployment: string;
     readonly nodes: Readonly<Record<NodePath, NodeValues>>;
--- a/packages/settings/src/values.ts
+++ b/packages/settings/src/values.ts
@@ -2,7 +2,8 @@
  * The settings that a node of the tree can carry, with their defaults.
  *
  * Durations are in seconds and rates in units per second, as operators write
- * them; modules that decide convert at their edge.
+ * them. The comments say what operators mean by each; no box reads the tree
+ * today, so none is in force on a box (docs/DESIGN.md, "The settings tree and the boxes").
  */
 
 /** Every setting, fully resolved. */
