--- a/packages/testing/src/emulator/deployments.ts
+++ b/packages/testing/src/emulator/deployments.ts
@@ -3,7 +3,7 @@
  */
 
 import { milliseconds } from "@chalkdale/kernel";
-import type { EmulatedDeployment } from "./day.js";
+import type { EmulatedDeployment } from "./deployment.js";
 
 /** Pedala's sheet: 36 servers in six zones of three regions. */
 export const pedala: EmulatedDeployment = {
--- a/packages/testing/src/emulator/emulated-box.ts
+++ b/packages/testing/src/emulator/emulated-box.ts
@@ -13,7 +13,10 @@
     createServerState,
     createSlowStart,
     createWorkEstimate,
+    decideRetry,
     hashKey,
+    isIdempotent,
+    recordDelay,
     type RetryBudget,
     type Route,
 } from "@chalkdale/decisions";
@@ -64,9 +67,9 @@
     readonly server: (id: BackendServerId) => EmulatedServer;
     readonly roundTrip: (zone: AvailabilityZoneId) => number;
     readonly coldRate: number;
-    /** Told of each arrival at a server, with its number for the request. */
+    /** Called for each arrival at a server, with its number for the request. */
     readonly onArrival: (server: BackendServerId, count: number) => void;
-    /** Told of each decision, for sessions that are kept as golden files. */
+    /** Called with each decision, for sessions that are kept as golden files. */
     readonly onDecision: (line: string) => void;
 }
 
@@ -75,7 +78,7 @@
     const { events } = options;
     const catalog = createServerCatalog((record, at) =>
         createServerState(record, at, {
-            recordDelay: milliseconds(1000),
+            recordDelay,
             slowStart: createSlowStart({
                 self: options.id,
                 server: record.id,
@@ -182,9 +185,16 @@
             return;
         }
         state.onFull(now);
-        const mayRepeat = tried.size < request.route.maxAttempts && budgetOf(request.service).tryTake(now);
-        if (!mayRepeat) {
-            options.onDecision(`${options.id} ${request.route.name} ${request.key} refused full`);
+        const decision = decideRetry({ kind: "notRun" }, {
+            isIdempotent: isIdempotent(request.route),
+            maxAttempts: request.route.maxAttempts,
+            sent: tried.size,
+            notSent: 0,
+            timeLeft: milliseconds(endsAt - now),
+            takeRetry: () => budgetOf(request.service).tryTake(now),
+        });
+        if (decision.kind === "giveUp") {
+            options.onDecision(`${options.id} ${request.route.name} ${request.key} refused ${decision.refusal}`);
             done("refused");
             return;
         }
--- a/packages/testing/src/emulator/main.ts
+++ b/packages/testing/src/emulator/main.ts
@@ -5,7 +5,8 @@
 
 import { milliseconds } from "@chalkdale/kernel";
 import meow from "meow";
-import { type DayResult, type EmulatedDeployment, type EmulatedTrouble, playDay } from "./day.js";
+import { type DayResult, type EmulatedTrouble, playDay } from "./day.js";
+import type { EmulatedDeployment } from "./deployment.js";
 import { kodeyard, pedala } from "./deployments.js";
 import { type PolicyName, policyNames } from "./policies.js";
 
