--- a/packages/testing/src/soak/soak-world.ts
+++ b/packages/testing/src/soak/soak-world.ts
@@ -10,6 +10,7 @@
 import { type ServerStandIn, startServerStandIn } from "../standins/backend-server.js";
 import { type MetadataStoreServer, serveMetadataStore } from "../standins/metadata-store-server.js";
 import { createMetadataStore, type MetadataStore } from "../standins/metadata-store.js";
+import { configurationObject, type RuleOptions, serverObject } from "../standins/platform-objects.js";
 import { type BoxProcess, createBoxProcess } from "./box-process.js";
 import type { Interval, ObservedRun } from "./checks.js";
 import { type Proxy, startProxy } from "./proxy.js";
@@ -57,7 +58,7 @@
     readonly runs: readonly ObservedRun[];
     readonly destinations: readonly Destination[];
     readonly addServer: (service: string, zone: string) => Promise<void>;
-    readonly record: (server: SoakServer, state: string) => void;
+    readonly record: (server: SoakServer, state: "ready" | "draining") => void;
     /** Writes the next version; the lookups' service changes with every other one. */
     readonly configure: () => void;
     readonly stopAll: () => Promise<void>;
@@ -136,57 +137,33 @@
         };
     }
 
-    function record(server: SoakServer, state: string): void {
-        store.put("servers", server.backend.id, {
-            service: server.service,
-            address: server.proxy.address(),
-            zone: server.zone,
-            version: "v1",
-            slots: 4,
-            state,
-            cold_left: "0ms",
-            call_seq: 1,
-        });
+    function record(server: SoakServer, state: "ready" | "draining"): void {
+        const { service, zone } = server;
+        store.put("servers", server.backend.id, serverObject(server.proxy.address(), { service, zone, state }));
     }
 
     function configure(): void {
         version += 1 + Math.floor(random() * 5);
         const lookups = version % 2 === 0 ? "profiles" : "packs";
-        const rules = Object.entries(servicesByPath).map(([path, service]) => ({
+        const rules = Object.entries(servicesByPath).map(([path, service]): RuleOptions => ({
             name: path,
+            path,
             kind: path === "/save/" ? "unsafe" : path === "/pack/" ? "download" : "safe",
-            goal: "400ms",
-            priority: 1,
-            sticky: true,
-            match: { path_prefix: path },
-            action: {
-                service: path === "/lookup/" ? lookups : service,
-                timeout: "1500ms",
-                max_attempts: 2,
-                home_regions: [],
-            },
+            service: path === "/lookup/" ? lookups : service,
         }));
-        for (const rule of rules) {
-            const old = destinations.findIndex(entry => entry.path === rule.name && entry.to === Infinity);
-            if (old >= 0 && destinations[old].service !== rule.action.service) {
-                destinations[old] = { ...destinations[old], to: now() + inForceWithin };
-            }
-            if (old < 0 || destinations[old].to !== Infinity) {
-                destinations.push({ path: rule.name, service: rule.action.service, from: now(), to: Infinity });
-            }
+        rules.forEach(noteDestination);
+        store.put("config", "main", configurationObject(version, host, rules));
+    }
+
+    /** Notes from when on a path's requests may run at a service, and until when they still may at the one before. */
+    function noteDestination({ path, service = "" }: RuleOptions): void {
+        const old = destinations.findIndex(entry => entry.path === path && entry.to === Infinity);
+        if (old >= 0 && destinations[old].service !== service) {
+            destinations[old] = { ...destinations[old], to: now() + inForceWithin };
+        }
+        if (old < 0 || destinations[old].to !== Infinity) {
+            destinations.push({ path, service, from: now(), to: Infinity });
         }
-        store.put("config", "main", {
-            version: version.toString(16).padStart(8, "0"),
-            limits: { max_header_bytes: 16384, max_body_bytes: 1_000_000, header_timeout: "3s", idle_timeout: "15s" },
-            listeners: [{ host, rules }],
-            clusters: ["profiles", "packs"].map(name => ({
-                name,
-                health_path: "/health",
-                max_conns: 330,
-                warmup: "3s",
-                cold_per_s: 14,
-            })),
-        });
     }
 
     async function startBoxes(): Promise<BoxProcess[]> {
--- a/packages/testing/src/standins/deployment.ts
+++ b/packages/testing/src/standins/deployment.ts
@@ -10,19 +10,7 @@
 import { type ServerStandIn, type ServerStandInOptions, startServerStandIn } from "./backend-server.js";
 import { type MetadataStoreServer, serveMetadataStore } from "./metadata-store-server.js";
 import { createMetadataStore, type MetadataStore } from "./metadata-store.js";
-
-/** A rule of the configuration, in the platform's own words. */
-export interface RuleOptions {
-    readonly name: string;
-    readonly path: string;
-    readonly kind: "safe" | "unsafe" | "download";
-    readonly service?: string;
-    readonly split?: readonly { readonly service: string; readonly weight: number; }[];
-    readonly timeout?: string;
-    readonly maxAttempts?: number;
-    readonly sticky?: boolean;
-    readonly homeRegions?: readonly string[];
-}
+import { configurationObject, type RuleOptions, serverObject, type ServerPlace } from "./platform-objects.js";
 
 /** A box of the deployment. */
 export interface TestBox {
@@ -48,14 +36,6 @@
     readonly close: () => Promise<void>;
 }
 
-/** Where a server is recorded, and how. */
-interface ServerPlace {
-    readonly service?: string;
-    readonly zone?: string;
-    readonly state?: "ready" | "draining";
-    readonly coldLeft?: string;
-}
-
 /** How a box is started. */
 interface BoxOptions {
     readonly zone?: string;
@@ -70,8 +50,7 @@
 export const testHost = "app.example";
 
 const zones: Readonly<Record<string, string>> = { "north-a": "north", "north-b": "north", "south-a": "south" };
-const services = ["profiles", "packs"];
-/** Below the range from which the kernel takes ports for outgoing connections. */
+/** Ports of the boxes: below the range from which the kernel takes ports for outgoing connections. */
 let nextPort = 20_000 + (process.pid % 100) * 100;
 
 /** Starts the store; servers, boxes and configurations follow by calls. */
@@ -93,7 +72,7 @@
         },
         recordServer,
         configure(version, rules) {
-            store.put("config", "main", createConfiguration(version, rules));
+            store.put("config", "main", configurationObject(version, testHost, rules));
         },
         startBox(options = {}) {
             const box = createBox(`box-${boxes.length + 1}`, options);
@@ -108,16 +87,7 @@
     };
 
     function recordServer(backend: ServerStandIn, place: ServerPlace): void {
-        store.put("servers", backend.id, {
-            service: place.service ?? "profiles",
-            address: backend.address(),
-            zone: place.zone ?? "north-a",
-            version: "v1",
-            slots: 4,
-            state: place.state ?? "ready",
-            cold_left: place.coldLeft ?? "0ms",
-            call_seq: 1,
-        });
+        store.put("servers", backend.id, serverObject(backend.address(), place));
     }
 
     function createBox(name: string, options: BoxOptions): TestBox {
@@ -179,46 +149,6 @@
     }
 }
 
-function createConfiguration(version: number, rules: readonly RuleOptions[]): unknown {
-    return {
-        version: version.toString(16).padStart(8, "0"),
-        limits: {
-            max_header_bytes: 16384,
-            max_body_bytes: 1_000_000,
-            header_timeout: "3000ms",
-            idle_timeout: "15000ms",
-        },
-        listeners: [{ host: testHost, rules: rules.map(createRule) }],
-        clusters: services.map(name => ({
-            name,
-            health_path: "/health",
-            max_conns: 330,
-            protocol: "h1",
-            tls: false,
-            warmup: "3s",
-            cold_per_s: 14,
-        })),
-    };
-}
-
-function createRule(rule: RuleOptions): unknown {
-    const destination = rule.split === undefined ? { service: rule.service ?? "profiles" } : { split: rule.split };
-    return {
-        name: rule.name,
-        kind: rule.kind,
-        goal: "400ms",
-        priority: 1,
-        sticky: rule.sticky ?? true,
-        match: { path_prefix: rule.path },
-        action: {
-            ...destination,
-            timeout: rule.timeout ?? "1500ms",
-            max_attempts: rule.maxAttempts ?? 2,
-            home_regions: rule.homeRegions ?? [],
-        },
-    };
-}
-
 /** Resolves once a condition holds. Rejects when it does not for long. */
 export async function eventually(condition: () => boolean | Promise<boolean>, what: string): Promise<void> {
     const end = performance.now() + longestWait;
--- /dev/null
+++ b/packages/testing/src/standins/platform-objects.ts
@@ -0,0 +1,83 @@
+/**
+ * Objects of the users' platform as its operators and servers write them: the
+ * configuration, and the record of a server.
+ */
+
+/** A rule of the configuration, in the platform's own words. */
+export interface RuleOptions {
+    readonly name: string;
+    readonly path: string;
+    readonly kind: "safe" | "unsafe" | "download";
+    readonly service?: string;
+    readonly split?: readonly { readonly service: string; readonly weight: number; }[];
+    readonly timeout?: string;
+    readonly maxAttempts?: number;
+    readonly sticky?: boolean;
+    readonly homeRegions?: readonly string[];
+}
+
+/** Where a server is recorded, and how. */
+export interface ServerPlace {
+    readonly service?: string;
+    readonly zone?: string;
+    readonly state?: "ready" | "draining";
+    readonly coldLeft?: string;
+}
+
+/** Services of every configuration that the stand-ins write. */
+const services = ["profiles", "packs"];
+
+/** Returns a configuration of one host. */
+export function configurationObject(version: number, host: string, rules: readonly RuleOptions[]): unknown {
+    return {
+        version: version.toString(16).padStart(8, "0"),
+        limits: {
+            max_header_bytes: 16384,
+            max_body_bytes: 1_000_000,
+            header_timeout: "3000ms",
+            idle_timeout: "15000ms",
+        },
+        listeners: [{ host, rules: rules.map(ruleObject) }],
+        clusters: services.map(name => ({
+            name,
+            health_path: "/health",
+            max_conns: 330,
+            protocol: "h1",
+            tls: false,
+            warmup: "3s",
+            cold_per_s: 14,
+        })),
+    };
+}
+
+function ruleObject(rule: RuleOptions): unknown {
+    const destination = rule.split === undefined ? { service: rule.service ?? "profiles" } : { split: rule.split };
+    return {
+        name: rule.name,
+        kind: rule.kind,
+        goal: "400ms",
+        priority: 1,
+        sticky: rule.sticky ?? true,
+        match: { path_prefix: rule.path },
+        action: {
+            ...destination,
+            timeout: rule.timeout ?? "1500ms",
+            max_attempts: rule.maxAttempts ?? 2,
+            home_regions: rule.homeRegions ?? [],
+        },
+    };
+}
+
+/** Returns the record of a server. */
+export function serverObject(address: string, place: ServerPlace): unknown {
+    return {
+        service: place.service ?? "profiles",
+        address,
+        zone: place.zone ?? "north-a",
+        version: "v1",
+        slots: 4,
+        state: place.state ?? "ready",
+        cold_left: place.coldLeft ?? "0ms",
+        call_seq: 1,
+    };
+}
--- a/packages/testing/test/box-state.test.ts
+++ b/packages/testing/test/box-state.test.ts
@@ -10,12 +10,12 @@
     type Deployment,
     eventually,
     pause,
-    type RuleOptions,
     startDeployment,
     type TestBox,
     testHost,
 } from "../src/standins/deployment.js";
 import type { StoreAnswer } from "../src/standins/metadata-store.js";
+import type { RuleOptions } from "../src/standins/platform-objects.js";
 
 const rules: readonly RuleOptions[] = [{ name: "lookup", path: "/lookup/", kind: "safe" }];
 const place = { name: testHost, region: "north", zone: "north-a" };
--- a/packages/testing/test/one-box.ts
+++ b/packages/testing/test/one-box.ts
@@ -5,14 +5,8 @@
 
 import type { ServerBehaviour, ServerRun, ServerStandIn } from "../src/standins/backend-server.js";
 import { type ClientAnswer, type ClientRequest, sendRequest } from "../src/standins/client.js";
-import {
-    type Deployment,
-    eventually,
-    type RuleOptions,
-    startDeployment,
-    type TestBox,
-    testHost,
-} from "../src/standins/deployment.js";
+import { type Deployment, eventually, startDeployment, type TestBox, testHost } from "../src/standins/deployment.js";
+import type { RuleOptions } from "../src/standins/platform-objects.js";
 
 /** Routes of the box; each test may configure others. */
 export const rules: readonly RuleOptions[] = [
