--- a/packages/box/src/box.ts
+++ b/packages/box/src/box.ts
@@ -66,6 +66,7 @@
 const upkeepInterval = 250;
 /** Milliseconds between two measurements of the load, and between two counts of left out lines. */
 const second = 1000;
+
 /** Starts a box. */
 export function startBox(options: BoxOptions): Box {
     const { clock, protocol, random, settings, store } = options;
--- a/packages/box/src/callers/caller-server.ts
+++ b/packages/box/src/callers/caller-server.ts
@@ -30,7 +30,7 @@
 /** The running listeners. */
 export interface CallerServer {
     readonly connections: CallerConnections;
-    /** Keeps the idle connections of callers for so long as they are told, and a little longer. */
+    /** Sets how long an idle connection of a caller is kept; a margin is added. */
     readonly setIdleTimeout: (timeout: Milliseconds) => void;
     readonly close: () => void;
 }
--- a/packages/box/src/metrics.ts
+++ b/packages/box/src/metrics.ts
@@ -22,7 +22,7 @@
 
 const prefix = "chalkdale";
 const quantiles = [0.5, 0.9, 0.99, 0.999];
-/** Longest latency that is told apart, in milliseconds. */
+/** Longest latency that is recorded as it is, in milliseconds. */
 const highestMilliseconds = 600_000;
 /** Digits of a latency that count: few, since each more costs ten times the memory. */
 const significantDigits = 2;
--- a/packages/box/src/peers/peer-link.ts
+++ b/packages/box/src/peers/peer-link.ts
@@ -25,7 +25,7 @@
 import { applyBeat, type Beat, beatOf, largestDatagram, type PeerMessage, readMessage } from "./peer-messages.js";
 import { createPeerListener, readPeerMembers } from "./peer-reads.js";
 
-/** Members told in one datagram at most: with some 60 bytes each, two fragments of a local network. */
+/** Members in one datagram at most: with some 60 bytes each, two fragments of a local network. */
 const mostBeats = 24;
 
 export interface PeerLinkOptions {
--- a/packages/box/src/peers/peer-messages.ts
+++ b/packages/box/src/peers/peer-messages.ts
@@ -39,7 +39,7 @@
     return [box, incarnation, heartbeat, ready ? 1 : 0, leaving ? 1 : 0, load];
 }
 
-/** Returns a known member as a heartbeat tells of it. */
+/** Returns a known member as it is by a newer heartbeat. */
 export function applyBeat(member: MemberRecord, beat: Beat): MemberRecord {
     const [, incarnation, heartbeat, ready, leaving, load] = beat;
     const state = { ready: ready === 1, leaving: leaving === 1, load };
--- a/packages/box/src/servers/exchange.ts
+++ b/packages/box/src/servers/exchange.ts
@@ -18,7 +18,7 @@
     readonly rawHeaders: readonly string[];
     readonly headers: NodeJS.Dict<string | string[]>;
     readonly body: Buffer;
-    /** True if its length was told, so that a whole answer can be told from a shorter one. */
+    /** True if it had a length or chunks, which show whether it is whole. */
     readonly framed: boolean;
     /** True if the connection may carry another request. */
     readonly reusable: boolean;
--- a/packages/cli/src/box-figures.ts
+++ b/packages/cli/src/box-figures.ts
@@ -41,7 +41,7 @@
     throw new CommandError(`no box answers at ${peer}; name the peer address of a running box`, exitCodes.unavailable);
 }
 
-/** Returns the figures of one box, or undefined if it doesn't tell them. */
+/** Returns the figures of one box, or undefined if it doesn't answer. */
 export async function readFigures(member: MemberRecord, port: number): Promise<readonly Figure[] | undefined> {
     const host = member.callerAddress.slice(0, member.callerAddress.lastIndexOf(":"));
     try {
--- a/packages/cli/src/deployment.ts
+++ b/packages/cli/src/deployment.ts
@@ -76,7 +76,7 @@
     ];
 }
 
-/** `burn --peer IP:PORT --samples FILE`: takes a sample, and tells the burn of each route over four windows. */
+/** `burn --peer IP:PORT --samples FILE`: takes a sample, and shows the burn of each route over four windows. */
 export const burn: Command = {
     words: ["burn"],
     usage: "burn --peer IP:PORT --samples FILE",
--- a/packages/cli/src/settings-file.ts
+++ b/packages/cli/src/settings-file.ts
@@ -15,7 +15,7 @@
 import { type Command, type CommandContext, CommandError, onlyArgument } from "./context.js";
 import { formatTable } from "./table.js";
 
-/** Reads a settings file; tells all its faults and fails when there are any. */
+/** Reads a settings file; shows all its faults and fails when there are any. */
 export async function readTreeFile(file: string, context: CommandContext): Promise<SettingsDocument> {
     const text = await readFile(file, "utf8").catch((error: Error) => {
         throw new CommandError(error.message, exitCodes.settings);
--- a/packages/decisions/src/choose/work-estimate.ts
+++ b/packages/decisions/src/choose/work-estimate.ts
@@ -15,7 +15,7 @@
     readonly least: (route: Route) => Milliseconds;
     /**
      * Learns from an answer. A key that this box did not know at the server may have been known to it all the same,
-     * from other boxes' requests: the time itself tells which.
+     * from other boxes' requests: the time itself shows which.
      *
      * @returns how many times as long as expected the answer took.
      */
@@ -51,7 +51,7 @@
             const middle = (estimate.warm + estimate.cold) / 2;
             const isQuick = !route.sticky || duration < middle;
             const key = isQuick ? "warm" : "cold";
-            // A known key that took long was forgotten, or the server is slow: neither tells about cold work.
+            // A known key that took long was forgotten, or the server is slow: neither says anything about cold work.
             if (isQuick || !known) {
                 estimate.isMeasured = true;
                 estimate[key] += (duration - estimate[key]) * smoothing;
--- a/packages/decisions/src/membership/membership.ts
+++ b/packages/decisions/src/membership/membership.ts
@@ -146,7 +146,7 @@
     return b.capacity - a.capacity || hashText(a.box) - hashText(b.box);
 }
 
-/** Time between two rounds of gossip: 13 of them fit into the time in which a lost box must no longer be told to callers. */
+/** Time between two rounds of gossip: 13 of them fit into the time after which the directory must no longer name a lost box. */
 export const gossipInterval = milliseconds(300);
 /**
  * Rounds without a new heartbeat after which a box counts as failed: 5 that may be lost, and twice the 4 rounds in which
--- a/packages/decisions/src/retry/answer-verdict.ts
+++ b/packages/decisions/src/retry/answer-verdict.ts
@@ -14,7 +14,7 @@
     readonly status: number;
     /** The server says that it did not run the request. */
     readonly saysNotRun: boolean;
-    /** Load that the server told with the answer. */
+    /** Load that the server reported with the answer. */
     readonly load: LoadReport | undefined;
     /** The server is in slow start. */
     readonly isCold: boolean;
--- a/packages/decisions/src/servers/load-estimate.ts
+++ b/packages/decisions/src/servers/load-estimate.ts
@@ -7,17 +7,17 @@
 
 import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
 
-/** Load that a server told in an answer. */
+/** Load that a server reported with an answer. */
 export interface LoadReport {
     readonly running: number;
     readonly waiting: number;
     readonly slots: number;
 }
 
-/** Load of one server as this box can tell. */
+/** Load of one server as far as this box knows. */
 export interface ServerLoad {
     readonly onSent: () => void;
-    /** A request ended in any way; `report` if the answer told the load. */
+    /** A request ended in any way; `report` if the answer had one. */
     readonly onEnded: (at: Milliseconds, report?: LoadReport) => void;
     /** The server refused a request since it is full. */
     readonly onFull: (at: Milliseconds) => void;
--- a/packages/decisions/src/servers/server-state.ts
+++ b/packages/decisions/src/servers/server-state.ts
@@ -25,7 +25,7 @@
     /** Discovery no longer lists the server. */
     readonly onUnlisted: () => void;
     readonly onSent: (at: Milliseconds) => void;
-    /** A request ended in any way; `report` if the answer told the load. */
+    /** A request ended in any way; `report` if the answer had one. */
     readonly onEnded: (at: Milliseconds, report?: LoadReport) => void;
     /** An answer took `ratio` times as long as expected. */
     readonly onAnswerTime: (at: Milliseconds, ratio: number) => void;
@@ -44,7 +44,7 @@
     /** Why the server gets nothing now, or undefined if it may. Outliers are not among them: see `isOutlier`. */
     readonly exclusion: (at: Milliseconds) => ExclusionReason | undefined;
     readonly isCold: (at: Milliseconds) => boolean;
-    /** Requests at the server, running and waiting, as far as this box can tell. */
+    /** Requests at the server, running and waiting, as far as this box knows. */
     readonly load: (at: Milliseconds) => number;
     /** 1 for a server of ordinary speed, more for a slow one. */
     readonly slowness: (at: Milliseconds) => number;
