--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -3,7 +3,6 @@
  */
 
 export * from "./addresses.js";
-export * from "./bounded-call.js";
 export * from "./clock.js";
 export * from "./exit-codes.js";
 export * from "./log-budget.js";
--- a/packages/settings-store/src/http-store.ts
+++ b/packages/settings-store/src/http-store.ts
@@ -6,8 +6,8 @@
  * Owns its connections, which close with the signal; relies on `undici`.
  */
 
-import { boundedCall } from "@chalkdale/runtime";
 import { Agent, errors, request } from "undici";
+import { boundedCall } from "./bounded-call.js";
 import type { SettingsStore, StoredObject, StoreOutcome } from "./settings-store.js";
 
 /** Milliseconds until a connection must be up; an operator waits for it. Not measured. */
