--- a/packages/cli/src/box-figures.ts
+++ b/packages/cli/src/box-metrics.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the members that a running box knows, and the figures of each box.
+ * Reads the members that a running box knows, and the metrics of each box.
  *
  * Owns nothing; relies on a box's peer address and on its metrics.
  */
@@ -9,8 +9,8 @@
 import { request } from "undici";
 import { CommandError } from "./context.js";
 
-/** One figure of a box: `chalkdale_requests_total{route="a",outcome="200"} 7`. */
-export interface Figure {
+/** One metric of a box: `chalkdale_requests_total{route="a",outcome="200"} 7`. */
+export interface Metric {
     readonly name: string;
     readonly labels: Readonly<Record<string, string>>;
     readonly value: number;
@@ -19,7 +19,7 @@
 /** Milliseconds for one box to answer; an operator waits for it. Not measured. */
 const requestTimeout = 3000;
 const prefix = "chalkdale_";
-const figureLine = /^(\w+)(?:\{(.*)\})? (\S+)$/;
+const metricLine = /^(\w+)(?:\{(.*)\})? (\S+)$/;
 const labelPattern = /(\w+)="([^"]*)"/g;
 
 /** Returns the members that the box at a peer address knows. Throws a `CommandError` if it doesn't answer. */
@@ -41,13 +41,13 @@
     throw new CommandError(`no box answers at ${peer}; name the peer address of a running box`, exitCodes.unavailable);
 }
 
-/** Returns the figures of one box, or undefined if it doesn't answer. */
-export async function readFigures(member: MemberRecord, port: number): Promise<readonly Figure[] | undefined> {
+/** Returns the metrics of one box, or undefined if it doesn't answer. */
+export async function readMetrics(member: MemberRecord, port: number): Promise<readonly Metric[] | undefined> {
     const host = member.callerAddress.slice(0, member.callerAddress.lastIndexOf(":"));
     try {
         const { body, statusCode } = await request(`http://${host}:${port}/metrics`, bounded());
         const text = await body.text();
-        return statusCode === 200 ? parseFigures(text) : undefined;
+        return statusCode === 200 ? parseMetrics(text) : undefined;
     }
     catch {
         // A box that can't be reached is a row of its own in what the commands show.
@@ -56,9 +56,9 @@
 }
 
 /** Parses the Prometheus text format as boxes write it; lines that are none are left out. */
-export function parseFigures(text: string): Figure[] {
+export function parseMetrics(text: string): Metric[] {
     return text.split("\n").flatMap(line => {
-        const match = figureLine.exec(line);
+        const match = metricLine.exec(line);
         const value = Number(match?.[3]);
         if (match === null || !match[1].startsWith(prefix) || !Number.isFinite(value)) {
             return [];
@@ -70,9 +70,9 @@
     });
 }
 
-/** Returns the value of a figure without labels, or undefined. */
-export function valueOf(figures: readonly Figure[], name: string): number | undefined {
-    return figures.find(figure => figure.name === name && Object.keys(figure.labels).length === 0)?.value;
+/** Returns the value of a metric without labels, or undefined. */
+export function valueOf(metrics: readonly Metric[], name: string): number | undefined {
+    return metrics.find(metric => metric.name === name && Object.keys(metric.labels).length === 0)?.value;
 }
 
 function bounded() {
--- a/packages/cli/src/deployment.ts
+++ b/packages/cli/src/deployment.ts
@@ -1,6 +1,6 @@
 /**
  * Commands on a whole deployment of the box program: `boxes` and `burn`. They
- * ask a running box for the members and every member for its figures.
+ * ask a running box for the members and every member for its metrics.
  *
  * Owns the file of samples that `burn` appends to.
  */
@@ -8,7 +8,7 @@
 import { advertisedBoxes, type MemberRecord } from "@chalkdale/decisions";
 import { type ExitCode, exitCodes } from "@chalkdale/runtime";
 import { appendFile, readFile } from "node:fs/promises";
-import { type Figure, readFigures, readMembers, valueOf } from "./box-figures.js";
+import { type Metric, readMembers, readMetrics, valueOf } from "./box-metrics.js";
 import {
     type BoxCounters,
     type BurnSample,
@@ -20,9 +20,9 @@
 import { type Command, type CommandContext, CommandError } from "./context.js";
 import { formatTable } from "./table.js";
 
-interface BoxFigures {
+interface BoxWithMetrics {
     readonly member: MemberRecord;
-    readonly figures: readonly Figure[] | undefined;
+    readonly metrics: readonly Metric[] | undefined;
 }
 
 const second = 1000;
@@ -39,9 +39,7 @@
             advertisedBoxes(found.map(({ member }) => member).filter(isInService)).map(({ box }) => box),
         );
         if (context.flags.json) {
-            context.write(
-                JSON.stringify(found.map(entry => ({ ...entry, carries: advertised.has(entry.member.box) }))),
-            );
+            context.write(JSON.stringify(found.map(entry => jsonOf(entry, advertised.has(entry.member.box)))));
         }
         else {
             context.write(formatTable(
@@ -49,11 +47,16 @@
                 found.map(entry => rowOf(entry, advertised.has(entry.member.box))),
             ));
         }
-        return found.every(({ figures }) => figures !== undefined) ? exitCodes.success : exitCodes.unavailable;
+        return found.every(({ metrics }) => metrics !== undefined) ? exitCodes.success : exitCodes.unavailable;
     },
 };
 
-function rowOf({ figures, member }: BoxFigures, carries: boolean): string[] {
+/** The keys are what operators' scripts read. */
+function jsonOf({ member, metrics }: BoxWithMetrics, carries: boolean) {
+    return { member, figures: metrics, carries };
+}
+
+function rowOf({ metrics, member }: BoxWithMetrics, carries: boolean): string[] {
     const place = [
         member.box,
         member.zone,
@@ -61,10 +64,10 @@
         carries ? "yes" : "no",
         `${member.load.toFixed(2)}/${member.capacity.toFixed(2)} cores`,
     ];
-    if (figures === undefined) {
+    if (metrics === undefined) {
         return [...place, "unreachable", "", "", "", ""];
     }
-    const value = (name: string) => valueOf(figures, name);
+    const value = (name: string) => valueOf(metrics, name);
     const lostFor = value("store_lost_milliseconds") ?? 0;
     return [
         ...place,
@@ -135,17 +138,17 @@
     });
 }
 
-function sampleOf(found: readonly BoxFigures[]): BurnSample {
-    const counted = found.flatMap(({ figures, member }) =>
-        figures === undefined ? [] : [[member.box, countersOf(member, figures)] as const]
+function sampleOf(found: readonly BoxWithMetrics[]): BurnSample {
+    const counted = found.flatMap(({ metrics, member }) =>
+        metrics === undefined ? [] : [[member.box, countersOf(member, metrics)] as const]
     );
     return { at: Date.now(), boxes: Object.fromEntries(counted) };
 }
 
-function countersOf(member: MemberRecord, figures: readonly Figure[]): BoxCounters {
+function countersOf(member: MemberRecord, metrics: readonly Metric[]): BoxCounters {
     const good: Record<string, number> = {};
     const bad: Record<string, number> = {};
-    for (const { labels: { outcome, route }, name, value } of figures) {
+    for (const { labels: { outcome, route }, name, value } of metrics) {
         const isGood = name === "requests_total" ? isGoodOutcome(outcome) : undefined;
         if (isGood !== undefined) {
             const counts = isGood ? good : bad;
@@ -155,13 +158,13 @@
     return { incarnation: member.incarnation, good, bad };
 }
 
-async function readDeployment(context: CommandContext): Promise<BoxFigures[]> {
+async function readDeployment(context: CommandContext): Promise<BoxWithMetrics[]> {
     const { metricsPort, peer } = context.flags;
     if (peer === undefined) {
         throw new CommandError("name a running box with --peer IP:PORT (its address for other boxes)", exitCodes.usage);
     }
     const members = [...await readMembers(peer)].sort((a, b) => a.box.localeCompare(b.box));
-    return Promise.all(members.map(async member => ({ member, figures: await readFigures(member, metricsPort) })));
+    return Promise.all(members.map(async member => ({ member, metrics: await readMetrics(member, metricsPort) })));
 }
 
 function isInService(member: MemberRecord): boolean {
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -18,8 +18,8 @@
     --at PATH          node of the tree, such as /services/profil-api/ro-nord
     --platform IP:PORT store of the settings tree
     --peer IP:PORT     address for other boxes of a running box program
-    --metrics-port N   port of the boxes' figures (9464)
-    --samples FILE     where samples of figures are kept between runs
+    --metrics-port N   port of the boxes' metrics (9464)
+    --samples FILE     where samples of metrics are kept between runs
     --objective PART   part of the requests that must be served (0.999)
     --json             output for programs
     --dry-run          show what would be done, and do nothing
--- a/packages/cli/test/burn-rate.test.ts
+++ b/packages/cli/test/burn-rate.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { parseFigures, valueOf } from "../src/box-figures.js";
+import { parseMetrics, valueOf } from "../src/box-metrics.js";
 import { type BurnSample, computeBurn, isGoodOutcome } from "../src/burn-rate.js";
 
 const minute = 60_000;
@@ -50,14 +50,14 @@
     });
 });
 
-describe("figures of a box", () => {
+describe("metrics of a box", () => {
     it("are read with their labels, and other lines are left out", () => {
         const text =
             "chalkdale_requests_total{route=\"a\",outcome=\"200\"} 7\nchalkdale_boxes_alive 3\nother 1\n# x\nchalkdale_x y\n";
-        const figures = parseFigures(text);
-        expect(figures).to.have.length(2);
-        expect(figures[0]).to.deep.equal({ name: "requests_total", labels: { route: "a", outcome: "200" }, value: 7 });
-        expect(valueOf(figures, "boxes_alive")).to.equal(3);
-        expect(valueOf(figures, "requests_total")).to.equal(undefined);
+        const metrics = parseMetrics(text);
+        expect(metrics).to.have.length(2);
+        expect(metrics[0]).to.deep.equal({ name: "requests_total", labels: { route: "a", outcome: "200" }, value: 7 });
+        expect(valueOf(metrics, "boxes_alive")).to.equal(3);
+        expect(valueOf(metrics, "requests_total")).to.equal(undefined);
     });
 });
--- a/packages/testing/test/command-line-deployment.test.ts
+++ b/packages/testing/test/command-line-deployment.test.ts
@@ -51,6 +51,9 @@
             "box-2",
             true,
         ]]);
+        expect(listed.map(({ figures }) => figures?.length ?? 0)).to.satisfy((counts: number[]) =>
+            counts.every(count => count > 0)
+        );
         const table = await runCommandLine("boxes", ...at);
         expect(table.output).to.match(/box-2 +north-a +in service +yes .* 2 +\d+ +answers/);
     });
