--- a/packages/decisions/test/advertised-boxes.test.ts
+++ b/packages/decisions/test/advertised-boxes.test.ts
@@ -3,7 +3,7 @@
 import { advertisedBoxes, advertisedBoxesOfRegion, type MemberRecord, slowStartSenders } from "../src/index.js";
 import { createMember } from "./member.js";
 
-describe("carriers", () => {
+describe("advertised boxes", () => {
     const north = regionId("north");
     const strong = ["s1", "s2", "s3"].map(box => createMember(box, { capacity: 1.35 }));
     const weak = ["w1", "w2", "w3", "w4"].map(box => createMember(box, { capacity: 0.2 }));
--- a/packages/decisions/test/budgets.test.ts
+++ b/packages/decisions/test/budgets.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "chai";
 import { createRetryBudget, createSlidingCount, createSlowStart, createWeightedSplit } from "../src/index.js";
 
-describe("repeat budget [P11]", () => {
+describe("retry budget [P11]", () => {
     it("keeps all boxes together within ratio and allowance in every window", () => {
         const boxCount = 9;
         const boxes = Array.from(
@@ -32,7 +32,7 @@
     });
 });
 
-describe("cold admission [P14]", () => {
+describe("slow start [P14]", () => {
     it("keeps all boxes together within the rate and one request for each sender", () => {
         const names = Array.from({ length: 80 }, (_, index) => boxId(`box-${index}`));
         const admissions = names.map(self =>
@@ -75,7 +75,7 @@
     });
 });
 
-describe("weighted rotation", () => {
+describe("weighted split", () => {
     it("gives each destination its share to within one request [P20]", () => {
         const next = createWeightedSplit([
             { service: serviceId("a"), weight: 90 },
--- a/packages/decisions/test/relay-role.test.ts
+++ b/packages/decisions/test/relay-role.test.ts
@@ -3,37 +3,37 @@
 import { createRelayRole, type MemberRecord } from "../src/index.js";
 import { createMember } from "./member.js";
 
-describe("duty to follow the store [P8]", () => {
+describe("the relay role [P8]", () => {
     const changeBound = milliseconds(3000);
     const names = ["a", "b", "c", "d", "e", "f", "g", "h"];
-    const dutyOf = (self: string, alive: readonly MemberRecord[]) =>
+    const roleOf = (self: string, alive: readonly MemberRecord[]) =>
         createRelayRole({ self: boxId(self), region: regionId("north"), alive: () => alive, changeBound });
-    const dueAges = (alive: readonly MemberRecord[]) =>
-        alive.map(record => dutyOf(record.box, alive).followAfterAge() as number);
+    const followAges = (alive: readonly MemberRecord[]) =>
+        alive.map(record => roleOf(record.box, alive).followAfterAge() as number);
 
     it("falls to every box of a small region, with watches of the store's own length", () => {
         const alive = names.slice(0, 5).map(name => createMember(name));
-        expect(dueAges(alive)).to.deep.equal([0, 0, 0, 0, 0]);
-        expect(dutyOf("a", alive).isRelayed()).to.equal(false);
-        expect(dutyOf("a", alive).watchWait()).to.equal(undefined);
+        expect(followAges(alive)).to.deep.equal([0, 0, 0, 0, 0]);
+        expect(roleOf("a", alive).isRelayed()).to.equal(false);
+        expect(roleOf("a", alive).watchWait()).to.equal(undefined);
     });
 
     it("falls to one box of a large region", () => {
-        const ages = dueAges(names.map(name => createMember(name)));
+        const ages = followAges(names.map(name => createMember(name)));
         expect(ages.filter(age => age === 0)).to.have.length(1);
     });
 
     it("falls to the strongest box, and not to one that leaves", () => {
         const alive = names.map(name => createMember(name, { capacity: name === "c" ? 4 : name === "d" ? 3 : 1 }));
-        expect(dutyOf("c", alive).alwaysFollows()).to.equal(true);
+        expect(roleOf("c", alive).alwaysFollows()).to.equal(true);
         const leaving = alive.map(record => ({ ...record, leaving: record.box === "c" }));
-        expect(dutyOf("d", leaving).alwaysFollows()).to.equal(true);
+        expect(roleOf("d", leaving).alwaysFollows()).to.equal(true);
     });
 
     it("leaves every box the time to ask the store itself within the bound on changes", () => {
         const alive = names.map(name => createMember(name));
-        const ages = dueAges(alive).filter(age => age > 0);
-        const watch = dutyOf("a", alive).watchWait()!;
+        const ages = followAges(alive).filter(age => age > 0);
+        const watch = roleOf("a", alive).watchWait()!;
         const roundOfMessages = 400;
         expect(Math.min(...ages)).to.be.greaterThan(watch + roundOfMessages);
         expect(Math.max(...ages)).to.be.lessThan(changeBound * 0.75);
@@ -42,6 +42,6 @@
 
     it("counts the boxes of its own region only", () => {
         const south = names.map(name => createMember(`s-${name}`, { region: regionId("south") }));
-        expect(dutyOf("a", [createMember("a"), ...south]).isRelayed()).to.equal(false);
+        expect(roleOf("a", [createMember("a"), ...south]).isRelayed()).to.equal(false);
     });
 });
--- a/packages/testing/src/emulator/day.ts
+++ b/packages/testing/src/emulator/day.ts
@@ -49,7 +49,7 @@
     /** Part of the requests at servers that found every slot and every place in the queue taken. */
     readonly turnedAwayShare: number;
     /** Arrivals beyond the first of each request. */
-    readonly repeats: number;
+    readonly retries: number;
 }
 
 /** Plays a day. The same options give the same result. */
@@ -58,7 +58,7 @@
     const events = createEventQueue();
     const random = createSeededRandom(options.seed);
     const tally = createTally();
-    let repeats = 0;
+    let retries = 0;
     let burst = 1;
     const fleet = createFleet({
         deployment,
@@ -66,7 +66,7 @@
         random,
         events,
         onArrival: count => {
-            repeats += count > 1 ? 1 : 0;
+            retries += count > 1 ? 1 : 0;
         },
         onDecision: line => options.onDecision?.(`${events.now().toFixed(1)} ${line}`),
     });
@@ -78,7 +78,7 @@
         }
     }
     events.runUntil(options.length);
-    return { ...tally.summarize(), ...summarizeServers(fleet.servers), repeats };
+    return { ...tally.summarize(), ...summarizeServers(fleet.servers), retries };
 
     function scheduleNext(zone: string, requestClass: RequestClass): void {
         const rate = requestClass.perSecond * options.load * burst * waveOf(zone);
--- a/packages/testing/src/emulator/main.ts
+++ b/packages/testing/src/emulator/main.ts
@@ -67,7 +67,7 @@
     }
     const loads = cli.flags.loads.split(",").map(Number);
     const troubles = troublesOf(cli.flags.trouble, deployment);
-    process.stdout.write("policy          load  worth  worst zone   warm  refused  repeats\n");
+    process.stdout.write("policy          load  worth  worst zone   warm  refused  retries\n");
     for (const policy of policyNames) {
         for (const load of loads) {
             const days = Array.from(
@@ -88,7 +88,7 @@
         mean(days.map(day => day.worstZone)).toFixed(3).padStart(11),
         mean(days.map(day => day.warmShare)).toFixed(3).padStart(6),
         mean(days.map(day => day.refused / day.asked)).toFixed(3).padStart(8),
-        mean(days.map(day => day.repeats)).toFixed(0).padStart(8),
+        mean(days.map(day => day.retries)).toFixed(0).padStart(8),
     ];
     process.stdout.write(`${columns.join(" ")}\n`);
 }
--- a/packages/testing/src/soak/callers.ts
+++ b/packages/testing/src/soak/callers.ts
@@ -52,7 +52,7 @@
         const client = createCaller("wait", true);
         const end = now() + longestFirstWait;
         while (now() < end) {
-            const answer = await client.call({ host, path: "/lookup/" }, { repeatable: true });
+            const answer = await client.call({ host, path: "/lookup/" }, { idempotent: true });
             if (answer.status === 200) {
                 client.close();
                 return;
@@ -81,21 +81,21 @@
         const paths = Object.keys(servicesByPath);
         for (let count = 0; !isOver; count++) {
             const path = paths[count % paths.length];
-            const repeatable = path !== "/save/";
+            const idempotent = path !== "/save/";
             const before = client.attempts();
             const at = now();
             const answer = await client.call({
                 host,
                 path,
-                method: repeatable ? "GET" : "POST",
-                body: repeatable ? undefined : "work",
+                method: idempotent ? "GET" : "POST",
+                body: idempotent ? undefined : "work",
                 affinityKey: `k${count % keys}`,
                 deadlineMs: deadline,
                 leaveAfterMs: random() < options.leavingShare ? earlyLeave : lateLeave,
-            }, { repeatable });
+            }, { idempotent });
             if (client.attempts() > before) {
                 const requestId = `${options.prefix}-c${index}-${client.attempts()}`;
-                attempts.push({ requestId, repeatable, at, box: "a box", answer });
+                attempts.push({ requestId, idempotent, at, box: "a box", answer });
             }
             await pause(milliseconds(10 + random() * 20));
         }
--- a/packages/testing/src/soak/checks.ts
+++ b/packages/testing/src/soak/checks.ts
@@ -22,7 +22,7 @@
 /** One attempt of a caller. */
 export interface ObservedAttempt {
     readonly requestId: string;
-    readonly repeatable: boolean;
+    readonly idempotent: boolean;
     readonly at: number;
     readonly box: string;
     readonly answer: ClientAnswer;
@@ -85,12 +85,12 @@
 }
 
 function atMostOnce({ runs, attempts }: Observations): Breach[] {
-    const repeatable = new Map(attempts.map(attempt => [attempt.requestId, attempt.repeatable]));
+    const idempotent = new Map(attempts.map(attempt => [attempt.requestId, attempt.idempotent]));
     const first = new Map<string, ObservedRun>();
     const breaches: Breach[] = [];
     for (const run of runs) {
         const earlier = first.get(run.requestId);
-        if (earlier !== undefined && repeatable.get(run.requestId) === false) {
+        if (earlier !== undefined && idempotent.get(run.requestId) === false) {
             const detail = `${run.requestId} ran on ${earlier.server} at ${earlier.at} and on ${run.server}`;
             breaches.push({ promise: "at most once", at: run.at, detail });
         }
@@ -102,7 +102,7 @@
 function refusedUnrun({ attempts, runs }: Observations): Breach[] {
     const ran = new Map(runs.map(run => [run.requestId, run]));
     const refused = attempts.filter(attempt =>
-        !attempt.repeatable && [408, 421, 429, 503].includes(attempt.answer.status)
+        !attempt.idempotent && [408, 421, 429, 503].includes(attempt.answer.status)
     );
     return refused.filter(attempt => ran.has(attempt.requestId)).map(({ answer, at, box, requestId }) => ({
         promise: "refused unrun",
--- a/packages/testing/src/standins/client.ts
+++ b/packages/testing/src/standins/client.ts
@@ -94,7 +94,7 @@
 
 /** A client that looks up first, chooses at random, and retries. */
 export interface Client {
-    readonly call: (call: ClientCall, options: { readonly repeatable: boolean; }) => Promise<ClientAnswer>;
+    readonly call: (call: ClientCall, options: { readonly idempotent: boolean; }) => Promise<ClientAnswer>;
     /** Attempts so far, retries included. */
     readonly attempts: () => number;
     readonly close: () => void;
@@ -122,11 +122,11 @@
     let attempts = 0;
 
     return {
-        async call(call, { repeatable }) {
+        async call(call, { idempotent }) {
             for (let left = options.retries ?? 1;; left--) {
                 const address = await chooseBox(call.host);
                 const answer = address === undefined ? unanswered : await attempt(address, call);
-                const mayRetry = repeatable ? answer.status === 0 || answer.status >= 500 : promises.has(answer.status);
+                const mayRetry = idempotent ? answer.status === 0 || answer.status >= 500 : promises.has(answer.status);
                 if (left <= 0 || !mayRetry && !promises.has(answer.status)) {
                     return answer;
                 }
--- a/packages/testing/test/box-requests.test.ts
+++ b/packages/testing/test/box-requests.test.ts
@@ -166,7 +166,7 @@
                 });
                 misbehave({ kind: "shed" }, 2);
                 const call = { host: testHost, path: "/save/", method: "POST", body: "b", affinityKey: "k" };
-                expect((await client.call(call, { repeatable: false })).status).to.equal(200);
+                expect((await client.call(call, { idempotent: false })).status).to.equal(200);
                 expect(client.attempts()).to.equal(2);
                 expect(runs()).to.have.length(1);
                 client.close();
--- a/packages/testing/test/soak.test.ts
+++ b/packages/testing/test/soak.test.ts
@@ -37,7 +37,7 @@
     });
     const attempt = (status: number, body = "answer of i-1 to r-1") => ({
         requestId: "r-1",
-        repeatable: false,
+        idempotent: false,
         at: 90,
         box: "box",
         answer: { status, body, headers: { "server-stamp": "stamp.r-1" } },
