--- a/packages/testing/src/promises/mechanisms.ts
+++ b/packages/testing/src/promises/mechanisms.ts
@@ -217,7 +217,7 @@
         file: decision("retry/retry-budget"),
         find: "if (retries.total(at) + 1 > earned + granted) {",
         replace: "if (false) {",
-        specs: [decisionTest("budgets")],
+        specs: [decisionTest("retry-budget")],
     },
     {
         promise: "P11",
@@ -257,7 +257,7 @@
         file: decision("servers/slow-start"),
         find: "return better < senders ?",
         replace: "return true ?",
-        specs: [decisionTest("budgets")],
+        specs: [decisionTest("slow-start")],
     },
     {
         promise: "P15",
@@ -297,7 +297,7 @@
         file: decision("membership/membership"),
         find: "return at - entry.changedAt < options.failAfter;",
         replace: "return true;",
-        specs: [decisionTest("replica")],
+        specs: [decisionTest("membership")],
     },
     {
         promise: "P8",
@@ -321,6 +321,6 @@
         file: decision("admit/weighted-split"),
         find: "credit[index] += destination.weight;",
         replace: "credit[index] += 1;",
-        specs: [decisionTest("budgets")],
+        specs: [decisionTest("weighted-split")],
     },
 ];
