--- a/packages/testing/src/soak/faults.ts
+++ b/packages/testing/src/soak/faults.ts
@@ -4,9 +4,9 @@
  */
 
 import { milliseconds, type RandomSource } from "@chalkdale/kernel";
-import type { ServerBehaviour } from "../standins/backend-server.js";
 import { pause } from "../standins/deployment.js";
 import type { StoreFault } from "../standins/metadata-store-server.js";
+import type { ServerBehaviour } from "../standins/server-answers.js";
 import type { BoxProcess } from "./box-process.js";
 import type { Interval } from "./checks.js";
 import type { LinkState, Proxy } from "./proxy.js";
--- a/packages/testing/src/standins/backend-server.ts
+++ b/packages/testing/src/standins/backend-server.ts
@@ -5,26 +5,8 @@
 
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import { type AddressInfo, Server as NetServer } from "node:net";
-
-/** What the server does with a request. */
-export type ServerBehaviour =
-    | { readonly kind: "serve"; }
-    /** Full: not run. */
-    | { readonly kind: "shed"; }
-    /** A failure of its own, after it ran. */
-    | { readonly kind: "fail"; readonly status: number; }
-    /** Runs, then its answer is lost with the connection. */
-    | { readonly kind: "loseAnswer"; readonly by: "close" | "reset" | "silence"; }
-    /** Ends the answer early. */
-    | { readonly kind: "breakOff"; readonly by: "close" | "reset"; }
-    /** Answers without a length and ends the connection. */
-    | { readonly kind: "unframed"; }
-    /** A second answer follows the first, at once or a little later. */
-    | { readonly kind: "extra"; readonly afterMs: number; }
-    /** Bytes that are no answer. */
-    | { readonly kind: "garbage"; }
-    /** Answers before it has read the body. */
-    | { readonly kind: "early"; };
+import { type ServerBehaviour, writeAnswer } from "./server-answers.js";
+import { createSlotQueue } from "./slot-queue.js";
 
 /** A request that the server began to work on. */
 export interface ServerRun {
@@ -82,14 +64,13 @@
 export async function startServerStandIn(options: ServerStandInOptions): Promise<ServerStandIn> {
     const runs: ServerRun[] = [];
     const keys = new Set<string>();
-    const waiting: (() => void)[] = [];
     const slots = options.slots ?? defaultSlots;
+    const queue = createSlotQueue(slots, options.queue ?? defaultQueue);
     const host = options.host ?? "127.0.0.1";
     let behaviourOf: (request: IncomingMessage) => ServerBehaviour = () => ({ kind: "serve" });
     let work = 0;
     let coldFor = 0;
     let leaving = false;
-    let running = 0;
     let arrivals = 0;
     let connections = 0;
     let abandoned = 0;
@@ -144,7 +125,7 @@
             return;
         }
         const behaviour = behaviourOf(request);
-        if (behaviour.kind === "shed" || (running >= slots && waiting.length >= (options.queue ?? defaultQueue))) {
+        if (behaviour.kind === "shed" || queue.isFull()) {
             response.writeHead(503, { "Request-Id": requestId, "Not-Run": "1" }).end();
             return;
         }
@@ -153,23 +134,9 @@
             return;
         }
         const body = await readText(request);
-        await takeSlot();
+        await queue.take();
         await run(request, response, requestId, body, behaviour);
-        running -= 1;
-        waiting.shift()?.();
-    }
-
-    function takeSlot(): Promise<void> {
-        if (running < slots) {
-            running += 1;
-            return Promise.resolve();
-        }
-        return new Promise(resolve =>
-            waiting.push(() => {
-                running += 1;
-                resolve();
-            })
-        );
+        queue.giveBack();
     }
 
     async function run(
@@ -191,7 +158,7 @@
         // A server that was closed while it worked must not hold the process.
         await new Promise(resolve => setTimeout(resolve, work * (warm ? warmPart : 1)).unref());
         isOver = true;
-        answer(request, response, requestId, behaviour);
+        writeAnswer(request, response, contentOf(requestId), behaviour);
     }
 
     function remember(key: string): boolean {
@@ -203,61 +170,16 @@
         return warm;
     }
 
-    function answer(
-        request: IncomingMessage,
-        response: ServerResponse,
-        requestId: string,
-        behaviour: ServerBehaviour,
-    ): void {
-        const text = `answer of ${options.id} to ${requestId}`;
-        const headers = {
-            "Request-Id": requestId,
-            "Server-Stamp": `stamp.${requestId}`,
-            "Server-Load": `${running},${waiting.length},${slots}`,
-            ...(leaving ? { "Connection": "close" } : {}),
+    function contentOf(requestId: string) {
+        return {
+            text: `answer of ${options.id} to ${requestId}`,
+            headers: {
+                "Request-Id": requestId,
+                "Server-Stamp": `stamp.${requestId}`,
+                "Server-Load": `${queue.running()},${queue.waiting()},${slots}`,
+                ...(leaving ? { "Connection": "close" } : {}),
+            },
         };
-        const head = Object.entries(headers).map(([name, value]) => `${name}: ${value}\r\n`).join("");
-        const framed = `HTTP/1.1 200 OK\r\n${head}Content-Length: ${text.length}\r\n\r\n`;
-        const { socket } = request;
-        switch (behaviour.kind) {
-            case "serve":
-            case "shed":
-            case "early":
-                response.writeHead(200, headers).end(text);
-                return;
-            case "fail":
-                response.writeHead(behaviour.status, headers).end(text);
-                return;
-            case "loseAnswer":
-                endBy(request, behaviour.by);
-                return;
-            case "breakOff":
-                socket.write(framed + text.slice(0, text.length / 2), () => endBy(request, behaviour.by));
-                return;
-            case "unframed":
-                socket.end(`HTTP/1.1 200 OK\r\n${head}Connection: close\r\n\r\n${text}`);
-                return;
-            case "extra":
-                socket.write(framed + text);
-                setTimeout(() => socket.write(framed + text), behaviour.afterMs);
-                return;
-            case "garbage":
-                socket.write("this is no answer\r\n\r\n");
-                return;
-        }
-    }
-}
-
-function endBy(request: IncomingMessage, by: "close" | "reset" | "silence"): void {
-    switch (by) {
-        case "close":
-            request.socket.end();
-            return;
-        case "reset":
-            request.socket.resetAndDestroy();
-            return;
-        case "silence":
-            return;
     }
 }
 
--- a/packages/testing/test/box-servers.test.ts
+++ b/packages/testing/test/box-servers.test.ts
@@ -5,8 +5,9 @@
 
 import { milliseconds } from "@chalkdale/kernel";
 import { expect } from "chai";
-import type { ServerBehaviour, ServerStandIn } from "../src/standins/backend-server.js";
+import type { ServerStandIn } from "../src/standins/backend-server.js";
 import { type Deployment, eventually, pause, type TestBox } from "../src/standins/deployment.js";
+import type { ServerBehaviour } from "../src/standins/server-answers.js";
 import { type OneBox, rules, startOneBox } from "./one-box.js";
 
 describe("a box and its servers", () => {
--- a/packages/testing/test/one-box.ts
+++ b/packages/testing/test/one-box.ts
@@ -3,10 +3,11 @@
  * sockets: what the tests of requests and of servers begin from.
  */
 
-import type { ServerBehaviour, ServerRun, ServerStandIn } from "../src/standins/backend-server.js";
+import type { ServerRun, ServerStandIn } from "../src/standins/backend-server.js";
 import { type ClientAnswer, type ClientRequest, sendRequest } from "../src/standins/client.js";
 import { type Deployment, eventually, startDeployment, type TestBox, testHost } from "../src/standins/deployment.js";
 import type { RuleOptions } from "../src/standins/platform-objects.js";
+import type { ServerBehaviour } from "../src/standins/server-answers.js";
 
 /** Routes of the box; each test may configure others. */
 export const rules: readonly RuleOptions[] = [
