--- a/packages/testing/src/standins/metadata-store-server.ts
+++ b/packages/testing/src/standins/metadata-store-server.ts
@@ -39,7 +39,7 @@
 }
 
 const stepInterval = 20;
-const objectPath = /^\/v1\/objects\/([^/?]+)(?:\/([^/?]+))?(\/status)?$/;
+const objectPath = /^\/v1\/objects\/([^/?]+)(?:\/([^/?]+))?$/;
 
 /** Listens on a loopback address. */
 export async function serveMetadataStore(store: MetadataStore, host = "127.0.0.1"): Promise<MetadataStoreServer> {
@@ -72,7 +72,7 @@
             answer(response, { status: 404 });
             return;
         }
-        const [, kind, name, status] = match;
+        const [, kind, name] = match;
         const isWatch = url.searchParams.has("watch");
         const fault = faultOf({ method, kind, caller: request.socket.remoteAddress ?? "", isWatch });
         if (applyFault(fault, request, response)) {
@@ -85,7 +85,7 @@
             response.on("close", cancel);
             return;
         }
-        const act = () => perform(method, kind, name, status !== undefined, url, body);
+        const act = () => perform(method, kind, name, url, body);
         if (fault.kind === "late") {
             setTimeout(act, fault.afterMs);
             request.socket.destroy();
@@ -103,30 +103,16 @@
         method: string,
         kind: string,
         name: string | undefined,
-        isStatus: boolean,
         url: URL,
         body: unknown,
     ): StoreAnswer {
-        const revision = url.searchParams.get("revision");
         switch (method) {
-            case "GET": {
-                const after = url.searchParams.get("after") ?? undefined;
-                return name === undefined
-                    ? store.list(kind, { after, stale: url.searchParams.get("stale") === "1" })
-                    : store.get(kind, decodeURIComponent(name));
-            }
+            case "GET":
+                return store.list(kind, { after: url.searchParams.get("after") ?? undefined });
             case "POST":
                 return store.create(kind, readWrite(body, undefined));
-            case "PUT": {
-                const write = readWrite(body, name);
-                return isStatus ? store.replaceStatus(kind, write) : store.replace(kind, write);
-            }
-            case "DELETE":
-                return store.remove(
-                    kind,
-                    decodeURIComponent(name ?? ""),
-                    revision === null ? undefined : Number(revision),
-                );
+            case "PUT":
+                return store.replace(kind, readWrite(body, name));
             default:
                 return { status: 405 };
         }
@@ -151,18 +137,15 @@
 }
 
 interface WrittenObject {
-    readonly metadata?: { readonly name?: string; readonly revision?: number; readonly finalizers?: string[]; };
+    readonly metadata?: { readonly name?: string; readonly revision?: number; };
     readonly spec?: unknown;
-    readonly status?: unknown;
 }
 
 function readWrite(body: unknown, name: string | undefined): ObjectWrite {
-    const { metadata = {}, spec, status } = body as WrittenObject;
+    const { metadata = {}, spec } = body as WrittenObject;
     return {
         name: name === undefined ? metadata.name ?? "" : decodeURIComponent(name),
         spec,
-        status,
-        finalizers: metadata.finalizers,
         revision: metadata.revision,
     };
 }
--- a/packages/testing/test/metadata-store.test.ts
+++ b/packages/testing/test/metadata-store.test.ts
@@ -8,7 +8,7 @@
 
     beforeEach(() => {
         time = 0;
-        store = createMetadataStore({ clock: () => milliseconds(time), pageSize: 2, lag: milliseconds(500) });
+        store = createMetadataStore({ clock: () => milliseconds(time), pageSize: 2 });
     });
 
     it("lists by page", () => {
@@ -33,16 +33,6 @@
         expect(store.revision()).to.equal(1);
     });
 
-    it("keeps an object with finalizers as deleting until they are gone", () => {
-        store.create("things", { name: "a", spec: 1, finalizers: ["me"] });
-        store.remove("things", "a");
-        expect((store.get("things", "a").body as { metadata: { deleting: boolean; }; }).metadata.deleting).to.equal(
-            true,
-        );
-        store.replace("things", { name: "a", spec: 1, finalizers: [] });
-        expect(store.get("things", "a").status).to.equal(404);
-    });
-
     it("answers a watch at the next change, at the end of its wait, or with 410", () => {
         const answers: StoreAnswer[] = [];
         store.watch("things", 0, milliseconds(100), answer => answers.push(answer));
@@ -56,15 +46,6 @@
         store.watch("things", 0, milliseconds(100), answer => answers.push(answer));
         expect(answers[2].status).to.equal(410);
     });
-
-    it("gives stale reads as old as its lag", () => {
-        store.put("things", "a", {});
-        time = 1000;
-        store.put("things", "b", {});
-        expect(itemsOf(store.list("things", { stale: true }))).to.deep.equal(["a"]);
-        time = 1600;
-        expect(itemsOf(store.list("things", { stale: true }))).to.deep.equal(["a", "b"]);
-    });
 });
 
 function itemsOf(answer: StoreAnswer): string[] {
