--- a/packages/box/src/servers/exchange.ts
+++ b/packages/box/src/servers/exchange.ts
@@ -147,6 +147,7 @@
 
 const statusesWithoutBody = new Set([204, 304]);
 
+/** Milliseconds of a second, the unit of the header. */
 const millisecondsOfSecond = 1000;
 const keepAliveTimeout = /timeout=(\d+)/;
 
--- a/packages/cli/src/burn-rate.ts
+++ b/packages/cli/src/burn-rate.ts
@@ -38,7 +38,9 @@
 /** What to do about a burn: wake someone, look at it by day, or nothing. */
 type BurnAlert = "page" | "ticket" | "none";
 
+/** Milliseconds of a minute. */
 const minute = 60_000;
+/** Milliseconds of an hour. */
 const hour = 60 * minute;
 
 /** The windows of the report. */
@@ -51,10 +53,12 @@
 
 /** Rates from which both windows of an alert must burn. */
 const pageRate = 14.4;
+/** Burn rate from which a ticket is due; the same chapter of the SRE Workbook as the page's. */
 const ticketRate = 1;
 
 /** Outcomes that are the caller's own doing and use up no budget. */
 const callersOwn: ReadonlySet<string> = new Set(["callerLeft", "noRoute", "bodyTooLarge"]);
+/** Statuses of failures begin here, by HTTP. */
 const leastFailureStatus = 500;
 
 /** True, false, or undefined for an outcome that does not count. */
--- a/packages/cli/src/deployment.ts
+++ b/packages/cli/src/deployment.ts
@@ -25,7 +25,9 @@
     readonly metrics: readonly Metric[] | undefined;
 }
 
+/** Milliseconds of a second. */
 const second = 1000;
+/** Bytes of a megabyte. */
 const megabyte = 1024 * 1024;
 
 /** `boxes --peer IP:PORT`: every box that runs, what it carries and what it has in force. */
--- a/packages/decisions/src/choose/rendezvous.ts
+++ b/packages/decisions/src/choose/rendezvous.ts
@@ -11,6 +11,7 @@
 
 import { hashText } from "@chalkdale/kernel";
 
+/** Number of values that a hash of 32 bits can have. */
 const twoToThe32 = 4294967296;
 
 /** Returns the score of a candidate for a key; the highest wins. */
--- a/packages/decisions/src/choose/round-trips.ts
+++ b/packages/decisions/src/choose/round-trips.ts
@@ -14,7 +14,9 @@
 
 /** First guesses in milliseconds, until a connection was opened: about the sites' 1 to 3 ms and 24 to 70 ms. */
 const sameZone = 1;
+/** Milliseconds within a region: about the sites' 2 to 3. */
 const sameRegion = 3;
+/** Milliseconds between regions: between the sites' 24 and 70. */
 const otherRegion = 40;
 /** Weight of the newest connection. Not measured. */
 const smoothing = 0.2;
--- a/packages/decisions/src/choose/server-choice.ts
+++ b/packages/decisions/src/choose/server-choice.ts
@@ -97,6 +97,7 @@
  * is worth (0.86 to 1.08 of 1), between zones 0.39 to 0.50. Not measured against other weights.
  */
 const downloadRegionWeight = 60;
+/** Weight of a slot in the box's own availability zone for downloads. Not measured against other weights. */
 const downloadZoneWeight = 4000;
 /**
  * What it costs later requests that a key leaves its first server, as milliseconds of expected time. 0 and 250 were worse
@@ -105,6 +106,7 @@
 const movePenalty = 100;
 /** What the bytes of a download cost between zones and between regions, as milliseconds of expected time. Not measured. */
 const downloadZonePenalty = 100;
+/** The same between regions. Not measured. */
 const downloadRegionPenalty = 600;
 /**
  * Part of the extra work of an unknown key that is expected where the key ranks first but this box has not seen it there:
--- a/packages/decisions/src/choose/work-estimate.ts
+++ b/packages/decisions/src/choose/work-estimate.ts
@@ -26,6 +26,7 @@
 const smoothing = 0.1;
 /** First guesses, as parts of the route's goal: on the sites cold work is 1.2 to 1.6 of the aim and warm work 0.3 of cold. */
 const firstWarmPart = 0.35;
+/** First guess of cold work, as a part of the route's goal: the sites' sheets have 1.2 to 1.6. */
 const firstColdPart = 1.2;
 /**
  * The least time expected, as a part of the time of warm work. A request is refused as too late by it alone, so it must not be
--- a/packages/decisions/src/retry/answer-verdict.ts
+++ b/packages/decisions/src/retry/answer-verdict.ts
@@ -31,6 +31,7 @@
     /** The server ran the request. */
     | { readonly kind: "ran"; readonly isFailure: boolean; readonly isSuccess: boolean; };
 
+/** HTTP's status of a server that is not the one meant. */
 const statusMisdirected = 421;
 /** A server answers so at the request's deadline; within the expected time that is no fault of the server. */
 const statusDeadline = 504;
--- a/packages/decisions/src/retry/retry-budget.ts
+++ b/packages/decisions/src/retry/retry-budget.ts
@@ -36,6 +36,7 @@
  * No run broke the bound with them, nor with others: not measured against other parts.
  */
 const usedShareOfRatio = 0.8;
+/** Part of the allowance that is used. Not measured against other parts. */
 const usedShareOfAllowance = 0.6;
 
 /** Creates the budget of one service. */
--- a/packages/decisions/src/servers/ejection.ts
+++ b/packages/decisions/src/servers/ejection.ts
@@ -28,6 +28,7 @@
  * worth, so a server that is gone for good must cost few. Not measured.
  */
 const firstPause = milliseconds(500);
+/** Milliseconds; the longest pause between two checks of one server. Not measured. */
 const longestPause = milliseconds(8000);
 /** Broken answers in a row that eject: fewer would eject a server for one lost answer. Not measured. */
 const brokenAnswersInARow = 3;
--- a/packages/decisions/src/servers/load-estimate.ts
+++ b/packages/decisions/src/servers/load-estimate.ts
@@ -31,6 +31,7 @@
 const reportLifetime = 1000;
 /** Milliseconds for which a refusal as full counts as this many times the slots. Not measured. */
 const fullPause = 60;
+/** Times the slots that a server counts as loaded with after it refused as full. Not measured. */
 const fullFactor = 3;
 
 /** Creates the load of an idle server. */
--- a/packages/decisions/src/servers/outlier-detection.ts
+++ b/packages/decisions/src/servers/outlier-detection.ts
@@ -21,7 +21,9 @@
  * fail half of their requests; the scores with it are 87cfbcda and b6200696.
  */
 const smoothing = 0.25;
+/** Milliseconds after which half of the share is forgotten; set with the smoothing. */
 const halfLife = 4000;
+/** Share of failures, from 0 to 1, above which a server is an outlier; set with the smoothing. */
 const outlierShare = 0.3;
 
 /** Creates the detection for a server without results. */
--- a/packages/decisions/src/servers/server-speed.ts
+++ b/packages/decisions/src/servers/server-speed.ts
@@ -21,6 +21,7 @@
 const halfLife = 5000;
 /** Bounds of one answer's weight: a single stray answer neither frees nor bars a server. Not measured. */
 const leastRatio = 0.25;
+/** Times the expected time that one answer counts for at most. Not measured. */
 const greatestRatio = 20;
 
 /** Creates the speed of a server that has not answered yet. */
--- a/packages/decisions/src/servers/slow-start.ts
+++ b/packages/decisions/src/servers/slow-start.ts
@@ -20,6 +20,7 @@
 const mostSenders = 4;
 /** Part of the rate that is used; the rest is for boxes that don't yet agree on the senders. Not measured. */
 const usedPartOfRate = 0.9;
+/** Milliseconds of a second, the unit of the rate. */
 const second = 1000;
 
 /** Slow start of one server as one box takes part in it. */
--- a/packages/decisions/src/shared-state/relay-role.ts
+++ b/packages/decisions/src/shared-state/relay-role.ts
@@ -26,9 +26,11 @@
  * box follows the store itself. A relay that is lost costs 0.55 to 0.73 of the bound; the rest is for a list or snapshot.
  */
 const watchPart = 0.3;
+/** Part of the bound on changes: age of a copy from which the next box follows the store. Measured with the relay as a whole (a5abbaf2). */
 const patiencePart = 0.55;
 /** Added to that age for each rank after the relay, up to the highest rank that waits; so not all call at once. */
 const rankPart = 0.06;
+/** Ranks that wait longer than the one before; all later boxes wait as long as this one. Not measured. */
 const highestRank = 3;
 
 /** The part of one box in following the store. */
--- a/packages/kernel/src/environment.ts
+++ b/packages/kernel/src/environment.ts
@@ -10,7 +10,9 @@
 /** Returns a number from 0 up to but not including 1. */
 export type RandomSource = () => number;
 
+/** Constant of Mulberry32. */
 const mulberryIncrement = 0x6d2b79f5;
+/** Number of values of 32 bits. */
 const twoToThe32 = 4294967296;
 
 /**
--- a/packages/kernel/src/hash.ts
+++ b/packages/kernel/src/hash.ts
@@ -3,7 +3,9 @@
  * rank servers and each other by it without asking.
  */
 
+/** Constant of FNV-1a, 32 bits. */
 const fnvOffset = 0x811c9dc5;
+/** Constant of FNV-1a, 32 bits. */
 const fnvPrime = 0x01000193;
 
 /** Returns the 32-bit FNV-1a hash of a text with a final avalanche step. */
--- a/packages/runtime/src/addresses.ts
+++ b/packages/runtime/src/addresses.ts
@@ -11,6 +11,7 @@
     readonly port: number;
 }
 
+/** Largest port of TCP and UDP. */
 const largestPort = 65_535;
 
 /** Reads `IP:PORT`, or `[IPV6]:PORT`, as an operator types it; undefined when the text is neither. */
--- a/packages/runtime/src/clock.ts
+++ b/packages/runtime/src/clock.ts
@@ -8,7 +8,9 @@
 /** Monotonic milliseconds since the process started. Goes on while the process is stopped. */
 export const systemClock: Clock = () => milliseconds(performance.now());
 
+/** Bytes of chance, so that two starts in one millisecond differ. */
 const randomPart = 4;
+/** Digits of a time in base 36, enough until the year 5188, so that texts sort by time. */
 const timeDigits = 9;
 
 /**
--- a/packages/settings/src/address-block.ts
+++ b/packages/settings/src/address-block.ts
@@ -6,8 +6,11 @@
 
 import { isIPv6 } from "node:net";
 
+/** Bits of an IPv4 address. */
 const ipv4Bits = 32;
+/** Bits of an IPv6 address. */
 const ipv6Bits = 128;
+/** Largest part of an IPv4 address. */
 const largestByte = 255;
 const ipv4InIpv6 = "::ffff:";
 
