--- a/packages/box/src/box-log.ts
+++ b/packages/box/src/box-log.ts
@@ -4,7 +4,7 @@
  * Owns the counts of lines that were left out; relies on whoever calls `report`.
  */
 
-import { createBudgetedLog, type Log } from "@chalkdale/runtime";
+import { createRateLimitedLog, type Log } from "@chalkdale/runtime";
 
 /** Lines a second for each event; what matters most when something fails gets more. */
 const linesPerSecond = 10;
@@ -19,5 +19,5 @@
 
 /** Returns the log of a box, which bounds what it writes. */
 export function createBoxLog(log: Log) {
-    return createBudgetedLog(log, { linesPerSecond, byEvent: linesOfEvent });
+    return createRateLimitedLog(log, { linesPerSecond, byEvent: linesOfEvent });
 }
--- a/packages/box/src/box.ts
+++ b/packages/box/src/box.ts
@@ -7,16 +7,16 @@
  */
 
 import {
-    copiedKinds,
-    createCountingBoxes,
+    createCoordinatorSet,
     createMembership,
     createRelayRole,
     createSharedLimits,
-    createTurnedAwayBoxes,
+    createUnservedBoxes,
     describePosition,
-    digestRounds,
     type MemberRecord,
+    replicatedKinds,
     type RestartedServer,
+    roundsBetweenDigests,
 } from "@chalkdale/decisions";
 import { boxId, type Clock, milliseconds } from "@chalkdale/kernel";
 import type { Log } from "@chalkdale/runtime";
@@ -24,7 +24,7 @@
 import { createBoxLog } from "./box-log.js";
 import type { CallerProtocol } from "./callers/caller-protocol.js";
 import { startCallerServer } from "./callers/caller-server.js";
-import { createDeadlyGuard } from "./deadly/deadly-guard.js";
+import { createPoisonRequestGuard } from "./deadly/deadly-guard.js";
 import { joinMembers } from "./join.js";
 import { createLoadMeter } from "./load-meter.js";
 import { createMetricsText } from "./metrics-text.js";
@@ -32,20 +32,20 @@
 import { createOwnRecord } from "./own-record.js";
 import { startPeerLink } from "./peers/peer-link.js";
 import { createPeerReads } from "./peers/peer-reads.js";
-import { createPlannedStop } from "./planned-stop.js";
+import { createGracefulShutdown } from "./planned-stop.js";
 import { createCustomerQuotas } from "./quotas/customer-quotas.js";
-import { createRequestPath } from "./requests/request-path.js";
+import { createDataPlane } from "./requests/request-path.js";
 import { createRollouts, type Rollouts } from "./rollouts/rollouts.js";
 import { noTrials } from "./rollouts/trials.js";
-import { startRounds, upkeepInterval } from "./rounds.js";
+import { maintenanceInterval, startPeriodicTasks } from "./rounds.js";
 import { createHealthChecker } from "./servers/health-checker.js";
-import { createServerKnowledge } from "./servers/server-knowledge.js";
+import { createServerTracking } from "./servers/server-knowledge.js";
 import type { BoxSettings } from "./settings.js";
-import { createStallWatch } from "./stall-watch.js";
+import { createStallDetector } from "./stall-watch.js";
 import { startReplicator } from "./state/replicator.js";
 import { createSharedState, type SharedState } from "./state/shared-state.js";
 import type { StateStore } from "./state/state-store.js";
-import { reachBetween, type TrafficMeter, type TrafficPlace, type TrafficPurpose } from "./traffic-meter.js";
+import { reachBetween, type TrafficLocality, type TrafficMeter, type TrafficPurpose } from "./traffic-meter.js";
 
 export interface BoxOptions {
     readonly settings: BoxSettings;
@@ -53,7 +53,7 @@
     readonly store: StateStore;
     readonly clock: Clock;
     /** The clock of the ages of copies, which counts time in which the machine was suspended; `clock` where it is left out. */
-    readonly ageClock?: Clock;
+    readonly suspendAwareClock?: Clock;
     readonly random: () => number;
     readonly log: Log;
     /** Counts of the box's messages; the store's calls are counted by the store itself. */
@@ -72,7 +72,7 @@
 /** Starts a box. */
 export function startBox(options: BoxOptions): Box {
     const { clock, protocol, random, settings, store, traffic } = options;
-    const ageClock = options.ageClock ?? clock;
+    const ageClock = options.suspendAwareClock ?? clock;
     const { bounds, region } = settings;
     const log = createBoxLog(options.log);
     const metrics = createBoxMetrics();
@@ -89,11 +89,11 @@
         self: settings.box,
         membership,
         retries: { ratio: bounds.retryRatio, window: bounds.retryWindow, allowance: bounds.retryAllowance },
-        connectionsOf: service => state.service(service)?.maxConnections,
+        serverConnectionLimit: service => state.service(service)?.maxConnections,
         onAdvertisedChanged: (advertised, alive) =>
             log.info("carriers.changed", { carriers: advertised, alive: alive.length, load: sumOfLoads(alive) }),
     });
-    const servers = createServerKnowledge({
+    const servers = createServerTracking({
         clock,
         random,
         log,
@@ -104,13 +104,13 @@
         sendLimits: (box, reports) => peerLink.sendLimits(box, reports),
     });
     const { catalog, evidence, limitedServers, recentSends } = servers;
-    const deadlyGuard = createDeadlyGuard({
+    const deadlyGuard = createPoisonRequestGuard({
         clock,
         log,
         self: boxId(settings.box),
         advertised: limits.advertised,
-        reachable: () => membership.reachable(clock()),
-        send: (box, reports) => peerLink.sendDeadly(box, reports),
+        recentMembers: () => membership.recentMembers(clock()),
+        send: (box, reports) => peerLink.sendPoisonRequestReports(box, reports),
     });
     const state: SharedState = createSharedState({
         clock,
@@ -124,28 +124,28 @@
         onConfiguration: configuration => callerServer.setIdleTimeout(configuration.limits.idleTimeout),
     });
 
-    const countTraffic = (purpose: TrafficPurpose, place: TrafficPlace, bytes: number) =>
+    const countTraffic = (purpose: TrafficPurpose, place: TrafficLocality, bytes: number) =>
         traffic.add(purpose, reachBetween(settings, place), bytes);
-    const plannedStop = createPlannedStop({
+    const plannedStop = createGracefulShutdown({
         clock,
         log,
-        grace: bounds.stopGrace,
+        grace: bounds.shutdownGracePeriod,
         inFlight: () => callerServer.connections.inFlight(),
         onLeaving: () => {
             updateOwnRecord();
             peerLink.gossipToAll();
         },
-        onClosing: () => callerServer.connections.endIdle(),
+        onClosing: () => callerServer.connections.closeIdle(),
     });
-    const countingBoxes = createCountingBoxes();
+    const countingBoxes = createCoordinatorSet();
     const quotas = createCustomerQuotas({
         clock,
         self: boxId(settings.box),
         membership,
-        countingBoxes,
+        coordinators: countingBoxes,
         advertised: limits.advertised,
         tolerance: bounds.quotaTolerance,
-        customerOf: id => state.keys()?.find(id),
+        findCustomer: id => state.keys()?.findById(id),
         send: (box, message) => peerLink.sendQuota(box, message),
         uptime,
     });
@@ -157,18 +157,18 @@
         incarnation: options.incarnation,
         bounds: bounds.rollouts,
         membership,
-        countingBoxes,
+        coordinators: countingBoxes,
         catalog,
         store,
         copyAge: () => replicator.provenAge("rollouts"),
-        isStoreAnswering: () => !replicator.isFollowing() || replicator.storeLostFor() === 0,
+        isStoreAnswering: () => !replicator.isFollowingStore() || replicator.storeUnavailableFor() === 0,
         isRunning: () => plannedStop.phase() === "running",
         uptime,
         send: (box, message) => peerLink.sendRollout(box, message),
         signal,
     });
     const isReady = () => state.isComplete() && plannedStop.phase() === "running";
-    const requests = createRequestPath({
+    const requests = createDataPlane({
         clock,
         random,
         log,
@@ -179,14 +179,14 @@
         ...servers,
         limits,
         quotas,
-        deadlyGuard,
+        poisonRequestGuard: deadlyGuard,
         versions: rollouts?.versions ?? { admits: () => true, version: () => 0 },
         trials: rollouts?.requests ?? noTrials,
         phase: plannedStop.phase,
         configurationAge: () => replicator.configurationAge(),
         serversAge: () => replicator.confirmedAge("servers"),
-        onRestarted: onServerRestarted,
-        copyAgeBounds: { changeInForce: bounds.changeInForce, revocation: bounds.strictRevocation },
+        onServerRestarted,
+        copyAgeBounds: { maxPropagationDelay: bounds.maxPropagationDelay, maxKeyCopyAge: bounds.maxKeyCopyAge },
         countTraffic,
     });
 
@@ -214,7 +214,7 @@
             limits,
             loadMeter,
             quotas,
-            deadlyGuard,
+            poisonRequestGuard: deadlyGuard,
             ...servers,
             rollouts,
             traffic,
@@ -224,12 +224,12 @@
         }),
     });
 
-    const turnedAway = createTurnedAwayBoxes(boxId(settings.box), bounds.changeInForce);
+    const turnedAway = createUnservedBoxes(boxId(settings.box), bounds.maxPropagationDelay);
     const relayRole = createRelayRole({
         self: settings.box,
         region,
         alive: () => membership.alive(clock()),
-        changeBound: bounds.changeInForce,
+        maxPropagationDelay: bounds.maxPropagationDelay,
         turnedAway,
         clock: ageClock,
         uptime,
@@ -245,10 +245,10 @@
         relayRole,
         turnedAway,
         self: boxId(settings.box),
-        kinds: copiedKinds(bounds.rollouts !== undefined),
+        kinds: replicatedKinds(bounds.rollouts !== undefined),
         readState: peerReads.readState,
         publish: update => peerLink.publish(update),
-        tellRegion: () => peerLink.tellRegion(),
+        sendDigestToRegion: () => peerLink.sendDigestToRegion(),
         signal,
     });
     const peerLink = startPeerLink({
@@ -261,17 +261,17 @@
         digest: replicator.digest,
         onDigest: replicator.onDigest,
         onUpdate: replicator.onUpdate,
-        isFollowing: replicator.isFollowing,
-        digestRounds: digestRounds(bounds.changeInForce),
+        isFollowingStore: replicator.isFollowingStore,
+        roundsBetweenDigests: roundsBetweenDigests(bounds.maxPropagationDelay),
         isAdvertised: limits.isAdvertised,
         serverReports: servers.serverReports,
-        onDeadly: deadlyGuard.onReports,
-        deadlyRequests: deadlyGuard.gossipPart,
+        onPoisonRequestReports: deadlyGuard.onReports,
+        poisonRequestReports: deadlyGuard.gossipPayload,
         onLimits: limitedServers.onReports,
-        limits: limitedServers.gossipPart,
+        limits: limitedServers.gossipPayload,
         onQuota: quotas.onMessage,
         onRollout: (from, message) => rollouts?.onMessage(from, message),
-        rolloutNews: () => rollouts?.gossipPart(),
+        rolloutUpdate: () => rollouts?.gossipPayload(),
         countTraffic,
         readMembers: peerReads.readMembers,
         snapshot: kind => state.replica(kind).snapshot(),
@@ -279,7 +279,7 @@
         signal,
     });
 
-    const noticeStall = createStallWatch(ageClock, log, upkeepInterval);
+    const noticeStall = createStallDetector(ageClock, log, maintenanceInterval);
     const runDueHealthChecks = createHealthChecker({
         clock,
         log,
@@ -289,21 +289,21 @@
         healthPathOf: server => state.service(server.state.record().service)?.healthPath,
         signal,
     });
-    startRounds({
-        upkeep() {
+    startPeriodicTasks({
+        maintain() {
             noticeStall();
             updateOwnRecord();
-            state.expireHeld();
+            state.expireHeldEntries();
             requests.sweep();
             runDueHealthChecks();
         },
         gossip() {
-            deadlyGuard.round();
-            limitedServers.round();
-            quotas.round();
-            rollouts?.round();
+            deadlyGuard.onGossipRound();
+            limitedServers.onGossipRound();
+            quotas.onGossipRound();
+            rollouts?.onGossipRound();
         },
-        decide: rollouts?.step,
+        decideRollouts: rollouts?.step,
         measure() {
             loadMeter.measure();
             log.report();
@@ -350,7 +350,7 @@
         });
         metrics.onServerRestarted();
         evidence.forget(server.id, clock());
-        requests.onRestarted(server.id);
+        requests.onServerRestarted(server.id);
     }
 
     function reportTraffic(): void {
--- a/packages/box/src/callers/caller-connections.ts
+++ b/packages/box/src/callers/caller-connections.ts
@@ -12,14 +12,14 @@
 import type { Duplex } from "node:stream";
 import { type CallerPipelinesOptions, createCallerPipelines } from "./caller-pipeline.js";
 import type { CallerPipeline } from "./caller-turn.js";
-import { statusOfUnreadable } from "./unreadable-requests.js";
+import { statusOfParseError } from "./unreadable-requests.js";
 
 /** Connections of one server. */
 export interface CallerConnections {
     /** Requests whose answers have not left yet. */
     readonly inFlight: () => number;
     /** Ends the connections that rest, in order. */
-    readonly endIdle: () => void;
+    readonly closeIdle: () => void;
     readonly count: () => number;
 }
 
@@ -48,23 +48,23 @@
     // Without this listener Node ends the connection at once, whatever is in progress on it.
     server.on("connect", (_request, socket) => {
         follow(socket);
-        withPipeline(socket, pipeline => pipelines.onUnreadable(pipeline, badRequest));
+        withPipeline(socket, pipeline => pipelines.onInvalidRequest(pipeline, badRequest));
     });
     server.on("clientError", (error: NodeJS.ErrnoException, socket) => {
-        const status = statusOfUnreadable(error.code);
+        const status = statusOfParseError(error.code);
         if (status === undefined) {
             socket.destroy();
             return;
         }
-        withPipeline(socket, pipeline => pipelines.onUnreadable(pipeline, status));
+        withPipeline(socket, pipeline => pipelines.onInvalidRequest(pipeline, status));
         if (error.code === endWithinRequest) {
             socket.end();
         }
     });
 
     return {
-        inFlight: () => [...open.values()].reduce((sum, pipeline) => sum + pipeline.begun, 0),
-        endIdle: () => open.forEach(pipelines.endIfIdle),
+        inFlight: () => [...open.values()].reduce((sum, pipeline) => sum + pipeline.startedCount, 0),
+        closeIdle: () => open.forEach(pipelines.closeIfIdle),
         count: () => open.size,
     };
 
@@ -72,7 +72,7 @@
         withPipeline(request.socket, pipeline => {
             if (lacksHost(request)) {
                 request.resume();
-                pipelines.onUnreadable(pipeline, badRequest);
+                pipelines.onInvalidRequest(pipeline, badRequest);
                 return;
             }
             pipelines.onRequest(pipeline, request, response, awaitsContinue);
--- a/packages/box/src/callers/caller-pipeline.ts
+++ b/packages/box/src/callers/caller-pipeline.ts
@@ -9,14 +9,14 @@
  * that it was closed.
  */
 
-import { mayBegin, stopsReading } from "@chalkdale/decisions";
+import { mayStartNext, shouldPauseReading } from "@chalkdale/decisions";
 import type { Clock } from "@chalkdale/kernel";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Socket } from "node:net";
-import type { CallerPipeline, CallerTurn, QueuedTurn } from "./caller-turn.js";
-import { endInOrder } from "./ordered-end.js";
-import { readOn, stopReading } from "./reading-bound.js";
-import { unreadableAnswer, unreadableBytes } from "./unreadable-requests.js";
+import type { CallerExchange, CallerPipeline, QueuedExchange } from "./caller-turn.js";
+import { closeGracefully } from "./ordered-end.js";
+import { pauseReading, resumeReading } from "./reading-bound.js";
+import { errorAnswer, rawErrorResponse } from "./unreadable-requests.js";
 
 export interface CallerPipelinesOptions {
     readonly clock: Clock;
@@ -24,7 +24,7 @@
     readonly isIdempotent: (request: IncomingMessage) => boolean;
     /** True once callers should use other boxes. */
     readonly isLeaving: () => boolean;
-    readonly serve: (turn: CallerTurn) => void;
+    readonly serve: (turn: CallerExchange) => void;
 }
 
 /** What happens on connections. */
@@ -38,11 +38,11 @@
         awaitsContinue: boolean,
     ) => void;
     /** What came can't be read; the status is given behind all answers, and ends the connection. */
-    readonly onUnreadable: (pipeline: CallerPipeline, status: number) => void;
+    readonly onInvalidRequest: (pipeline: CallerPipeline, status: number) => void;
     /** The connection has ended, and with it all that is in progress. */
     readonly onClosed: (pipeline: CallerPipeline) => void;
     /** Ends the connection if no request waits for its answer. */
-    readonly endIfIdle: (pipeline: CallerPipeline) => void;
+    readonly closeIfIdle: (pipeline: CallerPipeline) => void;
 }
 
 /** Creates what happens on the connections of one server. */
@@ -53,32 +53,32 @@
             socket.destroySoon = endThisInOrder;
             return {
                 socket,
-                turns: [],
-                begun: 0,
+                exchanges: [],
+                startedCount: 0,
                 latest: undefined,
                 isWriting: false,
-                isEnding: false,
-                isOver: false,
-                lastBytes: undefined,
+                isClosing: false,
+                isFinished: false,
+                pendingErrorResponse: undefined,
             };
         },
         onRequest(pipeline, request, response, awaitsContinue) {
-            if (pipeline.isOver || pipeline.lastBytes !== undefined) {
+            if (pipeline.isFinished || pipeline.pendingErrorResponse !== undefined) {
                 request.resume();
                 return;
             }
             const turn = createTurn(pipeline, request, response, awaitsContinue);
             pipeline.latest = turn;
-            pipeline.turns.push(turn);
-            if (stopsReading(pipeline.turns.length)) {
-                stopReading(pipeline.socket);
+            pipeline.exchanges.push(turn);
+            if (shouldPauseReading(pipeline.exchanges.length)) {
+                pauseReading(pipeline.socket);
             }
             goOn(pipeline);
         },
-        onUnreadable(pipeline, status) {
+        onInvalidRequest(pipeline, status) {
             const { latest } = pipeline;
             if (latest === undefined || latest.request.complete) {
-                pipeline.lastBytes ??= unreadableBytes(status);
+                pipeline.pendingErrorResponse ??= rawErrorResponse(status);
             }
             else {
                 cutOff(pipeline, latest, status);
@@ -86,14 +86,14 @@
             goOn(pipeline);
         },
         onClosed(pipeline) {
-            const { turns } = pipeline;
-            pipeline.isOver = true;
-            pipeline.turns = [];
-            pipeline.begun = 0;
+            const { exchanges: turns } = pipeline;
+            pipeline.isFinished = true;
+            pipeline.exchanges = [];
+            pipeline.startedCount = 0;
             turns.forEach(turn => turn.controller.abort());
         },
-        endIfIdle(pipeline) {
-            if (pipeline.turns.length === 0) {
+        closeIfIdle(pipeline) {
+            if (pipeline.exchanges.length === 0) {
                 end(pipeline);
             }
         },
@@ -104,25 +104,25 @@
         request: IncomingMessage,
         response: ServerResponse,
         awaitsContinue: boolean,
-    ): QueuedTurn {
-        const turn: QueuedTurn = {
+    ): QueuedExchange {
+        const turn: QueuedExchange = {
             request,
             response,
             arrivedAt: options.clock(),
             controller: new AbortController(),
             isIdempotent: undefined,
             ready: undefined,
-            awaitsContinue,
+            expectsContinue: awaitsContinue,
             sendContinue() {
-                turn.awaitsContinue = false;
+                turn.expectsContinue = false;
                 response.writeContinue();
                 goOn(pipeline);
             },
-            isFollowed: () => pipeline.turns.indexOf(turn) < pipeline.begun - 1,
-            answer(answer) {
+            hasStartedSuccessors: () => pipeline.exchanges.indexOf(turn) < pipeline.startedCount - 1,
+            respond(answer) {
                 if (turn.ready === undefined) {
                     turn.ready = answer;
-                    pipeline.isEnding ||= answer.endsConnection;
+                    pipeline.isClosing ||= answer.closesConnection;
                     goOn(pipeline);
                 }
             },
@@ -131,59 +131,59 @@
     }
 
     /** The body of the latest request can't be read to its end, so it reached no server. */
-    function cutOff(pipeline: CallerPipeline, turn: QueuedTurn, status: number): void {
-        if (pipeline.turns.indexOf(turn) >= pipeline.begun) {
-            pipeline.turns.pop();
-            pipeline.lastBytes ??= unreadableBytes(status);
+    function cutOff(pipeline: CallerPipeline, turn: QueuedExchange, status: number): void {
+        if (pipeline.exchanges.indexOf(turn) >= pipeline.startedCount) {
+            pipeline.exchanges.pop();
+            pipeline.pendingErrorResponse ??= rawErrorResponse(status);
             return;
         }
-        pipeline.isEnding = true;
-        turn.answer(unreadableAnswer(status));
+        pipeline.isClosing = true;
+        turn.respond(errorAnswer(status));
         // Whoever waits for the rest of the body would hold its memory until the request's time is over.
         turn.controller.abort();
     }
 
     /** Begins what may be begun and writes what is due. */
     function goOn(pipeline: CallerPipeline): void {
-        while (!pipeline.isOver && mayBeginNext(pipeline)) {
-            begin(pipeline, pipeline.turns[pipeline.begun]);
+        while (!pipeline.isFinished && mayBeginNext(pipeline)) {
+            begin(pipeline, pipeline.exchanges[pipeline.startedCount]);
         }
-        if (!pipeline.isOver && !pipeline.isWriting) {
+        if (!pipeline.isFinished && !pipeline.isWriting) {
             writeNext(pipeline);
         }
     }
 
     function mayBeginNext(pipeline: CallerPipeline): boolean {
-        const { begun, turns } = pipeline;
+        const { startedCount: begun, exchanges: turns } = pipeline;
         if (begun === turns.length) {
             return false;
         }
-        return begun === 0 || mayBegin({
+        return begun === 0 || mayStartNext({
             inProgress: begun,
             isIdempotent: turns.slice(0, begun + 1).every(isIdempotent),
-            waitingBytes: turns.reduce((bytes, { ready }) => bytes + (ready?.bytes ?? 0), 0),
-            isEnding: endsWithBegun(pipeline),
+            bufferedBytes: turns.reduce((bytes, { ready }) => bytes + (ready?.bytes ?? 0), 0),
+            isClosing: endsWithBegun(pipeline),
         });
     }
 
     /** True if the last answer of what is in progress ends the connection. */
-    function endsWithBegun({ begun, isEnding, turns }: CallerPipeline): boolean {
-        return isEnding || options.isLeaving() || (begun > 0 && turns[begun - 1].awaitsContinue);
+    function endsWithBegun({ startedCount: begun, isClosing: isEnding, exchanges: turns }: CallerPipeline): boolean {
+        return isEnding || options.isLeaving() || (begun > 0 && turns[begun - 1].expectsContinue);
     }
 
-    function isIdempotent(turn: QueuedTurn): boolean {
+    function isIdempotent(turn: QueuedExchange): boolean {
         return turn.isIdempotent ??= options.isIdempotent(turn.request);
     }
 
-    function begin(pipeline: CallerPipeline, turn: QueuedTurn): void {
-        pipeline.begun += 1;
+    function begin(pipeline: CallerPipeline, turn: QueuedExchange): void {
+        pipeline.startedCount += 1;
         // Its caller says that it sends no other.
-        pipeline.isEnding ||= !turn.response.shouldKeepAlive || asksForUpgrade(turn.request);
+        pipeline.isClosing ||= !turn.response.shouldKeepAlive || asksForUpgrade(turn.request);
         options.serve(turn);
     }
 
     function writeNext(pipeline: CallerPipeline): void {
-        const { begun, turns } = pipeline;
+        const { startedCount: begun, exchanges: turns } = pipeline;
         if (turns.length === 0) {
             endIfDue(pipeline);
             return;
@@ -193,28 +193,28 @@
             return;
         }
         pipeline.isWriting = true;
-        pipeline.isOver = begun === 1 && endsWithBegun(pipeline);
+        pipeline.isFinished = begun === 1 && endsWithBegun(pipeline);
         turn.response.once("close", () => onLeft(pipeline, turn));
-        turn.ready.write(turn.response, pipeline.isOver);
+        turn.ready.write(turn.response, pipeline.isFinished);
     }
 
-    function onLeft(pipeline: CallerPipeline, turn: QueuedTurn): void {
-        if (pipeline.turns[0] !== turn) {
+    function onLeft(pipeline: CallerPipeline, turn: QueuedExchange): void {
+        if (pipeline.exchanges[0] !== turn) {
             return;
         }
         pipeline.isWriting = false;
-        pipeline.turns.shift();
-        pipeline.begun -= 1;
+        pipeline.exchanges.shift();
+        pipeline.startedCount -= 1;
         if (pipeline.latest === turn && turn.request.complete) {
             // A connection that rests must not keep its last answer.
             pipeline.latest = undefined;
         }
-        if (pipeline.isOver) {
+        if (pipeline.isFinished) {
             dropUnread(pipeline);
             return;
         }
-        if (!stopsReading(pipeline.turns.length)) {
-            readOn(pipeline.socket);
+        if (!shouldPauseReading(pipeline.exchanges.length)) {
+            resumeReading(pipeline.socket);
         }
         goOn(pipeline);
     }
@@ -226,27 +226,27 @@
 }
 
 function endIfDue(pipeline: CallerPipeline): void {
-    if (pipeline.lastBytes !== undefined) {
-        pipeline.socket.write(pipeline.lastBytes);
+    if (pipeline.pendingErrorResponse !== undefined) {
+        pipeline.socket.write(pipeline.pendingErrorResponse);
         end(pipeline);
     }
-    else if (pipeline.isEnding) {
+    else if (pipeline.isClosing) {
         end(pipeline);
     }
 }
 
 function end(pipeline: CallerPipeline): void {
-    pipeline.isOver = true;
-    endInOrder(pipeline.socket);
+    pipeline.isFinished = true;
+    closeGracefully(pipeline.socket);
 }
 
 /** What was read behind the last answer counts as unread; reading on lets that answer arrive. */
 function dropUnread(pipeline: CallerPipeline): void {
-    pipeline.turns.forEach(turn => turn.request.resume());
-    pipeline.turns = [];
-    readOn(pipeline.socket);
+    pipeline.exchanges.forEach(turn => turn.request.resume());
+    pipeline.exchanges = [];
+    resumeReading(pipeline.socket);
 }
 
 function endThisInOrder(this: Socket): void {
-    endInOrder(this);
+    closeGracefully(this);
 }
--- a/packages/box/src/callers/caller-protocol.ts
+++ b/packages/box/src/callers/caller-protocol.ts
@@ -5,7 +5,7 @@
  * Owns nothing; `platform/` implements it.
  */
 
-import type { CallerPlace, LoadReport } from "@chalkdale/decisions";
+import type { CallerLocality, LoadReport } from "@chalkdale/decisions";
 import type { BackendServerId, Milliseconds } from "@chalkdale/kernel";
 
 /** Header names, in lower case. */
@@ -34,7 +34,7 @@
 }
 
 /** What an answer of a server says of the rate that the server takes. */
-export type AnsweredLimit =
+export type ParsedRateLimit =
     /** Requests a second, from all boxes together. */
     | { readonly kind: "named"; readonly rate: number; }
     | { readonly kind: "none"; }
@@ -42,7 +42,7 @@
     | { readonly kind: "unreadable"; readonly text: string; };
 
 /** What an answer of a server says of the time for which the server wants nothing from this box. */
-export type AskedBackoff =
+export type ParsedBackoff =
     | { readonly kind: "asked"; readonly duration: Milliseconds; }
     | { readonly kind: "none"; }
     /** Something stands there that is no time. */
@@ -54,7 +54,7 @@
     readonly readinessPath: string;
     readonly lookupPath: string;
     /** Reads where a caller of the directory is from the query. */
-    readonly readCallerPlace: (query: URLSearchParams) => CallerPlace;
+    readonly readCallerLocality: (query: URLSearchParams) => CallerLocality;
     readonly writeLookup: (addresses: readonly string[], lifetime: Milliseconds) => string;
     /** Reads the load that a server reports, if it does. */
     readonly readLoad: (headers: NodeJS.Dict<string | string[]>) => LoadReport | undefined;
@@ -63,8 +63,8 @@
     /** True if a server says that it is leaving. */
     readonly readLeaving: (headers: NodeJS.Dict<string | string[]>) => boolean;
     /** Reads for how long a server that turns a request away wants nothing from this box. */
-    readonly readBackoff: (answer: AnswerHead) => AskedBackoff;
+    readonly readBackoff: (answer: AnswerHead) => ParsedBackoff;
     /** Reads the rate that a server names. */
-    readonly readLimit: (headers: NodeJS.Dict<string | string[]>) => AnsweredLimit;
+    readonly readRateLimit: (headers: NodeJS.Dict<string | string[]>) => ParsedRateLimit;
     readonly readServerId: (headers: NodeJS.Dict<string | string[]>) => BackendServerId | undefined;
 }
--- a/packages/box/src/callers/caller-turn.ts
+++ b/packages/box/src/callers/caller-turn.ts
@@ -14,13 +14,13 @@
     /** Bytes of its body. */
     readonly bytes: number;
     /** The connection must end with it. */
-    readonly endsConnection: boolean;
+    readonly closesConnection: boolean;
     /** Called once, in its turn. `isLast`: the connection ends with it. Never throws. */
     readonly write: (response: ServerResponse, isLast: boolean) => void;
 }
 
 /** One request, and the place of its answer among those of its connection. */
-export interface CallerTurn {
+export interface CallerExchange {
     readonly request: IncomingMessage;
     /** When its head was read. */
     readonly arrivedAt: Milliseconds;
@@ -29,34 +29,34 @@
     /** Tells a caller that asked first to send its body. */
     readonly sendContinue: () => void;
     /** True if requests behind it were begun: an answer to it that ends the connection would lose theirs. */
-    readonly isFollowed: () => boolean;
+    readonly hasStartedSuccessors: () => boolean;
     /** Takes the answer; only the first counts. */
-    readonly answer: (answer: CallerAnswer) => void;
+    readonly respond: (answer: CallerAnswer) => void;
 }
 
 /** The requests of one connection. */
 export interface CallerPipeline {
     readonly socket: Socket;
     /** Read and not answered, in order; the first of them, as many as were begun, are in progress. */
-    turns: QueuedTurn[];
-    begun: number;
+    exchanges: QueuedExchange[];
+    startedCount: number;
     /** The latest request as long as it is not whole, or not answered. */
-    latest: QueuedTurn | undefined;
+    latest: QueuedExchange | undefined;
     isWriting: boolean;
     /** The last answer of what is in progress ends the connection. */
-    isEnding: boolean;
+    isClosing: boolean;
     /** The last answer was written, or the connection has ended: nothing more is served. */
-    isOver: boolean;
+    isFinished: boolean;
     /** What goes out once all requests that could be read are answered. */
-    lastBytes: string | undefined;
+    pendingErrorResponse: string | undefined;
 }
 
 /** A request that was read. */
-export interface QueuedTurn extends CallerTurn {
+export interface QueuedExchange extends CallerExchange {
     readonly response: ServerResponse;
     /** Undefined until it matters. */
     isIdempotent: boolean | undefined;
     ready: CallerAnswer | undefined;
     /** Its caller asked to be told to send its body and was not: Node ends the connection with the answer. */
-    awaitsContinue: boolean;
+    expectsContinue: boolean;
 }
--- a/packages/box/src/callers/listeners.ts
+++ b/packages/box/src/callers/listeners.ts
@@ -5,7 +5,7 @@
  * Owns no state: what they answer is read at each question.
  */
 
-import { chooseBoxes, type MemberRecord } from "@chalkdale/decisions";
+import { chooseBoxAddresses, type MemberRecord } from "@chalkdale/decisions";
 import type { Milliseconds } from "@chalkdale/kernel";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { CallerProtocol } from "./caller-protocol.js";
@@ -29,8 +29,8 @@
             return;
         }
         options.onLookup();
-        const place = options.protocol.readCallerPlace(new URLSearchParams(query));
-        const addresses = chooseBoxes(options.inService(), place);
+        const place = options.protocol.readCallerLocality(new URLSearchParams(query));
+        const addresses = chooseBoxAddresses(options.inService(), place);
         if (addresses.length === 0) {
             end(response, 503);
             return;
--- a/packages/box/src/callers/ordered-end.ts
+++ b/packages/box/src/callers/ordered-end.ts
@@ -13,7 +13,7 @@
 const longestLinger = 1000;
 
 /** Sends the end behind what was written; closes once the caller has ended too, or after a while. */
-export function endInOrder(socket: Socket): void {
+export function closeGracefully(socket: Socket): void {
     socket.end();
     const timer = setTimeout(() => socket.destroy(), longestLinger).unref();
     socket.once("close", () => clearTimeout(timer));
--- a/packages/box/src/callers/reading-bound.ts
+++ b/packages/box/src/callers/reading-bound.ts
@@ -9,7 +9,7 @@
 import type { Socket } from "node:net";
 
 /** Stops the reading, if it is not stopped yet. */
-export function stopReading(socket: Socket): void {
+export function pauseReading(socket: Socket): void {
     if (!isStopped(socket)) {
         // Node's HTTP server resumes a socket by itself after each request that it has parsed.
         socket.resume = () => socket;
@@ -18,7 +18,7 @@
 }
 
 /** Reads on, if the reading was stopped. */
-export function readOn(socket: Socket): void {
+export function resumeReading(socket: Socket): void {
     if (isStopped(socket)) {
         Reflect.deleteProperty(socket, "resume");
         socket.resume();
--- a/packages/box/src/callers/unreadable-requests.ts
+++ b/packages/box/src/callers/unreadable-requests.ts
@@ -18,16 +18,16 @@
 const parserCode = "HPE_";
 
 /** Returns the status by the code of the error; undefined if the connection failed, which leaves nobody to answer. */
-export function statusOfUnreadable(code: string | undefined): number | undefined {
+export function statusOfParseError(code: string | undefined): number | undefined {
     const status = statusOfCode[code ?? ""];
     return status ?? (code?.startsWith(parserCode) === true ? badRequest : undefined);
 }
 
 /** Returns the answer to a request whose body can't be read to its end. */
-export function unreadableAnswer(status: number): CallerAnswer {
+export function errorAnswer(status: number): CallerAnswer {
     return {
         bytes: 0,
-        endsConnection: true,
+        closesConnection: true,
         write(response) {
             response.sendDate = false;
             response.writeHead(status, { "Content-Length": 0, "Connection": "close" }).end();
@@ -36,6 +36,6 @@
 }
 
 /** Returns the answer as bytes, for what has no response since no request could be read. */
-export function unreadableBytes(status: number): string {
+export function rawErrorResponse(status: number): string {
     return `HTTP/1.1 ${status} ${STATUS_CODES[status]}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n`;
 }
--- a/packages/box/src/deadly/deadly-guard.ts
+++ b/packages/box/src/deadly/deadly-guard.ts
@@ -12,33 +12,39 @@
 
 import {
     type BackendServer,
-    concernsAllBoxes,
-    createDeadlyRequests,
-    type DeadlyChange,
-    endsThatCount,
+    createPoisonRequests,
+    endsSinceLastAnswer,
     isSuccessStatus,
-    standingOf,
+    type PoisonRequestChange,
+    requiresBroadcast,
+    restrictionOf,
 } from "@chalkdale/decisions";
-import { answerId, type Milliseconds, type RequestFingerprint, type ServerLife, serverLife } from "@chalkdale/kernel";
+import {
+    answerId,
+    type Milliseconds,
+    type RequestFingerprint,
+    type ServerIncarnationId,
+    serverIncarnationId,
+} from "@chalkdale/kernel";
 import type { Log } from "@chalkdale/runtime";
 import type { ActiveRequest } from "../requests/active-request.js";
 import type { AttemptOutcome } from "../requests/attempt-request.js";
-import { type DeadlyReport, readDeadlyReport } from "./deadly-messages.js";
-import { createDeadlyNews, type DeadlyNewsOptions } from "./deadly-news.js";
+import { decodePoisonRequestReport, type PoisonRequestReport } from "./deadly-messages.js";
+import { createPoisonRequestGossip, type PoisonRequestGossipOptions } from "./deadly-news.js";
 import { createRequestsInProgress, type RequestInProgress } from "./requests-in-progress.js";
 
-export interface DeadlyGuardOptions extends Omit<DeadlyNewsOptions, "deadly"> {
+export interface PoisonRequestGuardOptions extends Omit<PoisonRequestGossipOptions, "deadly"> {
     readonly log: Log;
 }
 
 /** A request that is followed while it is served. */
-export interface FollowedRequest {
+export interface TrackedRequest {
     /** True if the request is stopped, wherever it is: servers end under it. */
     readonly isStopped: () => boolean;
     /** True if servers have ended under requests of its kind: it gets no second copy beside an overdue one. */
     readonly isSuspect: () => boolean;
     /** Waits until the request may go to a server. Never rejects. */
-    readonly clearance: () => Promise<"go" | "refuse" | "callerLeft">;
+    readonly waitForPermission: () => Promise<"go" | "refuse" | "callerLeft">;
     /** An attempt ended; whether its server did may still be asked. */
     readonly onAttemptEnded: (server: BackendServer, outcome: AttemptOutcome) => void;
     /** The request has its end. */
@@ -46,34 +52,34 @@
 }
 
 /** The guard of one box. */
-export interface DeadlyGuard {
+export interface PoisonRequestGuard {
     /** Begins to follow a request; `controller` ends its attempts. */
-    readonly follow: (active: ActiveRequest, body: Buffer, controller: AbortController) => FollowedRequest;
+    readonly track: (active: ActiveRequest, body: Buffer, controller: AbortController) => TrackedRequest;
     /** Another box told what it knows. */
-    readonly onReports: (reports: readonly DeadlyReport[]) => void;
+    readonly onReports: (reports: readonly PoisonRequestReport[]) => void;
     /** What goes with gossip; undefined while there is nothing that all boxes have to know. */
-    readonly gossipPart: () => readonly DeadlyReport[] | undefined;
+    readonly gossipPayload: () => readonly PoisonRequestReport[] | undefined;
     /** Tells again what ended here lately, and forgets what is over. Due with each round of gossip. */
-    readonly round: () => void;
+    readonly onGossipRound: () => void;
     /** Requests that are held now. */
     readonly heldCount: () => number;
 }
 
 /** Creates the guard of a box that knows of no such request. */
-export function createDeadlyGuard(options: DeadlyGuardOptions): DeadlyGuard {
+export function createPoisonRequestGuard(options: PoisonRequestGuardOptions): PoisonRequestGuard {
     const { clock, log, self } = options;
-    const deadly = createDeadlyRequests();
+    const deadly = createPoisonRequests();
     const requests = createRequestsInProgress();
-    const news = createDeadlyNews({ ...options, deadly });
+    const news = createPoisonRequestGossip({ ...options, deadly });
     let answerCount = 0;
 
     return {
-        follow(active, body, controller) {
+        track(active, body, controller) {
             const request = requests.begin(active, body, controller);
             return {
                 isStopped: () => request.isStopped,
                 isSuspect: () => knownFingerprint(request) !== undefined,
-                clearance: () => clearance(request),
+                waitForPermission: () => clearance(request),
                 onAttemptEnded: (server, outcome) => void onAttemptEnded(request, server, outcome),
                 end: () => requests.end(request),
             };
@@ -82,12 +88,13 @@
             const now = clock();
             reports.forEach(report => onReport(report, now));
         },
-        gossipPart: news.gossipPart,
-        round() {
-            news.round();
+        gossipPayload: news.gossipPayload,
+        onGossipRound() {
+            news.onGossipRound();
             deadly.sweep(clock());
         },
-        heldCount: () => deadly.records().filter(({ fingerprint }) => deadly.standing(fingerprint) === "held").length,
+        heldCount: () =>
+            deadly.records().filter(({ fingerprint }) => deadly.restriction(fingerprint) === "held").length,
     };
 
     async function clearance(request: RequestInProgress): Promise<"go" | "refuse" | "callerLeft"> {
@@ -102,7 +109,7 @@
             const fingerprint = knownFingerprint(request);
             const decided = fingerprint === undefined ? "go" : decide(fingerprint);
             if (decided !== "wait") {
-                request.underWay += decided === "go" ? 1 : 0;
+                request.pendingAttempts += decided === "go" ? 1 : 0;
                 request.active.fingerprint = fingerprint;
                 return decided;
             }
@@ -115,7 +122,7 @@
         deadly.onSeen(fingerprint, at);
         return deadly.decide(fingerprint, {
             at,
-            isUnderWay: requests.ofKind(fingerprint).some(({ underWay }) => underWay > 0),
+            isUnderWay: requests.withFingerprint(fingerprint).some(({ pendingAttempts: underWay }) => underWay > 0),
             makesTrials: news.makesTrials(fingerprint),
         }).kind;
     }
@@ -125,8 +132,8 @@
         server: BackendServer,
         outcome: AttemptOutcome,
     ): Promise<void> {
-        if (outcome.kind === "broken" && outcome.serverEnded !== undefined) {
-            const endedAt = await outcome.serverEnded;
+        if (outcome.kind === "broken" && outcome.serverTerminatedAt !== undefined) {
+            const endedAt = await outcome.serverTerminatedAt;
             if (endedAt !== undefined) {
                 onServerEnded(request, server, endedAt);
             }
@@ -134,14 +141,14 @@
         if (outcome.kind === "answered" && isSuccessStatus(outcome.answer.status)) {
             onAnswered(request);
         }
-        request.underWay = Math.max(0, request.underWay - 1);
-        requests.wake();
+        request.pendingAttempts = Math.max(0, request.pendingAttempts - 1);
+        requests.wakeWaiting();
     }
 
     function onServerEnded(request: RequestInProgress, server: BackendServer, endedAt: Milliseconds): void {
         const fingerprint = request.fingerprint();
         const life = lifeOf(server);
-        const change = deadly.onEnd(fingerprint, life, endedAt);
+        const change = deadly.onServerEnded(fingerprint, life, endedAt);
         log.info("server.endedUnder", {
             request: request.active.requestId,
             route: request.active.route.name,
@@ -150,7 +157,7 @@
             life,
             standing: change.now,
         });
-        news.tellCollectorsRepeatedly(change.record);
+        news.sendToCollectorsRepeatedly(change.record);
         apply(change, "own");
     }
 
@@ -163,58 +170,58 @@
         answerCount += 1;
         const change = deadly.onAnswer(fingerprint, answerId(`${self}#${answerCount}`), clock());
         if (change !== undefined) {
-            news.tellCollectors(change.record);
+            news.sendToCollectors(change.record);
             apply(change, "own");
         }
     }
 
-    function onReport(report: DeadlyReport, now: Milliseconds): void {
-        const record = readDeadlyReport(report, now);
+    function onReport(report: PoisonRequestReport, now: Milliseconds): void {
+        const record = decodePoisonRequestReport(report, now);
         const change = deadly.onRecord(record);
         if (change !== undefined) {
             apply(change, "told");
         }
         // A box that was cut off may still hold what was answered meanwhile.
-        if (concernsAllBoxes(standingOf(record)) && deadly.standing(record.fingerprint) === "unsuspected") {
-            news.onAcquitted(record.fingerprint);
+        if (requiresBroadcast(restrictionOf(record)) && deadly.restriction(record.fingerprint) === "unsuspected") {
+            news.onCleared(record.fingerprint);
         }
     }
 
-    function apply(change: DeadlyChange, source: "own" | "told"): void {
+    function apply(change: PoisonRequestChange, source: "own" | "told"): void {
         const { before, now, record } = change;
         if (before === now) {
             return;
         }
-        if (concernsAllBoxes(before) || concernsAllBoxes(now)) {
+        if (requiresBroadcast(before) || requiresBroadcast(now)) {
             pass(change, source);
         }
         if (now === "held") {
             stop(record.fingerprint);
         }
-        if (now === "unsuspected" && concernsAllBoxes(before)) {
-            news.onAcquitted(record.fingerprint);
+        if (now === "unsuspected" && requiresBroadcast(before)) {
+            news.onCleared(record.fingerprint);
         }
-        requests.wake();
+        requests.wakeWaiting();
     }
 
     /** What all boxes have to know goes to them from those who collect it, and from the box that saw it. */
-    function pass({ before, now, record }: DeadlyChange, source: "own" | "told"): void {
+    function pass({ before, now, record }: PoisonRequestChange, source: "own" | "told"): void {
         const { fingerprint } = record;
         log.info("deadlyRequest.changed", {
             fingerprint,
             before,
             now,
             source,
-            lives: endsThatCount(record).map(({ id }) => id).join(",") || undefined,
+            lives: endsSinceLastAnswer(record).map(({ id }) => id).join(",") || undefined,
         });
         if (source === "own" || news.isCollector(fingerprint)) {
-            news.tellAll(record);
+            news.sendToAll(record);
         }
     }
 
     /** Requests of the kind that are at servers leave them: one that waits there for a slot has not begun to run. */
     function stop(fingerprint: RequestFingerprint): void {
-        for (const request of requests.ofKind(fingerprint)) {
+        for (const request of requests.withFingerprint(fingerprint)) {
             request.isStopped = true;
             request.active.fingerprint = fingerprint;
             request.controller.abort();
@@ -227,12 +234,12 @@
             return undefined;
         }
         const fingerprint = request.fingerprint();
-        return deadly.standing(fingerprint) === "unsuspected" ? undefined : fingerprint;
+        return deadly.restriction(fingerprint) === "unsuspected" ? undefined : fingerprint;
     }
 
     function isHeadKnown(request: RequestInProgress): boolean {
         for (const fingerprint of deadly.fingerprints()) {
-            if (request.hasHeadOf(fingerprint)) {
+            if (request.matchesHeadOf(fingerprint)) {
                 return true;
             }
         }
@@ -240,7 +247,7 @@
     }
 }
 
-function lifeOf({ id, state }: BackendServer): ServerLife {
+function lifeOf({ id, state }: BackendServer): ServerIncarnationId {
     const { bornAt } = state.record();
-    return serverLife(bornAt === undefined ? id : `${id}@${bornAt}`);
+    return serverIncarnationId(bornAt === undefined ? id : `${id}@${bornAt}`);
 }
--- a/packages/box/src/deadly/deadly-messages.ts
+++ b/packages/box/src/deadly/deadly-messages.ts
@@ -5,14 +5,14 @@
  * Owns nothing; what arrives is checked in full before it is used.
  */
 
-import { type DeadlyRecord, type KnownEvent, timeBefore } from "@chalkdale/decisions";
-import { answerId, type Milliseconds, requestFingerprint, serverLife } from "@chalkdale/kernel";
+import { type ObservedEvent, type PoisonRequestRecord, timeBefore } from "@chalkdale/decisions";
+import { answerId, type Milliseconds, requestFingerprint, serverIncarnationId } from "@chalkdale/kernel";
 
 /** What a box saw, and how long ago in milliseconds: a life of a server, or an answer. */
 type EventEntry = readonly [id: string, age: number];
 
 /** One record. Ages in milliseconds. */
-export interface DeadlyReport {
+export interface PoisonRequestReport {
     readonly fingerprint: string;
     readonly ends: readonly EventEntry[];
     readonly answers: readonly EventEntry[];
@@ -20,35 +20,35 @@
 }
 
 /** Returns a record as it is sent. */
-export function writeDeadlyReport(
-    { answers, ends, fingerprint, seenAt }: DeadlyRecord,
+export function encodePoisonRequestReport(
+    { answers, ends, fingerprint, seenAt }: PoisonRequestRecord,
     now: Milliseconds,
-): DeadlyReport {
+): PoisonRequestReport {
     const ageOf = (at: Milliseconds) => Math.max(0, Math.round(now - at));
-    const entryOf = ({ at, id }: KnownEvent<string>) => [id, ageOf(at)] as const;
+    const entryOf = ({ at, id }: ObservedEvent<string>) => [id, ageOf(at)] as const;
     return { fingerprint, ends: ends.map(entryOf), answers: answers.map(entryOf), seenAgo: ageOf(seenAt) };
 }
 
 /** Returns the record of a report that has just come. */
-export function readDeadlyReport(
-    { answers, ends, fingerprint, seenAgo }: DeadlyReport,
+export function decodePoisonRequestReport(
+    { answers, ends, fingerprint, seenAgo }: PoisonRequestReport,
     now: Milliseconds,
-): DeadlyRecord {
+): PoisonRequestRecord {
     return {
         fingerprint: requestFingerprint(fingerprint),
-        ends: ends.map(([life, age]) => ({ id: serverLife(life), at: timeBefore(now, age) })),
+        ends: ends.map(([life, age]) => ({ id: serverIncarnationId(life), at: timeBefore(now, age) })),
         answers: answers.map(([answer, age]) => ({ id: answerId(answer), at: timeBefore(now, age) })),
         seenAt: timeBefore(now, seenAgo),
     };
 }
 
 /** True for records as boxes send them. */
-export function areDeadlyReports(value: unknown): value is readonly DeadlyReport[] {
+export function arePoisonRequestReports(value: unknown): value is readonly PoisonRequestReport[] {
     return Array.isArray(value) && value.every(isDeadlyReport);
 }
 
 function isDeadlyReport(value: unknown): boolean {
-    const report = value as DeadlyReport | null;
+    const report = value as PoisonRequestReport | null;
     return typeof report === "object" && report !== null && typeof report.fingerprint === "string"
         && areEntries(report.ends) && areEntries(report.answers) && Number.isFinite(report.seenAgo);
 }
--- a/packages/box/src/deadly/deadly-news.ts
+++ b/packages/box/src/deadly/deadly-news.ts
@@ -8,42 +8,42 @@
 
 import {
     collectorsOf,
-    concernsAllBoxes,
-    type DeadlyRecord,
-    type DeadlyRequests,
-    endsThatCount,
+    endsSinceLastAnswer,
     type MemberRecord,
+    type PoisonRequestRecord,
+    type PoisonRequests,
+    requiresBroadcast,
 } from "@chalkdale/decisions";
 import { type BoxId, type Clock, type Milliseconds, milliseconds, type RequestFingerprint } from "@chalkdale/kernel";
-import { type DeadlyReport, writeDeadlyReport } from "./deadly-messages.js";
+import { encodePoisonRequestReport, type PoisonRequestReport } from "./deadly-messages.js";
 
-export interface DeadlyNewsOptions {
+export interface PoisonRequestGossipOptions {
     readonly clock: Clock;
     readonly self: BoxId;
-    readonly deadly: Pick<DeadlyRequests, "find" | "records" | "standing">;
+    readonly deadly: Pick<PoisonRequests, "find" | "records" | "restriction">;
     /** Boxes that callers are named, this one included if it is. */
     readonly advertised: () => readonly MemberRecord[];
     /** All other boxes that run. */
-    readonly reachable: () => readonly MemberRecord[];
-    readonly send: (box: MemberRecord, reports: readonly DeadlyReport[]) => void;
+    readonly recentMembers: () => readonly MemberRecord[];
+    readonly send: (box: MemberRecord, reports: readonly PoisonRequestReport[]) => void;
 }
 
 /** The news of one box. */
-export interface DeadlyNews {
+export interface PoisonRequestGossip {
     /** True if this box collects what is known of a request. */
     readonly isCollector: (fingerprint: RequestFingerprint) => boolean;
     /** True if this box makes the trials of a request that is held. */
     readonly makesTrials: (fingerprint: RequestFingerprint) => boolean;
-    readonly tellCollectors: (record: DeadlyRecord) => void;
+    readonly sendToCollectors: (record: PoisonRequestRecord) => void;
     /** The same, and again in the next rounds. */
-    readonly tellCollectorsRepeatedly: (record: DeadlyRecord) => void;
-    readonly tellAll: (record: DeadlyRecord) => void;
+    readonly sendToCollectorsRepeatedly: (record: PoisonRequestRecord) => void;
+    readonly sendToAll: (record: PoisonRequestRecord) => void;
     /** A request that others may still hold was answered. */
-    readonly onAcquitted: (fingerprint: RequestFingerprint) => void;
+    readonly onCleared: (fingerprint: RequestFingerprint) => void;
     /** What goes with gossip; undefined while there is nothing to tell. */
-    readonly gossipPart: () => readonly DeadlyReport[] | undefined;
+    readonly gossipPayload: () => readonly PoisonRequestReport[] | undefined;
     /** Due with each round of gossip. */
-    readonly round: () => void;
+    readonly onGossipRound: () => void;
 }
 
 /**
@@ -59,7 +59,7 @@
 const acquittalNews = 10_000;
 
 /** Creates the news of a box that has nothing to tell. */
-export function createDeadlyNews(options: DeadlyNewsOptions): DeadlyNews {
+export function createPoisonRequestGossip(options: PoisonRequestGossipOptions): PoisonRequestGossip {
     const { clock, deadly, self } = options;
     /** Rounds in which the ends under a request are still told again. */
     const toRepeat = new Map<RequestFingerprint, number>();
@@ -71,16 +71,16 @@
     return {
         isCollector: fingerprint => collectors(fingerprint).some(({ box }) => box === self),
         makesTrials: fingerprint => collectors(fingerprint).at(0)?.box === self,
-        tellCollectors,
-        tellCollectorsRepeatedly(record) {
+        sendToCollectors: tellCollectors,
+        sendToCollectorsRepeatedly(record) {
             toRepeat.set(record.fingerprint, repeatedRounds);
             tellCollectors(record);
         },
-        tellAll: record => send(options.reachable(), record),
-        onAcquitted(fingerprint) {
+        sendToAll: record => send(options.recentMembers(), record),
+        onCleared(fingerprint) {
             acquittedUntil.set(fingerprint, milliseconds(clock() + acquittalNews));
         },
-        gossipPart() {
+        gossipPayload() {
             const news = deadly.records().filter(isNews);
             if (news.length === 0) {
                 return undefined;
@@ -88,9 +88,9 @@
             const first = told % news.length;
             told += mostReports;
             const inTurn = [...news.slice(first), ...news.slice(0, first)];
-            return inTurn.slice(0, mostReports).map(record => writeDeadlyReport(record, clock()));
+            return inTurn.slice(0, mostReports).map(record => encodePoisonRequestReport(record, clock()));
         },
-        round() {
+        onGossipRound() {
             [...toRepeat.keys()].forEach(repeat);
             const now = clock();
             [...acquittedUntil].filter(([, until]) => now >= until).forEach(([known]) => acquittedUntil.delete(known));
@@ -101,7 +101,7 @@
         return collectorsOf(fingerprint, options.advertised());
     }
 
-    function tellCollectors(record: DeadlyRecord): void {
+    function tellCollectors(record: PoisonRequestRecord): void {
         send(collectors(record.fingerprint), record);
     }
 
@@ -119,15 +119,15 @@
     }
 
     /** What all boxes have to know, and what has just ended: the boxes that collect it may both be lost. */
-    function isNews(record: DeadlyRecord): boolean {
+    function isNews(record: PoisonRequestRecord): boolean {
         const { fingerprint } = record;
-        const lastEnd = endsThatCount(record).at(-1)?.at ?? -Infinity;
-        return acquittedUntil.has(fingerprint) || concernsAllBoxes(deadly.standing(fingerprint))
+        const lastEnd = endsSinceLastAnswer(record).at(-1)?.at ?? -Infinity;
+        return acquittedUntil.has(fingerprint) || requiresBroadcast(deadly.restriction(fingerprint))
             || clock() - lastEnd < endNews;
     }
 
-    function send(boxes: readonly MemberRecord[], record: DeadlyRecord): void {
-        const reports = [writeDeadlyReport(record, clock())];
+    function send(boxes: readonly MemberRecord[], record: PoisonRequestRecord): void {
+        const reports = [encodePoisonRequestReport(record, clock())];
         boxes.filter(({ box }) => box !== self).forEach(box => options.send(box, reports));
     }
 }
--- a/packages/box/src/deadly/requests-in-progress.ts
+++ b/packages/box/src/deadly/requests-in-progress.ts
@@ -16,22 +16,22 @@
     readonly controller: AbortController;
     readonly fingerprint: () => RequestFingerprint;
     /** True if a fingerprint begins as that of this request. Costs no look at the body. */
-    readonly hasHeadOf: (fingerprint: RequestFingerprint) => boolean;
+    readonly matchesHeadOf: (fingerprint: RequestFingerprint) => boolean;
     /** Its servers end: it must leave them. */
     isStopped: boolean;
     /** Attempts that run, or of whose servers it isn't known yet what became of them. */
-    underWay: number;
+    pendingAttempts: number;
 }
 
 /** The requests of one box. */
 export interface RequestsInProgress {
     readonly begin: (active: ActiveRequest, body: Buffer, controller: AbortController) => RequestInProgress;
     readonly end: (request: RequestInProgress) => void;
-    readonly ofKind: (fingerprint: RequestFingerprint) => readonly RequestInProgress[];
+    readonly withFingerprint: (fingerprint: RequestFingerprint) => readonly RequestInProgress[];
     /** Resolves when `wake` is called, or the signal aborts. */
     readonly nextChange: (signal: AbortSignal) => Promise<void>;
     /** Requests that wait may go on, as far as they find. */
-    readonly wake: () => void;
+    readonly wakeWaiting: () => void;
 }
 
 /** Creates the requests of a box that serves none. */
@@ -49,8 +49,10 @@
             requests.delete(request);
             wake();
         },
-        ofKind: fingerprint =>
-            [...requests].filter(request => request.hasHeadOf(fingerprint) && request.fingerprint() === fingerprint),
+        withFingerprint: fingerprint =>
+            [...requests].filter(request =>
+                request.matchesHeadOf(fingerprint) && request.fingerprint() === fingerprint
+            ),
         nextChange: signal =>
             new Promise(resolve => {
                 const goOn = () => {
@@ -61,7 +63,7 @@
                 waiting.add(goOn);
                 signal.addEventListener("abort", goOn, { once: true });
             }),
-        wake,
+        wakeWaiting: wake,
     };
 
     function wake(): void {
@@ -77,8 +79,8 @@
         active,
         controller,
         fingerprint: () => whole ??= fingerprintOf(active, body),
-        hasHeadOf: fingerprint => headOfFingerprint(fingerprint) === (head ??= fingerprintOfHead(active)),
+        matchesHeadOf: fingerprint => headOfFingerprint(fingerprint) === (head ??= fingerprintOfHead(active)),
         isStopped: false,
-        underWay: 0,
+        pendingAttempts: 0,
     };
 }
--- a/packages/box/src/join.ts
+++ b/packages/box/src/join.ts
@@ -54,15 +54,15 @@
     let isRecorded = false;
     await untilDone(options, async () => {
         const recorded = await store.listBoxes("mayBeOld", signal);
-        isRecorded = recorded.some(record => isSameBox(record, membership.own()));
+        isRecorded = recorded.some(record => isSameBox(record, membership.ownRecord()));
         void greetRecorded(options, recorded);
     });
     if (!isRecorded) {
-        await untilDone(options, () => store.announce(membership.own(), signal));
+        await untilDone(options, () => store.registerBox(membership.ownRecord(), signal));
     }
     void keepRecorded(options);
     await sleep(relayRole.settleTime, signal);
-    while (!signal.aborted && !relayRole.alwaysFollows()) {
+    while (!signal.aborted && !relayRole.alwaysFollowsStore()) {
         await sleep(roleCheckInterval, signal);
     }
     await untilDone(options, async () => greetUnknown(options, await store.listBoxes("newest", signal)));
@@ -76,7 +76,7 @@
         await sleep(roleCheckInterval, signal);
         const newest = storeEpoch();
         if (epoch !== undefined && newest !== undefined && newest > epoch) {
-            await untilDone({ ...options, signal }, () => store.announce(membership.own(), signal));
+            await untilDone({ ...options, signal }, () => store.registerBox(membership.ownRecord(), signal));
         }
         epoch = newest;
     }
@@ -96,14 +96,14 @@
 /** Greets some boxes of the list, and more after a while if none of them answers. */
 async function greetRecorded(options: JoinOptions, recorded: readonly MemberRecord[]): Promise<void> {
     const { clock, membership, self, sendGossip, signal } = options;
-    const { region } = membership.own();
+    const { region } = membership.ownRecord();
     const others = shuffle(recorded.filter(record => record.box !== self), options.random);
     const near = others.filter(record => record.region === region);
     const far = others.filter(record => record.region !== region);
     while (!signal.aborted && near.length + far.length > 0) {
         [...near.splice(0, nearGreetings), ...far.splice(0, farGreetings)].forEach(sendGossip);
         await sleep(gossipInterval, signal);
-        if (membership.reachable(clock()).length > 0) {
+        if (membership.recentMembers(clock()).length > 0) {
             return;
         }
     }
--- a/packages/box/src/metrics-text.ts
+++ b/packages/box/src/metrics-text.ts
@@ -9,12 +9,12 @@
 import type { Membership, SharedLimits } from "@chalkdale/decisions";
 import type { Clock } from "@chalkdale/kernel";
 import type { CallerConnections } from "./callers/caller-connections.js";
-import type { DeadlyGuard } from "./deadly/deadly-guard.js";
+import type { PoisonRequestGuard } from "./deadly/deadly-guard.js";
 import type { LoadMeter } from "./load-meter.js";
 import type { BoxMetrics } from "./metrics.js";
 import type { CustomerQuotas } from "./quotas/customer-quotas.js";
 import { quotaMetricLines } from "./quotas/quota-metrics.js";
-import type { RequestPath } from "./requests/request-path.js";
+import type { DataPlane } from "./requests/request-path.js";
 import { rolloutMetricLines } from "./rollouts/rollout-metrics.js";
 import type { Rollouts } from "./rollouts/rollouts.js";
 import type { LimitedServers } from "./servers/limited-servers.js";
@@ -32,12 +32,12 @@
     readonly limits: SharedLimits;
     readonly loadMeter: LoadMeter;
     readonly quotas: CustomerQuotas;
-    readonly deadlyGuard: Pick<DeadlyGuard, "heldCount">;
+    readonly poisonRequestGuard: Pick<PoisonRequestGuard, "heldCount">;
     readonly limitedServers: Pick<LimitedServers, "limited">;
     readonly serverNotices: Pick<ServerNotices, "backedOffCount">;
     readonly rollouts: Rollouts | undefined;
     readonly traffic: TrafficMeter;
-    readonly requests: RequestPath;
+    readonly requests: DataPlane;
     /** Read when someone asks, since it is created later. */
     readonly replicator: () => Replicator;
     readonly callers: () => Pick<CallerConnections, "count" | "inFlight">;
@@ -51,7 +51,7 @@
         [
             metrics.text(readGauges()).trimEnd(),
             ...quotaMetricLines(quotas.counts()),
-            ...rolloutMetricLines(rollouts?.counts() ?? [], state.configuration()?.routes ?? []),
+            ...rolloutMetricLines(rollouts?.summaries() ?? [], state.configuration()?.routes ?? []),
             ...traffic.metricLines(),
             "",
         ].join("\n");
@@ -64,10 +64,10 @@
             store_epoch: state.storeEpoch(),
             servers_revision: state.replica("servers").revision(),
             servers_age_milliseconds: Math.round(replicator.confirmedAge("servers")),
-            store_lost_milliseconds: replicator.storeLostFor(),
+            store_lost_milliseconds: replicator.storeUnavailableFor(),
             servers_backed_off: options.serverNotices.backedOffCount(),
             servers_limited: options.limitedServers.limited().length,
-            requests_held: options.deadlyGuard.heldCount(),
+            requests_held: options.poisonRequestGuard.heldCount(),
             boxes_alive: membership.alive(clock()).length,
             boxes_carrying: limits.advertised().length,
             own_load_cores: loadMeter.cores(),
--- a/packages/box/src/metrics.ts
+++ b/packages/box/src/metrics.ts
@@ -10,7 +10,7 @@
 /** Counters and latencies of one box. */
 export interface BoxMetrics {
     /** A request of a caller ended. Latency in milliseconds. */
-    readonly onEnding: (route: string, outcome: string, latency: number) => void;
+    readonly onRequestEnded: (route: string, outcome: string, latency: number) => void;
     /** An attempt at a server ended. */
     readonly onAttempt: (outcome: string) => void;
     /** A server answered with a success after so many milliseconds there. */
@@ -41,7 +41,7 @@
     let restarts = 0;
 
     return {
-        onEnding(route, outcome, latency) {
+        onRequestEnded(route, outcome, latency) {
             increase(requests, `route="${route}",outcome="${outcome}"`);
             whole.recordValue(toTenths(latency));
         },
--- a/packages/box/src/peers/peer-link.ts
+++ b/packages/box/src/peers/peer-link.ts
@@ -16,26 +16,26 @@
     gossipInterval,
     type MemberRecord,
     type Membership,
+    type MemberStatus,
     type MissingChanges,
     type SharedKind,
-    type Sighting,
     type Snapshot,
 } from "@chalkdale/decisions";
 import type { BoxId, Clock, RegionId } from "@chalkdale/kernel";
-import { type Address, every, type Log, splitAddress } from "@chalkdale/runtime";
+import { type Address, intervalStream, type Log, splitAddress } from "@chalkdale/runtime";
 import { createSocket } from "node:dgram";
 import { createServer } from "node:http";
-import type { DeadlyReport } from "../deadly/deadly-messages.js";
+import type { PoisonRequestReport } from "../deadly/deadly-messages.js";
 import type { QuotaMessage } from "../quotas/quota-messages.js";
 import type { RolloutMessage } from "../rollouts/rollout-parts.js";
 import type { LimitReport } from "../servers/limit-messages.js";
 import type { StateDigest, StateUpdate } from "../state/state-messages.js";
 import type { StatePeer } from "../state/state-reader.js";
-import type { TrafficPlace, TrafficPurpose } from "../traffic-meter.js";
-import { type Beat, beatOf, largestDatagram, type PeerMessage } from "./peer-messages.js";
+import type { TrafficLocality, TrafficPurpose } from "../traffic-meter.js";
+import { encodeHeartbeat, maxDatagramBytes, type MemberHeartbeat, type PeerMessage } from "./peer-messages.js";
 import { createPeerListener } from "./peer-reads.js";
 import { createPeerReceiver } from "./peer-receiver.js";
-import type { ServerReports } from "./server-reports.js";
+import type { OutlierGossip } from "./server-reports.js";
 
 /**
  * Members in one datagram at most, of some 65 bytes each: three fragments of a local network while half of a fleet is lost, few
@@ -58,20 +58,20 @@
     /** True for a box that callers are named. */
     readonly isAdvertised: (box: BoxId) => boolean;
     /** True while the boxes of the region depend on what this one says of its copies. */
-    readonly isFollowing: () => boolean;
+    readonly isFollowingStore: () => boolean;
     /** Rounds between two messages that say so to the whole region. */
-    readonly digestRounds: number;
+    readonly roundsBetweenDigests: number;
     /** What this box and others of its region say of servers that do badly. */
-    readonly serverReports: ServerReports;
+    readonly serverReports: OutlierGossip;
     readonly snapshot: (kind: SharedKind) => Snapshot<unknown> | undefined;
     readonly changesSince: (kind: SharedKind, since: number) => MissingChanges<unknown> | undefined;
     /** Reads all members that another box knows. */
-    readonly readMembers: (peer: StatePeer) => Promise<readonly Sighting[]>;
-    readonly countTraffic: (purpose: TrafficPurpose, place: TrafficPlace, bytes: number) => void;
+    readonly readMembers: (peer: StatePeer) => Promise<readonly MemberStatus[]>;
+    readonly countTraffic: (purpose: TrafficPurpose, place: TrafficLocality, bytes: number) => void;
     /** Another box told of requests that end servers. */
-    readonly onDeadly: (reports: readonly DeadlyReport[]) => void;
+    readonly onPoisonRequestReports: (reports: readonly PoisonRequestReport[]) => void;
     /** Such requests that all boxes have to know; undefined while there are none. */
-    readonly deadlyRequests: () => readonly DeadlyReport[] | undefined;
+    readonly poisonRequestReports: () => readonly PoisonRequestReport[] | undefined;
     /** Another box told of limits that servers name. */
     readonly onLimits: (reports: readonly LimitReport[]) => void;
     /** Limits that all boxes have to know; undefined while there are none. */
@@ -81,12 +81,12 @@
     /** Another box told of roll-outs. */
     readonly onRollout: (from: MemberRecord, message: RolloutMessage) => void;
     /** Decisions on roll-outs that gossip repeats now. */
-    readonly rolloutNews: () => RolloutMessage | undefined;
+    readonly rolloutUpdate: () => RolloutMessage | undefined;
     readonly signal: AbortSignal;
 }
 
 /** Where a datagram goes; the place of a seed is not known, and the few datagrams to seeds are not counted. */
-type PeerTarget = Pick<MemberRecord, "peerAddress"> & Partial<TrafficPlace>;
+type PeerTarget = Pick<MemberRecord, "peerAddress"> & Partial<TrafficLocality>;
 
 /** The link of one box to the others. */
 export interface PeerLink {
@@ -97,9 +97,9 @@
     /** Passes changes on to the boxes of the region; they are told of those that are too large for a datagram, and read them. */
     readonly publish: (update: StateUpdate) => void;
     /** Tells the boxes of the region how far the copies reach, at once. */
-    readonly tellRegion: () => void;
+    readonly sendDigestToRegion: () => void;
     /** Sends what is known of requests that end servers. */
-    readonly sendDeadly: (box: MemberRecord, reports: readonly DeadlyReport[]) => void;
+    readonly sendPoisonRequestReports: (box: MemberRecord, reports: readonly PoisonRequestReport[]) => void;
     /** Sends limits that servers name. */
     readonly sendLimits: (box: MemberRecord, limits: readonly LimitReport[]) => void;
     /** Sends a part about customers' quotas. */
@@ -120,14 +120,14 @@
         createPeerReceiver({
             ...options,
             onReports: options.serverReports.onReports,
-            answer: peer => sendGossip(peer),
+            replyTo: peer => sendGossip(peer),
         }),
     );
     socket.bind(options.listen.port, options.listen.host);
     const server = createServer(createPeerListener({
         members: () => [
-            { record: membership.own(), heardAgo: 0, suspectedFor: undefined },
-            ...membership.sightings(clock()),
+            { record: membership.ownRecord(), heardAgo: 0, suspectedFor: undefined },
+            ...membership.statuses(clock()),
         ],
         snapshot: options.snapshot,
         changesSince: options.changesSince,
@@ -137,14 +137,15 @@
         socket.close();
         server.close();
     }, { once: true });
-    void every(gossipInterval, signal).observe(gossip);
+    void intervalStream(gossipInterval, signal).observe(gossip);
 
     return {
         sendGossip: peer => sendGossip(peer),
         gossipToAll,
         publish,
-        tellRegion,
-        sendDeadly: (box, deadly) => send("deadly", JSON.stringify({ ...createMessage([]), deadly }), box),
+        sendDigestToRegion: tellRegion,
+        sendPoisonRequestReports: (box, deadly) =>
+            send("deadly", JSON.stringify({ ...createMessage([]), deadly }), box),
         sendLimits: (box, limits) => send("limits", JSON.stringify({ ...createMessage([]), limits }), box),
         sendQuota: (box, quota) => send("quota", JSON.stringify({ ...createMessage([]), quota }), box),
         sendRollout: (box, rollout) =>
@@ -152,17 +153,17 @@
     };
 
     function gossip(): void {
-        const { region } = membership.beat();
+        const { region } = membership.incrementHeartbeat();
         const reports = options.serverReports.current();
         for (const member of probing.nextRound(clock())) {
             sendGossip(member, { asks: true, ...reports.length > 0 && member.region === region ? { reports } : {} });
         }
-        if (membership.takeOwnSuspicion()) {
-            log.info("peer.suspected", { box: membership.own().box });
+        if (membership.consumeOwnSuspicion()) {
+            log.info("peer.suspected", { box: membership.ownRecord().box });
             someMembers(refutationTargets).forEach(member => sendGossip(member));
         }
         roundsSinceTold += 1;
-        if (options.isFollowing() && roundsSinceTold >= options.digestRounds) {
+        if (options.isFollowingStore() && roundsSinceTold >= options.roundsBetweenDigests) {
             tellRegion();
         }
     }
@@ -178,7 +179,7 @@
 
     function publish(update: StateUpdate): void {
         const data = JSON.stringify(createMessage([], update));
-        if (data.length > largestDatagram) {
+        if (data.length > maxDatagramBytes) {
             log.info("peer.updateTooLarge", { bytes: data.length });
             tellRegion();
             return;
@@ -187,7 +188,7 @@
     }
 
     function someMembers(count: number): readonly MemberRecord[] {
-        const members = [...membership.reachable(clock())];
+        const members = [...membership.recentMembers(clock())];
         const chosen: MemberRecord[] = [];
         while (members.length > 0 && chosen.length < count) {
             chosen.push(...members.splice(Math.floor(random() * members.length), 1));
@@ -196,30 +197,30 @@
     }
 
     function sendToRegion(purpose: TrafficPurpose, data: string): void {
-        const { box, region } = membership.own();
+        const { box, region } = membership.ownRecord();
         membership.alive(clock())
             .filter(member => member.region === region && member.box !== box)
             .forEach(member => send(purpose, data, member));
     }
 
     function gossipToAll(): void {
-        membership.beat();
-        membership.reachable(clock()).forEach(member => sendGossip(member));
+        membership.incrementHeartbeat();
+        membership.recentMembers(clock()).forEach(member => sendGossip(member));
     }
 
     function sendGossip(peer: PeerTarget, parts: Pick<PeerMessage, "asks" | "reports"> = {}): void {
         const regions = Object.fromEntries(
             [...membership.regionAges(clock())].map(([region, age]) => [region, Math.round(age)]),
         );
-        const message = createMessage(membership.takeNews(mostBeats, clock()).map(beatOf));
-        const rollout = options.rolloutNews();
-        const deadly = options.deadlyRequests();
+        const message = createMessage(membership.nextUpdates(mostBeats, clock()).map(encodeHeartbeat));
+        const rollout = options.rolloutUpdate();
+        const deadly = options.poisonRequestReports();
         const limits = options.limits();
         send("gossip", JSON.stringify({ ...message, regions, rollout, deadly, limits, ...parts }), peer);
     }
 
-    function createMessage(beats: readonly Beat[], update?: StateUpdate): PeerMessage {
-        return { from: membership.own(), beats, digest: options.digest(), update };
+    function createMessage(beats: readonly MemberHeartbeat[], update?: StateUpdate): PeerMessage {
+        return { from: membership.ownRecord(), beats, digest: options.digest(), update };
     }
 
     /** A datagram that could not be sent is as lost as one on the way: the next round says the same. */
--- a/packages/box/src/peers/peer-messages.ts
+++ b/packages/box/src/peers/peer-messages.ts
@@ -6,21 +6,21 @@
  * Owns nothing. What arrives is checked in full before it is used.
  */
 
-import type { MemberRecord, Sighting } from "@chalkdale/decisions";
+import type { MemberRecord, MemberStatus } from "@chalkdale/decisions";
 import { incarnationId, type RegionId } from "@chalkdale/kernel";
-import { areDeadlyReports, type DeadlyReport } from "../deadly/deadly-messages.js";
+import { arePoisonRequestReports, type PoisonRequestReport } from "../deadly/deadly-messages.js";
 import { isQuotaMessage, type QuotaMessage } from "../quotas/quota-messages.js";
 import { isRolloutMessage } from "../rollouts/rollout-checks.js";
 import type { RolloutMessage } from "../rollouts/rollout-parts.js";
 import { areLimitReports, type LimitReport } from "../servers/limit-messages.js";
 import { isStateDigest, isStateUpdate, type StateDigest, type StateUpdate } from "../state/state-messages.js";
-import { isReportMessage, type ReportMessage } from "./server-reports.js";
+import { isOutlierReportMessage, type OutlierReportMessage } from "./server-reports.js";
 
 /** Largest datagram that is sent to a region and that is read, in bytes: a few fragments of a local network. */
-export const largestDatagram = 8192;
+export const maxDatagramBytes = 8192;
 
-/** What is told of one member, short since a datagram has many. Ages in milliseconds, see `Sighting`; the last is left out. */
-export type Beat = readonly [
+/** What is told of one member, short since a datagram has many. Ages in milliseconds, see `MemberStatus`; the last is left out. */
+export type MemberHeartbeat = readonly [
     box: string,
     incarnation: string,
     heartbeat: number,
@@ -36,7 +36,7 @@
     /** The sender, in full. */
     readonly from: MemberRecord;
     /** Other members that the sender knows. */
-    readonly beats: readonly Beat[];
+    readonly beats: readonly MemberHeartbeat[];
     /** Missing in messages about roll-outs, of which there are several a second. */
     readonly digest?: StateDigest;
     /** True if the sender wants an answer, as a sign of life. */
@@ -49,22 +49,22 @@
     /** Reports, grants and news of roll-outs; earlier releases, and deployments without them, have none. */
     readonly rollout?: RolloutMessage;
     /** Requests that end servers; earlier releases have none. */
-    readonly deadly?: readonly DeadlyReport[];
+    readonly deadly?: readonly PoisonRequestReport[];
     /** Limits that servers name; earlier releases have none. */
     readonly limits?: readonly LimitReport[];
     /** Servers that do badly, for boxes of the sender's region; earlier releases have none. */
-    readonly reports?: readonly ReportMessage[];
+    readonly reports?: readonly OutlierReportMessage[];
 }
 
 /** Shortens what is known of a member. */
-export function beatOf({ heardAgo, record, suspectedFor }: Sighting): Beat {
+export function encodeHeartbeat({ heardAgo, record, suspectedFor }: MemberStatus): MemberHeartbeat {
     const { box, heartbeat, incarnation, leaving, load, ready } = record;
     const beat = [box, incarnation, heartbeat, ready ? 1 : 0, leaving ? 1 : 0, load, Math.round(heardAgo)] as const;
     return suspectedFor === undefined ? beat : [...beat, Math.round(suspectedFor)];
 }
 
 /** Returns what a beat tells of a member that is known in full. */
-export function readBeat(member: MemberRecord, beat: Beat): Sighting {
+export function decodeHeartbeat(member: MemberRecord, beat: MemberHeartbeat): MemberStatus {
     const [, incarnation, heartbeat, ready, leaving, load, heardAgo = 0, suspectedFor] = beat;
     const state = { ready: ready === 1, leaving: leaving === 1, load };
     const record = { ...member, incarnation: incarnationId(incarnation), heartbeat, ...state };
@@ -73,7 +73,7 @@
 
 /** Reads a datagram, or says why it is none of this protocol. */
 export function readMessage(data: Buffer): PeerMessage | MessageFault {
-    if (data.length > largestDatagram) {
+    if (data.length > maxDatagramBytes) {
         return { fault: "too large" };
     }
     let message: PeerMessage;
@@ -97,7 +97,7 @@
         && (message.digest === undefined ? message.rollout !== undefined : isStateDigest(message.digest))
         && (message.update === undefined || isStateUpdate(message.update))
         && (message.reports === undefined || areReports(message.reports))
-        && (message.deadly === undefined || areDeadlyReports(message.deadly))
+        && (message.deadly === undefined || arePoisonRequestReports(message.deadly))
         && (message.limits === undefined || areLimitReports(message.limits))
         && (message.quota === undefined || isQuotaMessage(message.quota))
         && (message.rollout === undefined || isRolloutMessage(message.rollout))
@@ -116,7 +116,7 @@
 }
 
 function areReports(reports: unknown): boolean {
-    return Array.isArray(reports) && reports.every(isReportMessage);
+    return Array.isArray(reports) && reports.every(isOutlierReportMessage);
 }
 
 function isBeat(beat: unknown): boolean {
--- a/packages/box/src/peers/peer-reads.ts
+++ b/packages/box/src/peers/peer-reads.ts
@@ -10,18 +10,18 @@
 
 import {
     type MemberRecord,
+    type MemberStatus,
     type MissingChanges,
     type SharedItems,
     type SharedKind,
     sharedKinds,
-    type Sighting,
     type Snapshot,
 } from "@chalkdale/decisions";
 import { get, type IncomingMessage, type RequestListener, type ServerResponse } from "node:http";
 import { gunzipSync, gzipSync } from "node:zlib";
 import { isItemChange, isMissingChanges, isSharedItem } from "../state/state-messages.js";
-import type { StatePeer, StateRead, StateReader } from "../state/state-reader.js";
-import type { TrafficPlace, TrafficPurpose } from "../traffic-meter.js";
+import type { StatePeer, StateReader, StateReadResult } from "../state/state-reader.js";
+import type { TrafficLocality, TrafficPurpose } from "../traffic-meter.js";
 
 const membersPath = "/members";
 const statePath = "/state/";
@@ -38,7 +38,7 @@
 
 /** What a box has for others to read. */
 export interface PeerListenerOptions {
-    readonly members: () => readonly Sighting[];
+    readonly members: () => readonly MemberStatus[];
     /** The own copy of a kind, if there is one. */
     readonly snapshot: (kind: SharedKind) => Snapshot<unknown> | undefined;
     /** What a copy that is complete up to a revision lacks, as far as the changes are kept. */
@@ -85,26 +85,26 @@
 }
 
 /** A member in an answer: its record, with what is known of it beside; an earlier release gives the record alone. */
-type MemberInAnswer = MemberRecord & Partial<Omit<Sighting, "record">>;
+type MemberInAnswer = MemberRecord & Partial<Omit<MemberStatus, "record">>;
 
-function writeMember({ heardAgo, record, suspectedFor }: Sighting): MemberInAnswer {
+function writeMember({ heardAgo, record, suspectedFor }: MemberStatus): MemberInAnswer {
     return { ...record, heardAgo: Math.round(heardAgo), suspectedFor: suspectedFor && Math.round(suspectedFor) };
 }
 
-function readMember({ heardAgo = 0, suspectedFor, ...record }: MemberInAnswer): Sighting {
+function readMember({ heardAgo = 0, suspectedFor, ...record }: MemberInAnswer): MemberStatus {
     return { record, heardAgo, suspectedFor };
 }
 
 /** Reads from other boxes; each rejects when the box doesn't answer, or with something else. */
 export interface PeerReads {
     /** The members that another box knows. */
-    readonly readMembers: (peer: StatePeer) => Promise<readonly Sighting[]>;
+    readonly readMembers: (peer: StatePeer) => Promise<readonly MemberStatus[]>;
     /** What another box has of a kind beyond a copy that is complete up to `since`; all of it if there is none. */
     readonly readState: StateReader;
 }
 
 export interface PeerReadsOptions {
-    readonly countTraffic: (purpose: TrafficPurpose, place: TrafficPlace, bytes: number) => void;
+    readonly countTraffic: (purpose: TrafficPurpose, place: TrafficLocality, bytes: number) => void;
     readonly signal: AbortSignal;
 }
 
@@ -128,7 +128,7 @@
     }
 }
 
-function readStateFrom<Kind extends SharedKind>(kind: Kind, text: string): StateRead<Kind> {
+function readStateFrom<Kind extends SharedKind>(kind: Kind, text: string): StateReadResult<Kind> {
     const body = JSON.parse(text) as Partial<Snapshot<SharedItems[Kind]>>;
     if (isMissingChanges(kind, body)) {
         return { kind: "missing", missing: body };
--- a/packages/box/src/peers/peer-receiver.ts
+++ b/packages/box/src/peers/peer-receiver.ts
@@ -6,17 +6,17 @@
  * everything else on to those who asked for it.
  */
 
-import type { MemberRecord, Membership, Sighting } from "@chalkdale/decisions";
+import type { MemberRecord, Membership, MemberStatus } from "@chalkdale/decisions";
 import { boxId, type Clock, type RegionId, regionId } from "@chalkdale/kernel";
 import type { Log } from "@chalkdale/runtime";
-import type { DeadlyReport } from "../deadly/deadly-messages.js";
+import type { PoisonRequestReport } from "../deadly/deadly-messages.js";
 import type { QuotaMessage } from "../quotas/quota-messages.js";
 import type { RolloutMessage } from "../rollouts/rollout-parts.js";
 import type { LimitReport } from "../servers/limit-messages.js";
 import type { StateDigest, StateUpdate } from "../state/state-messages.js";
 import type { StatePeer } from "../state/state-reader.js";
-import { type Beat, type PeerMessage, readBeat, readMessage } from "./peer-messages.js";
-import type { ReportMessage } from "./server-reports.js";
+import { decodeHeartbeat, type MemberHeartbeat, type PeerMessage, readMessage } from "./peer-messages.js";
+import type { OutlierReportMessage } from "./server-reports.js";
 
 export interface PeerReceiverOptions {
     readonly clock: Clock;
@@ -26,15 +26,15 @@
     readonly membership: Membership;
     readonly onDigest: (peer: StatePeer, digest: StateDigest) => void;
     readonly onUpdate: (update: StateUpdate) => void;
-    readonly onReports: (reports: readonly ReportMessage[]) => void;
-    readonly onDeadly: (reports: readonly DeadlyReport[]) => void;
+    readonly onReports: (reports: readonly OutlierReportMessage[]) => void;
+    readonly onPoisonRequestReports: (reports: readonly PoisonRequestReport[]) => void;
     readonly onLimits: (reports: readonly LimitReport[]) => void;
     readonly onQuota: (from: MemberRecord, message: QuotaMessage) => void;
     readonly onRollout: (from: MemberRecord, message: RolloutMessage) => void;
     /** Answers a box that asks, or that was not known before. */
-    readonly answer: (peer: MemberRecord) => void;
+    readonly replyTo: (peer: MemberRecord) => void;
     /** Reads all members that another box knows. */
-    readonly readMembers: (peer: StatePeer) => Promise<readonly Sighting[]>;
+    readonly readMembers: (peer: StatePeer) => Promise<readonly MemberStatus[]>;
 }
 
 /**
@@ -72,13 +72,13 @@
             void readMembersIfDue(from);
         }
         if (message.regions !== undefined) {
-            membership.onRegionAges(new Map(Object.entries(message.regions).map(readAge)), clock());
+            membership.mergeRegionAges(new Map(Object.entries(message.regions).map(readAge)), clock());
         }
         if (isUnknown) {
             log.info("peer.joined", { box: from.box, zone: from.zone, incarnation: from.incarnation });
         }
         if (isUnknown || message.asks === true) {
-            options.answer(from);
+            options.replyTo(from);
         }
         if (message.update !== undefined) {
             options.onUpdate(message.update);
@@ -87,7 +87,7 @@
             options.onReports(message.reports);
         }
         if (message.deadly !== undefined) {
-            options.onDeadly(message.deadly);
+            options.onPoisonRequestReports(message.deadly);
         }
         if (message.limits !== undefined) {
             options.onLimits(message.limits);
@@ -104,12 +104,12 @@
     }
 
     /** Merges what is told of members that are known in full; true if some are not. */
-    function mergeBeats(beats: readonly Beat[]): boolean {
-        const sightings: Sighting[] = [];
+    function mergeBeats(beats: readonly MemberHeartbeat[]): boolean {
+        const sightings: MemberStatus[] = [];
         for (const beat of beats) {
             const member = membership.find(boxId(beat[0]));
             if (member !== undefined) {
-                sightings.push(readBeat(member, beat));
+                sightings.push(decodeHeartbeat(member, beat));
             }
         }
         membership.merge(sightings, clock());
--- a/packages/box/src/peers/server-reports.ts
+++ b/packages/box/src/peers/server-reports.ts
@@ -6,18 +6,18 @@
  * evidence for the others'.
  */
 
-import type { ServerCatalog, ServerReport, SharedEvidence } from "@chalkdale/decisions";
+import type { OutlierReport, OutlierReports, ServerCatalog } from "@chalkdale/decisions";
 import { backendServerId, type BoxId, boxId, type Clock, milliseconds } from "@chalkdale/kernel";
 
 /** One report in a datagram, short since there may be many: server, box that saw it, severity, age in milliseconds. */
-export type ReportMessage = readonly [server: string, origin: string, severity: number, age: number];
+export type OutlierReportMessage = readonly [server: string, origin: string, severity: number, age: number];
 
 /** Reports of one box. */
-export interface ServerReports {
+export interface OutlierGossip {
     /** What this box says of servers now, the worst first; empty while none does badly. */
-    readonly current: () => readonly ReportMessage[];
+    readonly current: () => readonly OutlierReportMessage[];
     /** Takes what another box of the region said. */
-    readonly onReports: (reports: readonly ReportMessage[]) => void;
+    readonly onReports: (reports: readonly OutlierReportMessage[]) => void;
 }
 
 /**
@@ -26,15 +26,15 @@
  */
 const mostReports = 30;
 
-export interface ServerReportsOptions {
+export interface OutlierGossipOptions {
     readonly clock: Clock;
     readonly self: BoxId;
     readonly catalog: ServerCatalog;
-    readonly evidence: SharedEvidence;
+    readonly evidence: OutlierReports;
 }
 
 /** Creates the reports of one box. */
-export function createServerReports(options: ServerReportsOptions): ServerReports {
+export function createOutlierGossip(options: OutlierGossipOptions): OutlierGossip {
     const { catalog, clock, evidence, self } = options;
 
     return {
@@ -54,7 +54,7 @@
         },
     };
 
-    function ownReports(): readonly ServerReport[] {
+    function ownReports(): readonly OutlierReport[] {
         const at = clock();
         return [...catalog.all()]
             .map(({ id, state }) => ({ server: id, origin: self, severity: state.severity(at), at }))
@@ -63,7 +63,7 @@
 }
 
 /** True for a report as boxes send it. */
-export function isReportMessage(value: unknown): value is ReportMessage {
+export function isOutlierReportMessage(value: unknown): value is OutlierReportMessage {
     return Array.isArray(value) && typeof value[0] === "string" && typeof value[1] === "string"
         && Number.isFinite(value[2]) && Number.isFinite(value[3]);
 }
--- a/packages/box/src/planned-stop.ts
+++ b/packages/box/src/planned-stop.ts
@@ -4,11 +4,11 @@
  * Owns the phase of the box's life; when each phase ends is decided by the stop schedule.
  */
 
-import { createStopSchedule, type StopPhase } from "@chalkdale/decisions";
+import { createShutdownSchedule, type ShutdownPhase } from "@chalkdale/decisions";
 import { type Clock, type Milliseconds, milliseconds } from "@chalkdale/kernel";
 import { type Log, sleep } from "@chalkdale/runtime";
 
-export interface PlannedStopOptions {
+export interface GracefulShutdownOptions {
     readonly clock: Clock;
     readonly log: Log;
     /** Time between the signal to stop and the kill. */
@@ -21,8 +21,8 @@
 }
 
 /** The stop of one box. */
-export interface PlannedStop {
-    readonly phase: () => StopPhase;
+export interface GracefulShutdown {
+    readonly phase: () => ShutdownPhase;
     /** Resolves when the process may end. */
     readonly begin: () => Promise<void>;
 }
@@ -31,11 +31,11 @@
 const checkInterval = 50;
 
 /** Creates the stop; nothing happens until it begins. */
-export function createPlannedStop(options: PlannedStopOptions): PlannedStop {
+export function createGracefulShutdown(options: GracefulShutdownOptions): GracefulShutdown {
     const { clock, log } = options;
-    const schedule = createStopSchedule(options.grace);
+    const schedule = createShutdownSchedule(options.grace);
     const never = new AbortController().signal;
-    let phase: StopPhase = "running";
+    let phase: ShutdownPhase = "running";
 
     return {
         phase: () => phase,
@@ -45,10 +45,10 @@
             phase = "leaving";
             log.info("stop.leaving", { inFlight: options.inFlight() });
             options.onLeaving();
-            await sleep(schedule.takeWorkFor, never);
+            await sleep(schedule.acceptRequestsFor, never);
             phase = "closing";
             options.onClosing();
-            while (!schedule.isWaitOver(elapsed(), options.inFlight())) {
+            while (!schedule.isDrainOver(elapsed(), options.inFlight())) {
                 await sleep(checkInterval, never);
             }
             await sleep(schedule.lingerFor(elapsed()), never);
--- a/packages/box/src/quotas/customer-quotas.ts
+++ b/packages/box/src/quotas/customer-quotas.ts
@@ -9,37 +9,37 @@
 
 import {
     advertisedBoxes,
-    countingBox,
-    type CountingBoxes,
-    countingPair,
-    createAnsweringCounters,
-    createQuotaCounter,
+    coordinatorFor,
+    coordinatorPairFor,
+    type CoordinatorSet,
+    createCoordinatorLiveness,
+    createQuotaAllocator,
     createQuotaShare,
     type Customer,
     type CustomerQuota,
+    effectiveQuota,
     type MemberRecord,
     type Membership,
-    type QuotaCounter,
-    type QuotaDenied,
+    type QuotaAllocator,
+    type QuotaDenial,
     type QuotaLease,
     type QuotaReport,
     type QuotaShare,
     type QuotaTolerance,
-    usableQuota,
 } from "@chalkdale/decisions";
 import { type BoxId, type Clock, type CustomerId, type Milliseconds, milliseconds } from "@chalkdale/kernel";
-import { leaseMessage, type QuotaMessage, readLeases, readReports, reportMessage } from "./quota-messages.js";
+import { decodeLeases, decodeReports, encodeLeases, encodeReports, type QuotaMessage } from "./quota-messages.js";
 
 export interface CustomerQuotasOptions {
     readonly clock: Clock;
     readonly self: BoxId;
     readonly membership: Membership;
     /** Who counts, found anew by each round. */
-    readonly countingBoxes: CountingBoxes;
+    readonly coordinators: CoordinatorSet;
     /** Boxes that callers are named. */
     readonly advertised: () => readonly MemberRecord[];
     readonly tolerance: QuotaTolerance;
-    readonly customerOf: (id: CustomerId) => Customer | undefined;
+    readonly findCustomer: (id: CustomerId) => Customer | undefined;
     readonly send: (box: MemberRecord, message: QuotaMessage) => void;
     /** Time since this box started. */
     readonly uptime: () => Milliseconds;
@@ -57,11 +57,11 @@
 /** The quotas on one box. */
 export interface CustomerQuotas {
     /** Takes a request of a customer into its quota; undefined if there is room. */
-    readonly take: (customer: Customer) => QuotaDenied | undefined;
+    readonly consume: (customer: Customer) => QuotaDenial | undefined;
     /** A request that was taken in has not run at any server. */
-    readonly giveBack: (customer: Customer) => void;
+    readonly refund: (customer: Customer) => void;
     /** One round: who counts is found anew, and reports are sent. Due with each round of gossip. */
-    readonly round: () => void;
+    readonly onGossipRound: () => void;
     /** Another box reported, or answered. */
     readonly onMessage: (from: MemberRecord, message: QuotaMessage) => void;
     readonly counts: () => readonly CustomerCounts[];
@@ -86,16 +86,16 @@
 
 /** Creates the quotas of a box; nothing is leased yet. */
 export function createCustomerQuotas(options: CustomerQuotasOptions): CustomerQuotas {
-    const { clock, countingBoxes, membership, self } = options;
+    const { clock, coordinators: countingBoxes, membership, self } = options;
     const shares = new Map<CustomerId, QuotaShare>();
-    const counters = new Map<CustomerId, QuotaCounter>();
-    const answers = createAnsweringCounters();
+    const counters = new Map<CustomerId, QuotaAllocator>();
+    const answers = createCoordinatorLiveness();
     let isReportPlanned = false;
     let lastRoundAt = clock();
     let deafUntil = -Infinity;
 
     return {
-        take(customer) {
+        consume(customer) {
             const quota = quotaOf(customer);
             if (quota === undefined) {
                 return undefined;
@@ -103,18 +103,18 @@
             noticeStall();
             const share = shareOf(customer.id);
             const startingFor = isSettled() ? undefined : options.uptime();
-            const denied = share.take({ quota, boxCount: boxCount(), startingFor, at: clock() });
+            const denied = share.consume({ quota, boxCount: boxCount(), startingFor, at: clock() });
             if (share.needsLease(clock())) {
                 reportSoon();
             }
             return denied;
         },
-        giveBack(customer) {
+        refund(customer) {
             if (customer.quota !== undefined) {
-                shareOf(customer.id).giveBack();
+                shareOf(customer.id).refund();
             }
         },
-        round() {
+        onGossipRound() {
             noticeStall();
             lastRoundAt = clock();
             const named = options.advertised().map(({ box }) => box);
@@ -127,17 +127,17 @@
             if (clock() < deafUntil) {
                 return;
             }
-            const leases = readReports(message).map(told => count(from.box, told));
-            sendInParts(from, leases.filter(lease => lease !== undefined), leaseMessage);
+            const leases = decodeReports(message).map(told => count(from.box, told));
+            sendInParts(from, leases.filter(lease => lease !== undefined), encodeLeases);
             if (message.leases !== undefined) {
-                answers.onAnswered(from.box);
-                readLeases(message).forEach(lease => onLease(from.box, lease));
+                answers.onLeasesReceived(from.box);
+                decodeLeases(message).forEach(lease => onLease(from.box, lease));
             }
         },
         counts: () =>
             [...shares].map(([customer, share]) => ({
                 customer,
-                rate: options.customerOf(customer)?.quota?.rate ?? 0,
+                rate: options.findCustomer(customer)?.quota?.rate ?? 0,
                 ...share.counts(),
             })),
     };
@@ -153,7 +153,7 @@
         }
         lastRoundAt = clock();
         deafUntil = clock() + backlogTime;
-        shares.forEach(share => share.onStall(milliseconds(stoodStill)));
+        shares.forEach(share => share.onProcessPause(milliseconds(stoodStill)));
     }
 
     /** Requests that come in one turn share the datagrams. */
@@ -170,7 +170,7 @@
 
     function report(reporting: readonly QuotaShare[]): void {
         const byCounter = new Map<BoxId, QuotaReport[]>();
-        const candidates = answers.answering(countingBoxes.current(), clock());
+        const candidates = answers.responsive(countingBoxes.current(), clock());
         if (candidates.length === 0) {
             return;
         }
@@ -190,8 +190,8 @@
 
     /** Both boxes that count hear each report, a silent one too: it knows what was let in once it goes on. A third counts while both are silent. */
     function countersFor(customer: CustomerId, candidates: readonly BoxId[]): ReadonlySet<BoxId> {
-        const pair = countingPair(customer, countingBoxes.current());
-        const used = countingBox(customer, candidates);
+        const pair = coordinatorPairFor(customer, countingBoxes.current());
+        const used = coordinatorFor(customer, candidates);
         return new Set(used === undefined ? pair : [...pair, used]);
     }
 
@@ -202,8 +202,8 @@
         }
         const member = membership.find(box);
         if (member !== undefined) {
-            answers.onReported(box, clock());
-            sendInParts(member, reports, reportMessage);
+            answers.onReportSent(box, clock());
+            sendInParts(member, reports, encodeReports);
         }
     }
 
@@ -218,23 +218,23 @@
     }
 
     function count(box: BoxId, told: QuotaReport): QuotaLease | undefined {
-        const customer = options.customerOf(told.customer);
+        const customer = options.findCustomer(told.customer);
         const quota = customer && quotaOf(customer);
         if (quota === undefined || !isSettled()) {
             return undefined;
         }
         const counter = counterOf(told.customer, quota);
         const lease = counter.onReport(box, told, { quota, boxCount: boxCount(), at: clock() });
-        return counter.leavesAnswer(box, told, clock()) ? undefined : lease;
+        return counter.withholdsLease(box, told, clock()) ? undefined : lease;
     }
 
     /** A counter that nobody reported to for a while starts anew: what was admitted meanwhile was told to another box. */
-    function counterOf(customer: CustomerId, quota: CustomerQuota): QuotaCounter {
+    function counterOf(customer: CustomerId, quota: CustomerQuota): QuotaAllocator {
         const known = counters.get(customer);
         if (known !== undefined && !known.isStale(clock(), countingBoxes.unchangedFor(clock()))) {
             return known;
         }
-        const counter = createQuotaCounter(clock(), known === undefined ? earnedUnused(quota) : 0);
+        const counter = createQuotaAllocator(clock(), known === undefined ? earnedUnused(quota) : 0);
         counters.set(customer, counter);
         return counter;
     }
@@ -246,9 +246,9 @@
 
     /** Of the two that count the first one's leases are used, and the other's for a report that the first has not answered. */
     function onLease(from: BoxId, lease: QuotaLease): void {
-        const used = countingBox(lease.customer, answers.answering(countingBoxes.current(), clock()));
+        const used = coordinatorFor(lease.customer, answers.responsive(countingBoxes.current(), clock()));
         const share = shares.get(lease.customer);
-        if (used === from || share?.isReportUnanswered() === true) {
+        if (used === from || share?.isReportPending() === true) {
             share?.onLease(lease, clock());
         }
     }
@@ -263,7 +263,7 @@
     }
 
     function quotaOf({ quota }: Customer): CustomerQuota | undefined {
-        return quota && usableQuota(quota, options.tolerance);
+        return quota && effectiveQuota(quota, options.tolerance);
     }
 
     /** True once this box may count: boxes that have just started may know different others. */
@@ -274,14 +274,14 @@
     /** Boxes that may admit requests. A box that has just started counts those that will be named once they are ready. */
     function boxCount(): number {
         if (options.uptime() < settleTime) {
-            return Math.max(1, advertisedBoxes([membership.own(), ...membership.reachable(clock())]).length);
+            return Math.max(1, advertisedBoxes([membership.ownRecord(), ...membership.recentMembers(clock())]).length);
         }
         return countingBoxes.boxCount();
     }
 
     function forgetLostCustomers(): void {
         for (const customer of [...shares.keys(), ...counters.keys()]) {
-            if (options.customerOf(customer)?.quota === undefined) {
+            if (options.findCustomer(customer)?.quota === undefined) {
                 shares.delete(customer);
                 counters.delete(customer);
             }
--- a/packages/box/src/quotas/quota-messages.ts
+++ b/packages/box/src/quotas/quota-messages.ts
@@ -27,48 +27,55 @@
 }
 
 /** Shortens reports. */
-export function reportMessage(reports: readonly QuotaReport[]): QuotaMessage {
+export function encodeReports(reports: readonly QuotaReport[]): QuotaMessage {
     return { reports: reports.map(reportEntry), levels: reports.map(reportLevel) };
 }
 
 /** Shortens leases; a thousandth of a request is exact enough. */
-export function leaseMessage(leases: readonly QuotaLease[]): QuotaMessage {
+export function encodeLeases(leases: readonly QuotaLease[]): QuotaMessage {
     return { leases: leases.map(leaseEntry), levels: leases.flatMap(leaseLevel) };
 }
 
 /** Returns the reports of a message. */
-export function readReports({ levels, reports = [] }: QuotaMessage): readonly QuotaReport[] {
+export function decodeReports({ levels, reports = [] }: QuotaMessage): readonly QuotaReport[] {
     const levelOf = new Map(levels?.map(([customer, ...numbers]) => [customer, numbers]));
     return reports.map(([customer, asked, admitted, since]) => {
         const [unanswered, level, age] = levelOf.get(customer) ?? [];
         const lastLevel = level === undefined || age === undefined ? undefined : { level, age: milliseconds(age) };
-        return { customer: customerId(customer), asked, admitted, since: milliseconds(since), unanswered, lastLevel };
+        return {
+            customer: customerId(customer),
+            requested: asked,
+            admitted,
+            since: milliseconds(since),
+            unacknowledged: unanswered,
+            lastLevel,
+        };
     });
 }
 
 /** Returns the leases of a message. */
-export function readLeases({ leases = [], levels }: QuotaMessage): readonly QuotaLease[] {
+export function decodeLeases({ leases = [], levels }: QuotaMessage): readonly QuotaLease[] {
     const levelOf = new Map(levels?.map(([customer, level]) => [customer, level]));
     return leases.map(([customer, rate, burst, isCalm]) => ({
         customer: customerId(customer),
         rate,
         burst,
-        isCalm: isCalm === 1,
+        hasHeadroom: isCalm === 1,
         level: levelOf.get(customer),
     }));
 }
 
-function reportEntry({ admitted, asked, customer, since }: QuotaReport): ReportEntry {
+function reportEntry({ admitted, requested: asked, customer, since }: QuotaReport): ReportEntry {
     return [customer, asked, admitted, Math.round(since)];
 }
 
-function reportLevel({ customer, lastLevel, unanswered = 0 }: QuotaReport): LevelEntry {
+function reportLevel({ customer, lastLevel, unacknowledged: unanswered = 0 }: QuotaReport): LevelEntry {
     return lastLevel === undefined
         ? [customer, unanswered]
         : [customer, unanswered, round(lastLevel.level), Math.round(lastLevel.age)];
 }
 
-function leaseEntry({ burst, customer, isCalm, rate }: QuotaLease): LeaseEntry {
+function leaseEntry({ burst, customer, hasHeadroom: isCalm, rate }: QuotaLease): LeaseEntry {
     return [customer, round(rate), round(burst), isCalm ? 1 : 0];
 }
 
--- a/packages/box/src/requests/active-request.ts
+++ b/packages/box/src/requests/active-request.ts
@@ -5,13 +5,13 @@
  */
 
 import {
+    allowedRegionsOf,
+    type CallerRetryDetector,
     type ChosenServer,
     type Customer,
     hashKey,
-    homesOf,
     type RefusalKind,
-    requestLimit,
-    type ReturningCallers,
+    requestTimeout,
     type Route,
 } from "@chalkdale/decisions";
 import {
@@ -26,7 +26,7 @@
 import type { IncomingMessage } from "node:http";
 import type { HeaderNames } from "../callers/caller-protocol.js";
 import type { ServerAnswer } from "../servers/exchange.js";
-import { passOnHeaders } from "./headers.js";
+import { forwardableHeaders } from "./headers.js";
 import { hostOf, urlOf } from "./request-target.js";
 
 /** What is known of a request. */
@@ -35,7 +35,7 @@
     /** Whose request it is; undefined where callers need no key. */
     readonly customer: Customer | undefined;
     /** The only regions whose servers may have it; undefined when all may. */
-    readonly homes: ReadonlySet<RegionId> | undefined;
+    readonly allowedRegions: ReadonlySet<RegionId> | undefined;
     readonly service: ServiceId;
     readonly host: string;
     readonly method: string;
@@ -46,9 +46,9 @@
     readonly requestId: string | undefined;
     readonly startedAt: Milliseconds;
     /** The caller has asked before. */
-    readonly isReturning: boolean;
+    readonly isCallerRetry: boolean;
     /** The earlier of the caller's deadline and the route's time limit. */
-    readonly endsAt: number;
+    readonly deadlineAt: number;
     /** Names and values in turn, with the customer's, without the key, those of the connection and those that each attempt sets. */
     readonly rawHeaders: readonly string[];
     readonly tried: Set<BackendServerId>;
@@ -57,7 +57,7 @@
     /** Attempts that reached none. */
     notSent: number;
     /** A server that turned the request away with free slots may have it again. */
-    askedAgain: boolean;
+    retriedSameServer: boolean;
     /** An attempt broke off after it had reached a server. */
     mayHaveRun: boolean;
     /** The latest answer of a server, a failure as long as the request goes on. */
@@ -71,33 +71,37 @@
 }
 
 /** The end of a request: a server's answer, or the box's own. */
-export type Ending =
+export type RequestOutcome =
     | { readonly kind: "answer"; readonly answer: ServerAnswer; }
     | { readonly kind: "refusal"; readonly refusal: RefusalKind; }
     | { readonly kind: "callerLeft"; };
 
 /** Where a request goes, and when it came. */
-export interface Activation {
+export interface ActiveRequestInputs {
     readonly route: Route;
     readonly customer: Customer | undefined;
     /** Callers of the deployment have keys, whether this route needs one or not. */
-    readonly isKeyed: boolean;
+    readonly isKeyRequired: boolean;
     readonly service: ServiceId;
     readonly startedAt: Milliseconds;
-    readonly returningCallers: ReturningCallers;
+    readonly callerRetryDetector: CallerRetryDetector;
     readonly random: () => number;
 }
 
 /** Reads a request's head. */
-export function activateRequest(request: IncomingMessage, headers: HeaderNames, activation: Activation): ActiveRequest {
+export function createActiveRequest(
+    request: IncomingMessage,
+    headers: HeaderNames,
+    activation: ActiveRequestInputs,
+): ActiveRequest {
     const { customer, random, route, service, startedAt } = activation;
     const callerWaits = Number(request.headers[headers.deadline]);
-    const limit = requestLimit(callerWaits, route.timeout);
+    const limit = requestTimeout(callerWaits, route.timeout);
     const key = request.headers[headers.affinityKey];
     return {
         route,
         customer,
-        homes: homesOf(route, customer),
+        allowedRegions: allowedRegionsOf(route, customer),
         service,
         host: hostOf(request),
         method: request.method ?? "GET",
@@ -107,13 +111,13 @@
             : hashText(String(random())),
         requestId: singleValue(request.headers[headers.requestId]),
         startedAt,
-        isReturning: activation.returningCallers.isReturning(route.name, callerWaits, startedAt),
-        endsAt: startedAt + limit,
+        isCallerRetry: activation.callerRetryDetector.isCallerRetry(route.name, callerWaits, startedAt),
+        deadlineAt: startedAt + limit,
         rawHeaders: headersToServer(request, headers, activation),
         tried: new Set(),
         sent: 0,
         notSent: 0,
-        askedAgain: false,
+        retriedSameServer: false,
         mayHaveRun: false,
         lastAnswer: undefined,
         latestChoice: undefined,
@@ -126,13 +130,13 @@
  * The caller's headers as a server gets them. Where callers have keys, the key is taken off, and the customer is what the box
  * found, whatever the caller wrote.
  */
-function headersToServer(request: IncomingMessage, headers: HeaderNames, activation: Activation): string[] {
-    const { customer, isKeyed } = activation;
+function headersToServer(request: IncomingMessage, headers: HeaderNames, activation: ActiveRequestInputs): string[] {
+    const { customer, isKeyRequired: isKeyed } = activation;
     const replaced = new Set([headers.deadline, headers.expectedServer]);
     if (isKeyed) {
         replaced.add(headers.customerKey).add(headers.customer);
     }
-    const kept = passOnHeaders(request.rawHeaders, replaced);
+    const kept = forwardableHeaders(request.rawHeaders, replaced);
     return customer === undefined ? kept : [...kept, headers.customer, customer.id];
 }
 
--- a/packages/box/src/requests/attempt-loop.ts
+++ b/packages/box/src/requests/attempt-loop.ts
@@ -11,6 +11,7 @@
     type Choice,
     type ChoiceRequest,
     type ChosenServer,
+    combinedPriority,
     decideHedge,
     decideRetry,
     type HedgeInputs,
@@ -21,11 +22,10 @@
     type RefusalKind,
     type RetryBudget,
     type RetryInputs,
-    urgencyOf,
 } from "@chalkdale/decisions";
 import { milliseconds, type ServiceId } from "@chalkdale/kernel";
-import type { DeadlyGuard, FollowedRequest } from "../deadly/deadly-guard.js";
-import type { ActiveRequest, Ending } from "./active-request.js";
+import type { PoisonRequestGuard, TrackedRequest } from "../deadly/deadly-guard.js";
+import type { ActiveRequest, RequestOutcome } from "./active-request.js";
 import type { AttemptOutcome } from "./attempt-request.js";
 import { attemptHedged, type EndedAttempt } from "./hedged-attempt.js";
 import { fingerprintOf } from "./request-fingerprint.js";
@@ -34,28 +34,28 @@
 
 export interface AttemptLoopOptions extends Omit<SingleAttemptOptions, "isVerified"> {
     readonly choose: (request: ChoiceRequest) => Choice;
-    readonly budgetOf: (service: ServiceId) => RetryBudget;
+    readonly retryBudgetOf: (service: ServiceId) => RetryBudget;
     /** Requests at the service's servers for each of their slots; see `ServiceLoad`. */
     readonly loadPerSlot: (service: ServiceId) => number;
-    readonly deadlyGuard: Pick<DeadlyGuard, "follow">;
+    readonly poisonRequestGuard: Pick<PoisonRequestGuard, "track">;
 }
 
 /** The loop's other needs. */
-export interface AttemptLoopContext extends Pick<SingleAttemptOptions, "isVerified"> {
+export interface AttemptLoopDependencies extends Pick<SingleAttemptOptions, "isVerified"> {
     readonly requestLog: RequestLog;
 }
 
 /** Runs the attempts of one request; `controller` ends them. Never rejects. */
-export type AttemptLoop = (active: ActiveRequest, body: Buffer, controller: AbortController) => Promise<Ending>;
+export type AttemptLoop = (active: ActiveRequest, body: Buffer, controller: AbortController) => Promise<RequestOutcome>;
 
 /** Creates the loop. */
-export function createAttemptLoop(options: AttemptLoopOptions & AttemptLoopContext): AttemptLoop {
+export function createAttemptLoop(options: AttemptLoopOptions & AttemptLoopDependencies): AttemptLoop {
     const { clock, requestLog, trials } = options;
     const attemptOnce = createSingleAttempt(options);
 
     return async function runAttempts(active, body, controller) {
         // Known by what it asks for: by its id alone each repeat of a request that ends servers is a new one to each box.
-        const followed = options.deadlyGuard.follow(active, body, controller);
+        const followed = options.poisonRequestGuard.track(active, body, controller);
         try {
             return await tryServers(active, body, followed, controller.signal);
         }
@@ -67,11 +67,11 @@
     async function tryServers(
         active: ActiveRequest,
         body: Buffer,
-        followed: FollowedRequest,
+        followed: TrackedRequest,
         signal: AbortSignal,
-    ): Promise<Ending> {
+    ): Promise<RequestOutcome> {
         for (;;) {
-            const clearance = await followed.clearance();
+            const clearance = await followed.waitForPermission();
             if (clearance === "refuse") {
                 return giveUpStopped(active);
             }
@@ -104,7 +104,7 @@
     }
 
     /** Attempts that were ended under way may have run. */
-    function giveUpStopped(active: ActiveRequest): Ending {
+    function giveUpStopped(active: ActiveRequest): RequestOutcome {
         active.mayHaveRun ||= active.sent > 0;
         return giveUp(active, "endsServers");
     }
@@ -114,10 +114,10 @@
      * likely as any other server, where the work would be cold and its answer late.
      */
     function mayAskAgain(active: ActiveRequest, { server }: ChosenServer, outcome: AttemptOutcome): boolean {
-        if (outcome.kind !== "notRun" || !outcome.hasRoom || active.askedAgain) {
+        if (outcome.kind !== "notRun" || !outcome.hasFreeSlots || active.retriedSameServer) {
             return false;
         }
-        active.askedAgain = true;
+        active.retriedSameServer = true;
         return active.tried.has(server.id);
     }
 
@@ -140,10 +140,10 @@
             route: active.route,
             service: active.service,
             keyHash: active.keyHash,
-            homes: active.homes,
+            allowedRegions: active.allowedRegions,
             tried: active.tried,
-            timeLeft: milliseconds(active.endsAt - at),
-            isReturning: active.isReturning,
+            timeLeft: milliseconds(active.deadlineAt - at),
+            isCallerRetry: active.isCallerRetry,
             isTrial,
             at,
         };
@@ -155,9 +155,12 @@
             maxAttempts: active.route.maxAttempts,
             sent: active.sent,
             notSent: active.notSent,
-            timeLeft: milliseconds(active.endsAt - clock()),
-            takeRetry: () =>
-                options.budgetOf(active.service).tryTake(clock(), urgencyOf(active.route, active.customer)),
+            timeLeft: milliseconds(active.deadlineAt - clock()),
+            consumeRetry: () =>
+                options.retryBudgetOf(active.service).tryConsume(
+                    clock(),
+                    combinedPriority(active.route, active.customer),
+                ),
         };
     }
 
@@ -185,7 +188,7 @@
         active: ActiveRequest,
         choice: ChosenServer,
         body: Buffer,
-        followed: FollowedRequest,
+        followed: TrackedRequest,
         signal: AbortSignal,
     ): Promise<EndedAttempt> {
         if (!mayBeHedged(hedgeInputs(active, { beforeFirst: true }))) {
@@ -203,7 +206,7 @@
             isFinal: outcome =>
                 outcome.kind === "answered" && !isFailureStatus(outcome.answer.status)
                 && options.isVerified(outcome.answer),
-            onFailedBeside: ended => noteEnd(active, body, ended),
+            onFirstFailure: ended => noteEnd(active, body, ended),
         });
 
         async function attempt(at: ChosenServer, attemptSignal: AbortSignal): Promise<AttemptOutcome> {
@@ -241,7 +244,7 @@
 }
 
 /** A failure that a server gave goes back before a refusal of the box's own, which must not promise what isn't known. */
-function giveUp(active: ActiveRequest, refusal: RefusalKind): Ending {
+function giveUp(active: ActiveRequest, refusal: RefusalKind): RequestOutcome {
     if (active.lastAnswer !== undefined) {
         return { kind: "answer", answer: active.lastAnswer };
     }
--- a/packages/box/src/requests/attempt-request.ts
+++ b/packages/box/src/requests/attempt-request.ts
@@ -9,21 +9,21 @@
 
 /** How an attempt ended. */
 export type AttemptOutcome =
-    /** The server's own answer, success or failure. `asksBackoff`: a failure by which it only asks for back-off, though the request may have run. */
-    | { readonly kind: "answered"; readonly answer: ServerAnswer; readonly asksBackoff?: true; }
+    /** The server's own answer, success or failure. `requestsBackoff`: a failure by which it only asks for back-off, though the request may have run. */
+    | { readonly kind: "answered"; readonly answer: ServerAnswer; readonly requestsBackoff?: true; }
     /** Nothing reached the server. */
     | { readonly kind: "notSent"; readonly reason: string; }
-    /** The server says that it did not run the request. `hasRoom`: though it has free slots. */
-    | { readonly kind: "notRun"; readonly status: number; readonly hasRoom: boolean; }
+    /** The server says that it did not run the request. `hasFreeSlots`: though it has free slots. */
+    | { readonly kind: "notRun"; readonly status: number; readonly hasFreeSlots: boolean; }
     /**
-     * The request may have run; there is no whole answer. `wasForgotten`: most likely as the connection had rested too long.
-     * `serverEnded` resolves with when the server ended, or undefined if it lives, and never rejects; left out where nothing speaks for an end.
+     * The request may have run; there is no whole answer. `wasStaleConnection`: most likely as the connection had rested too long.
+     * `serverTerminatedAt` resolves with when the server ended, or undefined if it lives, and never rejects; left out where nothing speaks for an end.
      */
     | {
         readonly kind: "broken";
         readonly reason: string;
-        readonly wasForgotten: boolean;
-        readonly serverEnded?: Promise<Milliseconds | undefined>;
+        readonly wasStaleConnection: boolean;
+        readonly serverTerminatedAt?: Promise<Milliseconds | undefined>;
     }
     | { readonly kind: "cancelled"; };
 
--- a/packages/box/src/requests/attempt.ts
+++ b/packages/box/src/requests/attempt.ts
@@ -8,10 +8,10 @@
 import {
     type BackendServer,
     connectTimeoutOfRequest,
-    type IdleLife,
+    type IdleTimeoutEstimate,
     isIdempotent,
-    longestRestBefore,
-    overdueTime,
+    maxIdleTimeBefore,
+    overdueThreshold,
     type ServiceLoad,
 } from "@chalkdale/decisions";
 import {
@@ -36,10 +36,10 @@
     readonly protocol: CallerProtocol;
     readonly connections: ServerConnections;
     /** Connections to one server that this box may hold. */
-    readonly mostConnections: (service: ServiceId) => number;
+    readonly maxConnectionsPerServer: (service: ServiceId) => number;
     readonly livenessCheck: LivenessCheck;
     /** True once another life of the server is listed. */
-    readonly hasNewLife: (server: BackendServer) => boolean;
+    readonly hasNewIncarnation: (server: BackendServer) => boolean;
     /** The same, or once a later server is listed at its address. */
     readonly hasSuccessor: (server: BackendServer) => boolean;
     /** False for an availability zone that is to get no requests. */
@@ -47,7 +47,7 @@
     readonly serviceLoad: ServiceLoad;
     readonly limitedServers: Pick<LimitedServers, "onAnswer">;
     readonly serverNotices: Pick<ServerNotices, "onAnswer">;
-    readonly idleLife: IdleLife;
+    readonly idleTimeoutEstimate: IdleTimeoutEstimate;
     /** Counts the bodies of a request and its answer. */
     readonly countBytes: (server: BackendServer, bytes: number) => void;
 }
@@ -78,17 +78,17 @@
         const connected = await connections.acquire({
             server: request.server.id,
             address: request.server.state.record().address,
-            longestRest: options.idleLife.longestRest(
+            maxIdleTime: options.idleTimeoutEstimate.maxIdleTime(
                 request.service,
-                longestRestBefore(isIdempotent(request.route)),
+                maxIdleTimeBefore(isIdempotent(request.route)),
                 clock(),
             ),
             connectTimeout: connectTimeoutOfRequest(request.roundTrip, request.timeLeft()),
-            most: options.mostConnections(request.service),
+            maxConnections: options.maxConnectionsPerServer(request.service),
             signal: request.signal,
         });
         if (connected.err) {
-            return feedback.onNoConnection(request, connected.val);
+            return feedback.onConnectFailure(request, connected.val);
         }
         if (request.signal.aborted) {
             connected.val.socket.destroy();
@@ -107,13 +107,16 @@
      */
     function reasonNotToSend(server: BackendServer): string | undefined {
         const { state } = server;
-        if (state.hasLeft() || options.hasNewLife(server) || !options.admitsZone(state.record().zone)) {
+        if (state.isOutOfService() || options.hasNewIncarnation(server) || !options.admitsZone(state.record().zone)) {
             return "left while its connection came up";
         }
         return clock() < state.backoffUntil() ? "asked for back-off while its connection came up" : undefined;
     }
 
-    async function send(request: AttemptRequest, { rested, socket }: ServerConnection): Promise<AttemptOutcome> {
+    async function send(
+        request: AttemptRequest,
+        { idleTime: rested, socket }: ServerConnection,
+    ): Promise<AttemptOutcome> {
         const sentAt = clock();
         request.onSend();
         request.server.state.onSent();
@@ -137,9 +140,9 @@
                 return feedback.onAnswer(request, socket, outcome.answer, sentAt);
             case "broken": {
                 const broken = feedback.onBroken(request, outcome.reason, wasForgotten(request, rested, sentAt));
-                return broken.wasForgotten || outcome.byServer !== true
+                return broken.wasStaleConnection || outcome.closedByServer !== true
                     ? broken
-                    : { ...broken, serverEnded: serverEnded(request.server) };
+                    : { ...broken, serverTerminatedAt: serverEnded(request.server) };
             }
             case "cancelled":
                 return feedback.onCancelled(request, sentAt, rested);
@@ -149,7 +152,7 @@
     /** A server that ended the connection and takes none now has ended, unless it was leaving as planned. Never rejects. */
     async function serverEnded(server: BackendServer): Promise<Milliseconds | undefined> {
         const brokenAt = clock();
-        if (server.state.hasLeft()) {
+        if (server.state.isOutOfService()) {
             return undefined;
         }
         const isAlive = await options.livenessCheck(server, milliseconds(brokenAt - sameEndWithin));
@@ -159,7 +162,7 @@
     /** True if the server most likely no longer knew the connection, since it had rested. */
     function wasForgotten(request: AttemptRequest, rested: Milliseconds, sentAt: Milliseconds): boolean {
         const after = milliseconds(clock() - sentAt - request.roundTrip);
-        return options.idleLife.onReset(request.service, rested, after, clock());
+        return options.idleTimeoutEstimate.onReset(request.service, rested, after, clock());
     }
 
     /**
@@ -169,7 +172,7 @@
      */
     function watchForSilence(request: AttemptRequest): { readonly signal: AbortSignal; readonly end: () => void; } {
         const controller = new AbortController();
-        let timer = setTimeout(() => void check(), overdueTime(request.expected));
+        let timer = setTimeout(() => void check(), overdueThreshold(request.expected));
         let isOver = false;
         return {
             signal: controller.signal,
--- a/packages/box/src/requests/caller-answers.ts
+++ b/packages/box/src/requests/caller-answers.ts
@@ -9,16 +9,16 @@
 import type { ServerResponse } from "node:http";
 import type { CallerAnswer } from "../callers/caller-turn.js";
 import type { ServerAnswer } from "../servers/exchange.js";
-import { passOnHeaders } from "./headers.js";
+import { forwardableHeaders } from "./headers.js";
 
 /** A server's answer as it is. `onFault`: it can't be written, and the caller gets a failure instead. */
-export function passBack(answer: ServerAnswer, onFault: (error: unknown) => void): CallerAnswer {
+export function forwardAnswer(answer: ServerAnswer, onFault: (error: unknown) => void): CallerAnswer {
     const { body, framed, status } = answer;
     return {
         bytes: body.length,
-        endsConnection: !framed,
+        closesConnection: !framed,
         write(response, isLast) {
-            const back = passOnHeaders(answer.rawHeaders, new Set());
+            const back = forwardableHeaders(answer.rawHeaders, new Set());
             if (framed) {
                 back.push("Content-Length", String(body.length));
             }
@@ -43,19 +43,19 @@
 /** How a refusal is given. */
 export interface RefusalOptions {
     /** Goes before the time of the table. */
-    readonly comeBackAfter?: Milliseconds;
+    readonly retryAfter?: Milliseconds;
     /** The rest of the request can't be waited for. */
-    readonly endsConnection?: boolean;
+    readonly closesConnection?: boolean;
 }
 
 /** An answer of the box's own. */
-export function refuse(
+export function refusalAnswer(
     kind: RefusalKind,
-    { comeBackAfter, endsConnection = false }: RefusalOptions = {},
+    { retryAfter: comeBackAfter, closesConnection: endsConnection = false }: RefusalOptions = {},
 ): CallerAnswer {
     return {
         bytes: 0,
-        endsConnection,
+        closesConnection: endsConnection,
         write: (response, isLast) => writeRefusal(response, kind, comeBackAfter, isLast),
     };
 }
@@ -66,7 +66,7 @@
     comeBackAfter: Milliseconds | undefined,
     isLast: boolean,
 ): void {
-    const { status, retryAfter } = refusals[kind];
+    const { status, retryAfterSeconds: retryAfter } = refusals[kind];
     const seconds = comeBackAfter === undefined ? retryAfter : toSeconds(comeBackAfter);
     response.sendDate = false;
     response.setHeader("Content-Length", "0");
--- a/packages/box/src/requests/headers.ts
+++ b/packages/box/src/requests/headers.ts
@@ -19,7 +19,7 @@
 ]);
 
 /** Returns names and values in turn without the headers of the connection and those in `replaced` (lower case). */
-export function passOnHeaders(rawHeaders: readonly string[], replaced: ReadonlySet<string>): string[] {
+export function forwardableHeaders(rawHeaders: readonly string[], replaced: ReadonlySet<string>): string[] {
     const named = namesInConnection(rawHeaders);
     const kept: string[] = [];
     for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
--- a/packages/box/src/requests/hedged-attempt.ts
+++ b/packages/box/src/requests/hedged-attempt.ts
@@ -6,7 +6,7 @@
  * for whether there is a second one.
  */
 
-import { type ChosenServer, overdueTime } from "@chalkdale/decisions";
+import { type ChosenServer, overdueThreshold } from "@chalkdale/decisions";
 import type { AttemptOutcome } from "./attempt-request.js";
 
 /** How an attempt at a chosen server ended. */
@@ -22,7 +22,7 @@
     /** True for an outcome that ends the request. */
     readonly isFinal: (outcome: AttemptOutcome) => boolean;
     /** One of two attempts failed while the other goes on. */
-    readonly onFailedBeside: (ended: EndedAttempt) => void;
+    readonly onFirstFailure: (ended: EndedAttempt) => void;
 }
 
 /** An attempt that can be ended by itself. */
@@ -38,7 +38,7 @@
     options: HedgedAttemptOptions,
 ): Promise<EndedAttempt> {
     const first = start(choice, signal, options);
-    const early = await endedWithin(first, overdueTime(choice.usual));
+    const early = await endedWithin(first, overdueThreshold(choice.expectedAtNormalSpeed));
     if (early !== undefined) {
         return early;
     }
@@ -94,6 +94,6 @@
         other.cancel();
         return attempt;
     }
-    options.onFailedBeside(attempt);
+    options.onFirstFailure(attempt);
     return other.ended;
 }
--- a/packages/box/src/requests/request-body.ts
+++ b/packages/box/src/requests/request-body.ts
@@ -9,7 +9,7 @@
 import type { BodyMemory } from "@chalkdale/decisions";
 import type { Clock } from "@chalkdale/kernel";
 import type { IncomingMessage } from "node:http";
-import type { CallerTurn } from "../callers/caller-turn.js";
+import type { CallerExchange } from "../callers/caller-turn.js";
 import { createGrowingBuffer } from "./growing-buffer.js";
 
 /** A body, or why there is none. */
@@ -25,10 +25,10 @@
     | { readonly kind: "cut"; };
 
 /** Bounds and the end of a body. */
-export interface BodyReading {
+export interface ReadBodyOptions {
     readonly clock: Clock;
     /** Bytes of this body at most. */
-    readonly mostBytes: number;
+    readonly maxBytes: number;
     readonly memory: BodyMemory;
     readonly signal: AbortSignal;
 }
@@ -37,11 +37,11 @@
 
 /** Reads the body until the signal aborts. Never rejects. */
 export function readBody(
-    { request, sendContinue }: Pick<CallerTurn, "request" | "sendContinue">,
-    reading: BodyReading,
+    { request, sendContinue }: Pick<CallerExchange, "request" | "sendContinue">,
+    reading: ReadBodyOptions,
 ): Promise<BodyOutcome> {
-    const { clock, memory, mostBytes, signal } = reading;
-    const length = announcedLength(request);
+    const { clock, memory, maxBytes: mostBytes, signal } = reading;
+    const length = contentLengthOf(request);
     if (length === 0) {
         request.resume();
         return Promise.resolve({ kind: "whole", body: noBody, release: () => undefined });
@@ -56,8 +56,8 @@
         const buffer = createGrowingBuffer(length);
         const account = memory.open(clock());
         const release = () => account.close(clock());
-        let isTold = !awaitsContinue(request);
-        account.onTurn = () => {
+        let isTold = !expectsContinue(request);
+        account.onResume = () => {
             tellToSend();
             request.resume();
             request.socket.resume();
@@ -76,7 +76,7 @@
                 return;
             }
             buffer.add(part);
-            account.grow(buffer.size(), buffer.held(), clock());
+            account.recordReceived(buffer.size(), buffer.held(), clock());
             waitForTurn();
         }
 
@@ -103,7 +103,7 @@
         }
 
         function onEnd(): void {
-            account.finish();
+            account.markComplete();
             settle({ kind: "whole", body: buffer.take(), release });
         }
 
@@ -112,7 +112,7 @@
         }
 
         function settle(outcome: BodyOutcome): void {
-            account.onTurn = () => undefined;
+            account.onResume = () => undefined;
             account.onStalled = () => undefined;
             request.off("data", onData);
             request.off("end", onEnd);
@@ -132,12 +132,12 @@
 }
 
 /** True if the caller sends its body only once it is told to. */
-export function awaitsContinue(request: IncomingMessage): boolean {
+export function expectsContinue(request: IncomingMessage): boolean {
     return request.headers.expect?.toLowerCase() === "100-continue";
 }
 
 /** Bytes that the head announces; undefined if the body comes in chunks. */
-export function announcedLength(request: IncomingMessage): number | undefined {
+export function contentLengthOf(request: IncomingMessage): number | undefined {
     if (request.headers["transfer-encoding"] !== undefined) {
         return undefined;
     }
--- a/packages/box/src/requests/request-handler.ts
+++ b/packages/box/src/requests/request-handler.ts
@@ -12,47 +12,47 @@
     type AdmittedRequest,
     type BodyMemory,
     type CopyAgeBounds,
-    createReturningCallers,
+    createCallerRetryDetector,
     isIdempotent,
     promisesNotRun,
     type RefusalKind,
-    type StopPhase,
+    type ShutdownPhase,
 } from "@chalkdale/decisions";
 import { customerKey, type Milliseconds } from "@chalkdale/kernel";
 import type { Log } from "@chalkdale/runtime";
 import type { IncomingMessage } from "node:http";
 import type { CallerProtocol } from "../callers/caller-protocol.js";
-import type { CallerTurn } from "../callers/caller-turn.js";
+import type { CallerExchange } from "../callers/caller-turn.js";
 import type { CustomerQuotas } from "../quotas/customer-quotas.js";
 import type { ServerAnswer } from "../servers/exchange.js";
 import type { SharedState } from "../state/shared-state.js";
-import { activateRequest, type ActiveRequest, type Ending, singleValue } from "./active-request.js";
+import { type ActiveRequest, createActiveRequest, type RequestOutcome, singleValue } from "./active-request.js";
 import { type AttemptLoopOptions, createAttemptLoop } from "./attempt-loop.js";
-import { passBack, refuse } from "./caller-answers.js";
+import { forwardAnswer, refusalAnswer } from "./caller-answers.js";
 import { type BodyOutcome, readBody } from "./request-body.js";
-import { createRequestLog, type UnservedRequest } from "./request-log.js";
+import { createRequestLog, type UnadmittedRequest } from "./request-log.js";
 import { hostOf, pathOf, urlOf } from "./request-target.js";
-import { endingIfStalled, endsWithRefusal } from "./unread-body.js";
+import { shouldCloseAfterRefusal, withUnreadBodyTimeout } from "./unread-body.js";
 
 export interface RequestHandlerOptions extends AttemptLoopOptions {
     readonly random: () => number;
     readonly log: Log;
     readonly protocol: CallerProtocol;
     readonly state: SharedState;
-    readonly phase: () => StopPhase;
+    readonly phase: () => ShutdownPhase;
     /** Time since the store confirmed the copy of the configuration. */
     readonly configurationAge: () => Milliseconds;
     readonly copyAgeBounds: CopyAgeBounds;
     /** When the caller of a request may come back; undefined when that cannot help. */
-    readonly comeBackAfter: (active: ActiveRequest, refusal: RefusalKind) => Milliseconds | undefined;
-    readonly quotas: Pick<CustomerQuotas, "take" | "giveBack">;
+    readonly retryAfter: (active: ActiveRequest, refusal: RefusalKind) => Milliseconds | undefined;
+    readonly quotas: Pick<CustomerQuotas, "consume" | "refund">;
     /** Of all bodies that the box holds. */
     readonly bodyMemory: BodyMemory;
 }
 
 /** Serves the requests of callers. */
 export interface RequestHandler {
-    readonly serve: (turn: CallerTurn) => void;
+    readonly serve: (turn: CallerExchange) => void;
     /** True if a request may run more than once, by the configuration in force. */
     readonly isIdempotent: (request: IncomingMessage) => boolean;
 }
@@ -65,7 +65,7 @@
     const { clock, log, state } = options;
     const { headers } = options.protocol;
     const requestLog = createRequestLog(options);
-    const returningCallers = createReturningCallers();
+    const returningCallers = createCallerRetryDetector();
     const runAttempts = createAttemptLoop({ ...options, requestLog, isVerified });
 
     return {
@@ -81,13 +81,13 @@
         },
     };
 
-    async function handle(turn: CallerTurn): Promise<void> {
+    async function handle(turn: CallerExchange): Promise<void> {
         const { request } = turn;
         const key = singleValue(request.headers[headers.customerKey]);
         const admission = admit({
             routes: state.routes(),
             keys: state.keys(),
-            isComplete: state.isComplete(),
+            isStateComplete: state.isComplete(),
             phase: options.phase(),
             host: hostOf(request),
             path: pathOf(request),
@@ -101,32 +101,32 @@
             return;
         }
         const { customer } = admission;
-        const quotaDenied = customer && options.quotas.take(customer);
+        const quotaDenied = customer && options.quotas.consume(customer);
         if (quotaDenied !== undefined) {
             requestLog.notAdmitted({ ...describe(request), customer: customer?.id, quotaDenied }, "quotaSpent");
-            refuseCaller(turn, "quotaSpent", quotaDenied.comeBackAfter);
+            refuseCaller(turn, "quotaSpent", quotaDenied.retryAfter);
             return;
         }
         await serveAdmitted(turn, admission);
     }
 
-    async function serveAdmitted(turn: CallerTurn, { customer, route }: AdmittedRequest): Promise<void> {
+    async function serveAdmitted(turn: CallerExchange, { customer, route }: AdmittedRequest): Promise<void> {
         const { controller, request } = turn;
-        const active = activateRequest(request, headers, {
+        const active = createActiveRequest(request, headers, {
             route,
             customer,
-            isKeyed: state.keys()?.isKeyNeeded ?? false,
-            service: state.destinationOf(route),
+            isKeyRequired: state.keys()?.isKeyRequired ?? false,
+            service: state.pickDestination(route),
             startedAt: turn.arrivedAt,
-            returningCallers,
+            callerRetryDetector: returningCallers,
             random: options.random,
         });
         let timedOut = false;
         const timer = setTimeout(() => {
             timedOut = true;
             controller.abort();
-        }, Math.max(0, active.endsAt - clock()));
-        options.budgetOf(active.service).onRequest(turn.arrivedAt);
+        }, Math.max(0, active.deadlineAt - clock()));
+        options.retryBudgetOf(active.service).onRequest(turn.arrivedAt);
         try {
             const ending = await readAndRun();
             finish(turn, active, ending.kind === "callerLeft" && timedOut ? timeoutEnding(active) : ending);
@@ -135,12 +135,12 @@
             clearTimeout(timer);
         }
 
-        async function readAndRun(): Promise<Ending> {
+        async function readAndRun(): Promise<RequestOutcome> {
             const { bodyMemory } = options;
             const { signal } = controller;
             const body = await readBody(turn, {
                 clock,
-                mostBytes: mostBodyBytes(),
+                maxBytes: mostBodyBytes(),
                 memory: bodyMemory,
                 signal,
             });
@@ -160,21 +160,21 @@
         return Math.min(largestBody, state.configuration()?.limits.maxBodyBytes ?? largestBody);
     }
 
-    function timeoutEnding(active: ActiveRequest): Ending {
+    function timeoutEnding(active: ActiveRequest): RequestOutcome {
         return { kind: "refusal", refusal: active.sent > 0 ? "timedOut" : "timedOutUnsent" };
     }
 
-    function finish(turn: CallerTurn, active: ActiveRequest, ending: Ending): void {
+    function finish(turn: CallerExchange, active: ActiveRequest, ending: RequestOutcome): void {
         switch (ending.kind) {
             case "answer":
                 finishAnswered(turn, active, ending.answer);
                 return;
             case "refusal":
                 if (active.customer !== undefined && promisesNotRun(ending.refusal)) {
-                    options.quotas.giveBack(active.customer);
+                    options.quotas.refund(active.customer);
                 }
                 requestLog.refused(active, ending.refusal);
-                refuseCaller(turn, ending.refusal, options.comeBackAfter(active, ending.refusal));
+                refuseCaller(turn, ending.refusal, options.retryAfter(active, ending.refusal));
                 return;
             case "callerLeft":
                 requestLog.callerLeft(active);
@@ -182,7 +182,7 @@
         }
     }
 
-    function finishAnswered(turn: CallerTurn, active: ActiveRequest, answer: ServerAnswer): void {
+    function finishAnswered(turn: CallerExchange, active: ActiveRequest, answer: ServerAnswer): void {
         const refusal = refusalOfAnswer(turn, answer);
         if (refusal !== undefined) {
             requestLog.refused(active, refusal);
@@ -190,15 +190,15 @@
             return;
         }
         requestLog.served(active, answer);
-        turn.answer(passBack(answer, error => logFault(turn, error)));
+        turn.respond(forwardAnswer(answer, error => logFault(turn, error)));
     }
 
     /** Why an answer can't be passed back; undefined if it can. */
-    function refusalOfAnswer(turn: CallerTurn, answer: ServerAnswer): RefusalKind | undefined {
+    function refusalOfAnswer(turn: CallerExchange, answer: ServerAnswer): RefusalKind | undefined {
         if (isSuccess(answer) && !isVerified(answer)) {
             return "unprovenAnswer";
         }
-        return !answer.framed && turn.isFollowed() ? "unframedAnswer" : undefined;
+        return !answer.framed && turn.hasStartedSuccessors() ? "unframedAnswer" : undefined;
     }
 
     /** A success must carry the server's stamp, and a body in the coding that was asked for. */
@@ -206,7 +206,7 @@
         return answer.headers[headers.serverStamp] !== undefined && answer.headers["content-encoding"] === undefined;
     }
 
-    function describe(request: IncomingMessage): UnservedRequest {
+    function describe(request: IncomingMessage): UnadmittedRequest {
         const copyAge = options.configurationAge();
         return { requestId: requestIdOf(request), host: hostOf(request), path: urlOf(request), copyAge };
     }
@@ -215,18 +215,23 @@
         return singleValue(request.headers[headers.requestId]);
     }
 
-    function logFault({ request }: CallerTurn, error: unknown): void {
+    function logFault({ request }: CallerExchange, error: unknown): void {
         const reason = error instanceof Error ? error.stack : String(error);
         log.error("request.fault", { request: requestIdOf(request), reason });
     }
 
-    function refuseCaller(turn: CallerTurn, kind: RefusalKind, comeBackAfter?: Milliseconds): void {
-        const endsConnection = endsWithRefusal(turn.request);
-        turn.answer(endingIfStalled(turn.request, refuse(kind, { comeBackAfter, endsConnection })));
+    function refuseCaller(turn: CallerExchange, kind: RefusalKind, comeBackAfter?: Milliseconds): void {
+        const endsConnection = shouldCloseAfterRefusal(turn.request);
+        turn.respond(
+            withUnreadBodyTimeout(
+                turn.request,
+                refusalAnswer(kind, { retryAfter: comeBackAfter, closesConnection: endsConnection }),
+            ),
+        );
     }
 }
 
-function endingWithoutBody(kind: Exclude<BodyOutcome["kind"], "whole">): Ending {
+function endingWithoutBody(kind: Exclude<BodyOutcome["kind"], "whole">): RequestOutcome {
     switch (kind) {
         case "tooLarge":
             return { kind: "refusal", refusal: "bodyTooLarge" };
--- a/packages/box/src/requests/request-log.ts
+++ b/packages/box/src/requests/request-log.ts
@@ -3,7 +3,7 @@
  * how it ended. Every refusal leaves a line with the request's id, within the budget of lines.
  */
 
-import { type ChosenServer, describePosition, type QuotaDenied, type RefusalKind } from "@chalkdale/decisions";
+import { type ChosenServer, describePosition, type QuotaDenial, type RefusalKind } from "@chalkdale/decisions";
 import type { BackendServerId, Clock, CustomerId, Milliseconds, RequestFingerprint } from "@chalkdale/kernel";
 import type { Log, LogFields } from "@chalkdale/runtime";
 import type { BoxMetrics } from "../metrics.js";
@@ -25,12 +25,12 @@
     readonly served: (active: ActiveRequest, answer: ServerAnswer) => void;
     readonly refused: (active: ActiveRequest, refusal: RefusalKind) => void;
     /** A request was refused before it was taken. */
-    readonly notAdmitted: (request: UnservedRequest, refusal: RefusalKind) => void;
+    readonly notAdmitted: (request: UnadmittedRequest, refusal: RefusalKind) => void;
     readonly callerLeft: (active: ActiveRequest) => void;
 }
 
 /** A request that was not admitted. */
-export interface UnservedRequest {
+export interface UnadmittedRequest {
     readonly requestId: string | undefined;
     readonly host: string;
     /** With its query. */
@@ -39,7 +39,7 @@
     readonly copyAge: Milliseconds;
     readonly customer?: CustomerId;
     /** What was left of the customer's quota here, where that was the reason. */
-    readonly quotaDenied?: QuotaDenied;
+    readonly quotaDenied?: QuotaDenial;
 }
 
 export interface RequestLogOptions {
@@ -65,7 +65,7 @@
                 sent: active.sent,
                 reason,
                 fingerprint,
-                timeLeft: Math.round(active.endsAt - clock()),
+                timeLeft: Math.round(active.deadlineAt - clock()),
             });
         },
         hedged(active, overdue, second) {
@@ -76,11 +76,11 @@
                 overdue,
                 second,
                 after: Math.round(ageOf(active)),
-                timeLeft: Math.round(active.endsAt - clock()),
+                timeLeft: Math.round(active.deadlineAt - clock()),
             });
         },
         served(active, answer) {
-            metrics.onEnding(active.route.name, String(answer.status), ageOf(active));
+            metrics.onRequestEnded(active.route.name, String(answer.status), ageOf(active));
             log.info("request.served", {
                 request: active.requestId,
                 route: active.route.name,
@@ -95,7 +95,7 @@
             });
         },
         refused(active, refusal) {
-            metrics.onEnding(active.route.name, refusal, ageOf(active));
+            metrics.onRequestEnded(active.route.name, refusal, ageOf(active));
             log.info("request.refused", {
                 request: active.requestId,
                 route: active.route.name,
@@ -105,7 +105,7 @@
                 sent: active.sent,
                 tried: [...active.tried].join(",") || undefined,
                 after: Math.round(ageOf(active)),
-                timeLeft: Math.round(active.endsAt - clock()),
+                timeLeft: Math.round(active.deadlineAt - clock()),
                 version: state.configuration()?.version,
                 ...serversFields(),
             });
@@ -127,7 +127,7 @@
             });
         },
         callerLeft(active) {
-            metrics.onEnding(active.route.name, "callerLeft", ageOf(active));
+            metrics.onRequestEnded(active.route.name, "callerLeft", ageOf(active));
             log.info("request.callerLeft", {
                 request: active.requestId,
                 route: active.route.name,
@@ -152,11 +152,11 @@
 }
 
 /** By which part of the customer's quota a request was refused: a lease, whose age tells how old it is, or an equal part of the boxes. */
-function quotaFields(denied: QuotaDenied | undefined): LogFields {
+function quotaFields(denied: QuotaDenial | undefined): LogFields {
     if (denied === undefined) {
         return {};
     }
-    const { boxCount, comeBackAfter, leaseAge, partRate } = denied;
+    const { boxCount, retryAfter: comeBackAfter, leaseAge, shareRate: partRate } = denied;
     return {
         quotaPart: partRate.toFixed(1),
         quotaBoxes: boxCount,
--- a/packages/box/src/requests/request-path.ts
+++ b/packages/box/src/requests/request-path.ts
@@ -7,35 +7,35 @@
 
 import {
     type BackendServer,
-    comeBackAfter,
-    comeBackAfterBackoff,
+    bodyMemoryLimit,
     connectTimeout,
     type CopyAgeBounds,
     createBodyMemory,
-    createIdleLife,
-    createLimitedReturns,
-    createMovedBytes,
+    createCallerRetryPacer,
+    createIdleTimeoutEstimate,
     createRecentKeys,
     createRoundTrips,
     createServerChoice,
     createServiceLoad,
+    createTransferSizes,
     createWorkEstimate,
-    memoryForBodies,
+    type OutlierReports,
     type RefusalKind,
     type RestartedServer,
+    retryAfterBackoff,
+    retryAfterRefusal,
     type ServedVersions,
     type ServerCatalog,
-    type SharedEvidence,
     type SharedLimits,
-    type StopPhase,
+    type ShutdownPhase,
 } from "@chalkdale/decisions";
 import { type BackendServerId, type Clock, type Milliseconds, milliseconds, type ServiceId } from "@chalkdale/kernel";
 import type { Log } from "@chalkdale/runtime";
 import type { CallerProtocol } from "../callers/caller-protocol.js";
-import type { DeadlyGuard } from "../deadly/deadly-guard.js";
+import type { PoisonRequestGuard } from "../deadly/deadly-guard.js";
 import type { BoxMetrics } from "../metrics.js";
 import type { CustomerQuotas } from "../quotas/customer-quotas.js";
-import type { TrialRequests } from "../rollouts/trials.js";
+import type { TrialHooks } from "../rollouts/trials.js";
 import type { LimitedServers } from "../servers/limited-servers.js";
 import { createLivenessCheck } from "../servers/liveness-check.js";
 import type { RecentSends } from "../servers/recent-sends.js";
@@ -43,12 +43,12 @@
 import type { ServerNotices } from "../servers/server-notices.js";
 import type { BoxSettings } from "../settings.js";
 import type { SharedState } from "../state/shared-state.js";
-import type { TrafficPlace, TrafficPurpose } from "../traffic-meter.js";
+import type { TrafficLocality, TrafficPurpose } from "../traffic-meter.js";
 import type { ActiveRequest } from "./active-request.js";
 import { createAttempt } from "./attempt.js";
 import { createRequestHandler, type RequestHandler } from "./request-handler.js";
 
-export interface RequestPathOptions {
+export interface DataPlaneOptions {
     readonly clock: Clock;
     readonly random: () => number;
     readonly log: Log;
@@ -59,13 +59,13 @@
     readonly catalog: ServerCatalog;
     readonly limits: SharedLimits;
     readonly quotas: CustomerQuotas;
-    readonly evidence: SharedEvidence;
+    readonly evidence: OutlierReports;
     /** Keeps requests that end servers from them. */
-    readonly deadlyGuard: DeadlyGuard;
+    readonly poisonRequestGuard: PoisonRequestGuard;
     /** Which versions may have which requests. */
     readonly versions: Pick<ServedVersions, "admits" | "version">;
-    readonly trials: TrialRequests;
-    readonly phase: () => StopPhase;
+    readonly trials: TrialHooks;
+    readonly phase: () => ShutdownPhase;
     readonly configurationAge: () => Milliseconds;
     /** Time since the store confirmed the list of servers. */
     readonly serversAge: () => Milliseconds;
@@ -73,17 +73,17 @@
     readonly limitedServers: Pick<LimitedServers, "onAnswer">;
     readonly serverNotices: Pick<ServerNotices, "onAnswer">;
     /** Called with a server whose new life was in doubt until now. */
-    readonly onRestarted: (restarted: RestartedServer) => void;
+    readonly onServerRestarted: (restarted: RestartedServer) => void;
     readonly copyAgeBounds: CopyAgeBounds;
-    readonly countTraffic: (purpose: TrafficPurpose, place: TrafficPlace, bytes: number) => void;
+    readonly countTraffic: (purpose: TrafficPurpose, place: TrafficLocality, bytes: number) => void;
 }
 
 /** The way of requests through one box. */
-export interface RequestPath {
+export interface DataPlane {
     /** Serves the requests of callers. */
     readonly handler: RequestHandler;
     /** A server has started again: closes the connections to its earlier life, and forgets what that knew. */
-    readonly onRestarted: (server: BackendServerId) => void;
+    readonly onServerRestarted: (server: BackendServerId) => void;
     /** Closes connections that have rested too long, and forgets servers that are gone. Due some times a second. */
     readonly sweep: () => void;
     /** Connections to servers that are open. */
@@ -93,14 +93,14 @@
 }
 
 /** Creates the way of requests; nothing is learned yet. */
-export function createRequestPath(options: RequestPathOptions): RequestPath {
+export function createDataPlane(options: DataPlaneOptions): DataPlane {
     const { catalog, clock, evidence, limits, log, protocol, settings, state } = options;
-    const bodyMemory = createBodyMemory(memoryForBodies(settings.memoryLimit));
+    const bodyMemory = createBodyMemory(bodyMemoryLimit(settings.memoryLimit));
     const recentKeys = createRecentKeys();
     const serviceLoad = createServiceLoad();
     const work = createWorkEstimate();
-    const movedBytes = createMovedBytes();
-    const limitedReturns = createLimitedReturns(options.random);
+    const movedBytes = createTransferSizes();
+    const limitedReturns = createCallerRetryPacer(options.random);
     const roundTrips = createRoundTrips(settings.region, settings.zone);
     const connections = createServerConnections({
         clock,
@@ -117,7 +117,7 @@
         log,
         localAddress: settings.callers.host,
         connectTimeout: server => connectTimeout(roundTripTo(server)),
-        onSilent: server => {
+        onUnreachable: server => {
             server.state.onFailure(clock(), "unreachable");
             connections.closeIdle(server.id);
         },
@@ -129,8 +129,8 @@
             zone: settings.zone,
             catalog,
             recentKeys,
-            work,
-            movedBytes,
+            workEstimate: work,
+            transferSizes: movedBytes,
             roundTrip: roundTrips.estimate,
             loadPerSlot: serviceLoad.perSlot,
             severity: ({ id, state: server }, at) => {
@@ -145,30 +145,30 @@
             clock,
             protocol,
             connections,
-            mostConnections: limits.mostConnections,
+            maxConnectionsPerServer: limits.maxConnectionsPerServer,
             livenessCheck,
-            hasNewLife: catalog.hasNewLife,
+            hasNewIncarnation: catalog.hasNewIncarnation,
             hasSuccessor: catalog.hasSuccessor,
             admitsZone: state.admitsZone,
             serviceLoad,
             limitedServers: options.limitedServers,
             serverNotices: options.serverNotices,
-            idleLife: createIdleLife(),
+            idleTimeoutEstimate: createIdleTimeoutEstimate(),
             countBytes: (server, bytes) => options.countTraffic("request", server.state.record(), bytes),
         }),
-        budgetOf: limits.budgetOf,
+        retryBudgetOf: limits.retryBudgetOf,
         loadPerSlot: serviceLoad.perSlot,
-        comeBackAfter: returnTimeOf,
+        retryAfter: returnTimeOf,
         recentKeys,
-        work,
-        movedBytes,
+        workEstimate: work,
+        transferSizes: movedBytes,
         roundTrip: roundTripTo,
         bodyMemory,
     });
 
     return {
         handler,
-        onRestarted(server) {
+        onServerRestarted(server) {
             connections.closeIdle(server);
             recentKeys.forget(server);
             options.recentSends.forget(server);
@@ -181,7 +181,7 @@
                 recentKeys.forget(server);
                 options.recentSends.forget(server);
             });
-            restarted.forEach(options.onRestarted);
+            restarted.forEach(options.onServerRestarted);
         },
         connectionCount: connections.count,
         bodyBytes: bodyMemory.held,
@@ -189,13 +189,13 @@
 
     function returnTimeOf({ route, service }: ActiveRequest, refusal: RefusalKind): Milliseconds | undefined {
         if (refusal === "serversLimited") {
-            return limitedReturns.next(service, limitedRate(service), clock());
+            return limitedReturns.nextRetryAfter(service, limitedRate(service), clock());
         }
         if (refusal === "serversBackedOff") {
-            return comeBackAfterBackoff(firstBackIn(service), options.random());
+            return retryAfterBackoff(firstBackIn(service), options.random());
         }
         const loadPerSlot = serviceLoad.perSlot(service);
-        return comeBackAfter(refusal, { loadPerSlot, queuedWork: work.ofQueue(service, route) });
+        return retryAfterRefusal(refusal, { loadPerSlot, queuedWork: work.expectedOfQueued(service, route) });
     }
 
     /** Requests a second that the servers of a service name together, as an equal part of the advertised boxes. */
--- a/packages/box/src/requests/server-feedback.ts
+++ b/packages/box/src/requests/server-feedback.ts
@@ -6,11 +6,11 @@
  */
 
 import {
-    type AnswerVerdict,
+    type AnswerClass,
     type BackendServer,
-    judgeAnswer,
-    overdueTime,
-    restAfterAnswer,
+    classifyAnswer,
+    idleTimeoutAfterAnswer,
+    overdueThreshold,
     type ServiceLoad,
 } from "@chalkdale/decisions";
 import { type BackendServerId, type Clock, type Milliseconds, milliseconds } from "@chalkdale/kernel";
@@ -30,19 +30,19 @@
     readonly limitedServers: Pick<LimitedServers, "onAnswer">;
     readonly serverNotices: Pick<ServerNotices, "onAnswer">;
     /** True once another life of the server is listed. */
-    readonly hasNewLife: (server: BackendServer) => boolean;
+    readonly hasNewIncarnation: (server: BackendServer) => boolean;
 }
 
 /** Takes each way in which an attempt can end, and returns its outcome. */
 export interface ServerFeedback {
-    readonly onNoConnection: (request: AttemptRequest, failure: ConnectFailure) => AttemptOutcome;
+    readonly onConnectFailure: (request: AttemptRequest, failure: ConnectFailure) => AttemptOutcome;
     readonly onAnswer: (
         request: AttemptRequest,
         socket: Socket,
         answer: ServerAnswer,
         sentAt: Milliseconds,
     ) => AttemptOutcome;
-    /** `wasForgotten`: the server forgot a connection that rested, which says nothing of its health; a lost one refuses the next. */
+    /** `wasStaleConnection`: the server forgot a connection that rested, which says nothing of its health; a lost one refuses the next. */
     readonly onBroken: (
         request: AttemptRequest,
         reason: string,
@@ -57,7 +57,7 @@
     const { clock, connections, protocol } = options;
 
     return {
-        onNoConnection(request, failure) {
+        onConnectFailure(request, failure) {
             switch (failure) {
                 case "cancelled":
                     return { kind: "cancelled" };
@@ -77,16 +77,16 @@
                 options.serviceLoad.onReport(request.service, load);
             }
             // A connection of an earlier life is gone with it, and a request on it would be lost.
-            if (answer.reusable && options.hasNewLife(request.server)) {
+            if (answer.reusable && options.hasNewIncarnation(request.server)) {
                 socket.destroy();
             }
             else if (answer.reusable) {
-                connections.release(id, socket, restAfterAnswer(readKeepAlive(answer.headers)));
+                connections.release(id, socket, idleTimeoutAfterAnswer(readKeepAlive(answer.headers)));
             }
-            const verdict = judgeAnswer({
+            const verdict = classifyAnswer({
                 status: answer.status,
                 saysNotRun: answer.headers[protocol.headers.notRun] !== undefined,
-                asksBackoff: asksBackoff(answer),
+                requestsBackoff: asksBackoff(answer),
                 load,
                 isCold: state.isCold(clock()),
                 isOverdue: isOverdue(request, sentAt),
@@ -106,7 +106,7 @@
             else {
                 request.server.state.onFailure(clock(), "brokeOff");
             }
-            return { kind: "broken", reason, wasForgotten };
+            return { kind: "broken", reason, wasStaleConnection: wasForgotten };
         },
         onCancelled(request, sentAt, rested) {
             const { id, state } = request.server;
@@ -118,7 +118,7 @@
             }
             return request.signal.aborted
                 ? { kind: "cancelled" }
-                : { kind: "broken", reason: "server silent", wasForgotten: false };
+                : { kind: "broken", reason: "server silent", wasStaleConnection: false };
         },
     };
 
@@ -140,13 +140,13 @@
 
     /** True if the server has had the request for far longer than expected. */
     function isOverdue(request: AttemptRequest, sentAt: Milliseconds): boolean {
-        return clock() - sentAt >= overdueTime(request.expected);
+        return clock() - sentAt >= overdueThreshold(request.expected);
     }
 
     function applyVerdict(
         request: AttemptRequest,
         answer: ServerAnswer,
-        verdict: AnswerVerdict,
+        verdict: AnswerClass,
         sentAt: Milliseconds,
     ): AttemptOutcome {
         const { id, state } = request.server;
@@ -155,7 +155,7 @@
             case "otherServer":
                 state.onReplaced();
                 connections.closeIdle(id);
-                return { kind: "notRun", status: answer.status, hasRoom: false };
+                return { kind: "notRun", status: answer.status, hasFreeSlots: false };
             case "full":
                 if (verdict.isFailure) {
                     state.onResult(now, false);
@@ -163,11 +163,11 @@
                 else {
                     state.onFull(now);
                 }
-                return { kind: "notRun", status: answer.status, hasRoom: verdict.isFailure };
+                return { kind: "notRun", status: answer.status, hasFreeSlots: verdict.isFailure };
             case "backedOff":
                 return verdict.mayHaveRun
-                    ? { kind: "answered", answer, asksBackoff: true }
-                    : { kind: "notRun", status: answer.status, hasRoom: false };
+                    ? { kind: "answered", answer, requestsBackoff: true }
+                    : { kind: "notRun", status: answer.status, hasFreeSlots: false };
             case "ran":
                 state.onHealthy();
                 state.onResult(now, !verdict.isFailure);
--- a/packages/box/src/requests/single-attempt.ts
+++ b/packages/box/src/requests/single-attempt.ts
@@ -10,28 +10,28 @@
     type BackendServer,
     type ChosenServer,
     isSuccessStatus,
-    type MovedBytes,
     type RecentKeys,
+    type TransferSizes,
     type WorkEstimate,
 } from "@chalkdale/decisions";
 import { type Clock, type Milliseconds, milliseconds } from "@chalkdale/kernel";
 import type { BoxMetrics } from "../metrics.js";
-import type { TrialRequests } from "../rollouts/trials.js";
+import type { TrialHooks } from "../rollouts/trials.js";
 import type { ServerAnswer } from "../servers/exchange.js";
 import type { RecentSends } from "../servers/recent-sends.js";
 import type { ActiveRequest } from "./active-request.js";
 import type { AttemptOutcome, AttemptRequest } from "./attempt-request.js";
-import { createTryWatch } from "./watched-try.js";
+import { createAttemptObserver } from "./watched-try.js";
 
 export interface SingleAttemptOptions {
     readonly clock: Clock;
     readonly metrics: BoxMetrics;
     readonly attempt: (request: AttemptRequest) => Promise<AttemptOutcome>;
     readonly recentKeys: RecentKeys;
-    readonly work: WorkEstimate;
-    readonly movedBytes: Pick<MovedBytes, "onMoved">;
+    readonly workEstimate: WorkEstimate;
+    readonly transferSizes: Pick<TransferSizes, "onTransferred">;
     readonly roundTrip: (server: BackendServer) => Milliseconds;
-    readonly trials: TrialRequests;
+    readonly trials: TrialHooks;
     readonly recentSends: RecentSends;
     /** Time since the store confirmed the list of servers. */
     readonly serversAge: () => Milliseconds;
@@ -50,7 +50,7 @@
 /** Returns the function that makes single attempts. */
 export function createSingleAttempt(options: SingleAttemptOptions): SingleAttempt {
     const { clock, metrics, trials } = options;
-    const watchTry = createTryWatch(options);
+    const watchTry = createAttemptObserver(options);
 
     return async function attemptOnce(active, choice, body, signal) {
         const { server } = choice;
@@ -71,14 +71,14 @@
             rawHeaders: active.rawHeaders,
             body,
             requestId: active.requestId,
-            timeLeft: () => milliseconds(active.endsAt - clock()),
+            timeLeft: () => milliseconds(active.deadlineAt - clock()),
             roundTrip: options.roundTrip(server),
-            expected: choice.usual,
+            expected: choice.expectedAtNormalSpeed,
             signal,
             onSend: () => {
                 active.sent += 1;
                 isSent = true;
-                options.work.onSent(active.service, active.route);
+                options.workEstimate.onSent(active.service, active.route);
                 watched.onSent();
                 options.recentSends.add(server.id, {
                     requestId: active.requestId,
@@ -101,7 +101,7 @@
         }
         metrics.onAttempt(outcome.kind);
         if (outcome.kind === "answered" && isSuccessStatus(outcome.answer.status)) {
-            options.movedBytes.onMoved(active.route, body.length + outcome.answer.body.length);
+            options.transferSizes.onTransferred(active.route, body.length + outcome.answer.body.length);
         }
         return outcome;
     };
@@ -113,6 +113,6 @@
         if (trials.isOnTrial(active.service, choice.server)) {
             return;
         }
-        state.onAnswerTime(clock(), options.work.onMeasured(active.route, choice.warm, duration));
+        state.onAnswerTime(clock(), options.workEstimate.onMeasured(active.route, choice.warm, duration));
     }
 }
--- a/packages/box/src/requests/unread-body.ts
+++ b/packages/box/src/requests/unread-body.ts
@@ -10,7 +10,7 @@
 
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { CallerAnswer } from "../callers/caller-turn.js";
-import { announcedLength, awaitsContinue } from "./request-body.js";
+import { contentLengthOf, expectsContinue } from "./request-body.js";
 
 /**
  * Bytes of an unread body up to which its connection is kept: a body somewhat beyond the limit that deployments set leaves
@@ -21,15 +21,15 @@
 const keptFor = 5000;
 
 /** True if the connection should end with a refusal that is given now. */
-export function endsWithRefusal(request: IncomingMessage): boolean {
+export function shouldCloseAfterRefusal(request: IncomingMessage): boolean {
     if (isIn(request)) {
         return false;
     }
-    return awaitsContinue(request) || (announcedLength(request) ?? Infinity) > longestKept;
+    return expectsContinue(request) || (contentLengthOf(request) ?? Infinity) > longestKept;
 }
 
 /** Ends the connection if it is kept after the answer and the rest of the body does not come. */
-export function endingIfStalled(request: IncomingMessage, answer: CallerAnswer): CallerAnswer {
+export function withUnreadBodyTimeout(request: IncomingMessage, answer: CallerAnswer): CallerAnswer {
     if (isIn(request)) {
         return answer;
     }
@@ -43,7 +43,7 @@
 }
 
 function isIn(request: IncomingMessage): boolean {
-    return request.complete || announcedLength(request) === 0;
+    return request.complete || contentLengthOf(request) === 0;
 }
 
 function endIfStalled(request: IncomingMessage): void {
--- a/packages/box/src/requests/watched-try.ts
+++ b/packages/box/src/requests/watched-try.ts
@@ -13,20 +13,20 @@
 import {
     type BackendServer,
     type ChosenServer,
+    earlyReportSlowness,
     isFailureStatus,
-    overdueTime,
-    toldSlowness,
+    overdueThreshold,
     type TrialAnswer,
     type WorkEstimate,
 } from "@chalkdale/decisions";
 import type { Clock, Milliseconds } from "@chalkdale/kernel";
-import type { TrialRequests } from "../rollouts/trials.js";
+import type { TrialHooks } from "../rollouts/trials.js";
 import type { ServerAnswer } from "../servers/exchange.js";
 import type { ActiveRequest } from "./active-request.js";
 import type { AttemptOutcome } from "./attempt-request.js";
 
 /** A try whose end is awaited. */
-export interface WatchedTry {
+export interface ObservedAttempt {
     /** The request is about to be sent. */
     readonly onSent: () => void;
     /** The server gave a success after so long, without the way there and back. */
@@ -35,10 +35,10 @@
     readonly onEnded: (outcome: AttemptOutcome) => void;
 }
 
-export interface TryWatchOptions {
+export interface AttemptObserverOptions {
     readonly clock: Clock;
-    readonly trials: TrialRequests;
-    readonly work: WorkEstimate;
+    readonly trials: TrialHooks;
+    readonly workEstimate: WorkEstimate;
     readonly roundTrip: (server: BackendServer) => Milliseconds;
     /** True if a success is the server's own and in the coding that was asked for. */
     readonly isVerified: (answer: ServerAnswer) => boolean;
@@ -48,13 +48,15 @@
 const statusDeadline = 504;
 
 /** What a try of a service without a trial is watched by. */
-const unwatched: WatchedTry = { onSent: () => undefined, onServed: () => undefined, onEnded: () => undefined };
+const unwatched: ObservedAttempt = { onSent: () => undefined, onServed: () => undefined, onEnded: () => undefined };
 
 /** Returns the function that watches a try which is about to be made. */
-export function createTryWatch(options: TryWatchOptions): (active: ActiveRequest, choice: ChosenServer) => WatchedTry {
-    const { clock, trials, work } = options;
+export function createAttemptObserver(
+    options: AttemptObserverOptions,
+): (active: ActiveRequest, choice: ChosenServer) => ObservedAttempt {
+    const { clock, trials, workEstimate: work } = options;
 
-    return function watchTry({ route, service }, { server, usual, wait, warm }) {
+    return function watchTry({ route, service }, { server, expectedAtNormalSpeed: usual, wait, warm }) {
         if (!trials.hasTrial(service)) {
             return unwatched;
         }
@@ -67,11 +69,12 @@
             onSent() {
                 sentAt = clock();
                 trials.onSent(service, server);
-                const tellAfter = work.durationOf(route, warm, toldSlowness, wait) + options.roundTrip(server);
-                timer = setTimeout(() => tell({ isFailure: false, slowness: toldSlowness }), tellAfter);
+                const tellAfter = work.durationAtSlowness(route, warm, earlyReportSlowness, wait)
+                    + options.roundTrip(server);
+                timer = setTimeout(() => tell({ isFailure: false, slowness: earlyReportSlowness }), tellAfter);
             },
             onServed(duration) {
-                slowness = work.compare(route, warm, duration, wait);
+                slowness = work.slownessOf(route, warm, duration, wait);
             },
             onEnded(outcome) {
                 clearTimeout(timer);
@@ -79,7 +82,7 @@
                     return;
                 }
                 trials.onEnded(service, server);
-                const isOverdue = clock() - sentAt >= overdueTime(usual);
+                const isOverdue = clock() - sentAt >= overdueThreshold(usual);
                 const evidence = evidenceOf(outcome, isOverdue, slowness);
                 if (evidence !== undefined) {
                     tell(evidence);
@@ -105,11 +108,11 @@
             case "notRun":
                 return undefined;
             case "broken":
-                return outcome.wasForgotten ? undefined : failure;
+                return outcome.wasStaleConnection ? undefined : failure;
             case "cancelled":
                 return isOverdue ? failure : undefined;
             case "answered":
-                return outcome.asksBackoff === true
+                return outcome.requestsBackoff === true
                     ? undefined
                     : evidenceOfAnswer(outcome.answer, isOverdue, slowness);
         }
--- a/packages/box/src/rollouts/cell-changes.ts
+++ b/packages/box/src/rollouts/cell-changes.ts
@@ -15,7 +15,7 @@
 const wholeEvery = 10;
 
 /** Returns the function that picks the cells of the next report to a box. */
-export function createChangedCells(): (cells: readonly EvidenceCell[], to: BoxId) => readonly EvidenceCell[] {
+export function createChangedCellSelector(): (cells: readonly EvidenceCell[], to: BoxId) => readonly EvidenceCell[] {
     const told = new Map<string, { cell: EvidenceCell; times: number; }>();
     let toldTo: BoxId | undefined;
     let reports = 0;
@@ -35,7 +35,7 @@
 }
 
 /** Puts the reports of boxes together again. */
-export interface WholeReports {
+export interface ReportAssembler {
     /** Returns a report with all cells that the box has told; a new life of a box begins anew. */
     readonly complete: (box: BoxId, report: RolloutReport) => RolloutReport;
     /** Forgets what was told of other orders: 740 boxes with 64 cells each take 3.7 MB (counted on the heap). */
@@ -50,7 +50,7 @@
 }
 
 /** Creates it; nothing was told yet. */
-export function createWholeReports(): WholeReports {
+export function createReportAssembler(): ReportAssembler {
     /** By box and service. */
     const known = new Map<string, ToldReport>();
 
--- a/packages/box/src/rollouts/deciding-box.ts
+++ b/packages/box/src/rollouts/deciding-box.ts
@@ -6,15 +6,15 @@
  * Owns no state; relies on the members.
  */
 
-import { countingBox, type CountingBoxes, type Membership } from "@chalkdale/decisions";
+import { coordinatorFor, type CoordinatorSet, type Membership } from "@chalkdale/decisions";
 import type { BoxId, Milliseconds, ServiceId } from "@chalkdale/kernel";
 
-export interface DecidingBoxOptions {
+export interface DecidingBoxLocatorOptions {
     readonly self: BoxId;
-    readonly membership: Pick<Membership, "find" | "own">;
-    readonly countingBoxes: Pick<CountingBoxes, "current">;
+    readonly membership: Pick<Membership, "find" | "ownRecord">;
+    readonly coordinators: Pick<CoordinatorSet, "current">;
     /** The store has confirmed the copy of the orders since this box started. */
-    readonly isCopyProven: () => boolean;
+    readonly isCopyConfirmed: () => boolean;
     /** False once the box is stopping. */
     readonly isRunning: () => boolean;
     /** Time since this box started. */
@@ -22,13 +22,13 @@
 }
 
 /** The search for the deciding box. */
-export interface DecidingBox {
+export interface DecidingBoxLocator {
     /** The box that decides on a service; undefined while none is found. */
     readonly of: (service: ServiceId) => BoxId | undefined;
     /** True while this box decides on a service. */
     readonly isSelf: (service: ServiceId) => boolean;
     /** The boxes that would be next. */
-    readonly deputies: (service: ServiceId) => readonly BoxId[];
+    readonly backupBoxes: (service: ServiceId) => readonly BoxId[];
 }
 
 /**
@@ -42,19 +42,19 @@
 const deputyCount = 2;
 
 /** Creates the search. */
-export function createDecidingBox(options: DecidingBoxOptions): DecidingBox {
-    const { countingBoxes, membership, self } = options;
+export function createDecidingBoxLocator(options: DecidingBoxLocatorOptions): DecidingBoxLocator {
+    const { coordinators: countingBoxes, membership, self } = options;
 
     return {
         of,
         /** A box that has just started, or whose copy is not confirmed, may know an order as it was long ago. */
         isSelf: service =>
-            options.isRunning() && options.uptime() >= settleTime && options.isCopyProven() && of(service) === self,
-        deputies(service) {
+            options.isRunning() && options.uptime() >= settleTime && options.isCopyConfirmed() && of(service) === self,
+        backupBoxes(service) {
             const found: BoxId[] = [];
             let left = countingBoxes.current().filter(box => box !== of(service));
             while (left.length > 0 && found.length < deputyCount) {
-                const next = countingBox(service, left)!;
+                const next = coordinatorFor(service, left)!;
                 found.push(next);
                 left = left.filter(box => box !== next);
             }
@@ -65,11 +65,11 @@
     function of(service: ServiceId): BoxId | undefined {
         const candidates = countingBoxes.current();
         const most = Math.max(0, ...candidates.map(capacityOf));
-        return countingBox(service, candidates.filter(box => capacityOf(box) >= most * strongPart));
+        return coordinatorFor(service, candidates.filter(box => capacityOf(box) >= most * strongPart));
     }
 
     function capacityOf(box: BoxId): number {
-        const member = box === self ? membership.own() : membership.find(box);
+        const member = box === self ? membership.ownRecord() : membership.find(box);
         return member?.capacity ?? 0;
     }
 }
--- a/packages/box/src/rollouts/deciding.ts
+++ b/packages/box/src/rollouts/deciding.ts
@@ -13,9 +13,9 @@
     type RolloutAction,
     type RolloutBounds,
     type RolloutDecider,
+    type RolloutDecision,
     type RolloutGrant,
     type RolloutId,
-    type RolloutNews,
     type RolloutOrder,
     type RolloutReport,
     type RolloutState,
@@ -28,7 +28,7 @@
 import type { RolloutWriter } from "./rollout-writer.js";
 import type { Trials } from "./trials.js";
 
-export interface DecidingOptions {
+export interface RolloutDecidersOptions {
     readonly clock: Clock;
     readonly log: Log;
     readonly bounds: RolloutBounds;
@@ -47,13 +47,13 @@
     readonly isStoreReachable: (service: ServiceId) => boolean;
     readonly sendGrant: (box: BoxId, grant: RolloutGrant) => void;
     /** Other boxes are to write a state that this one can't. */
-    readonly askDeputies: (order: RolloutOrder, state: RolloutState) => void;
+    readonly askBackupBoxes: (order: RolloutOrder, state: RolloutState) => void;
     /** A decision is to be told to all boxes at once. */
-    readonly tell: (news: RolloutNews) => void;
+    readonly announce: (news: RolloutDecision) => void;
 }
 
 /** The deciders of a box. */
-export interface Deciding {
+export interface RolloutDeciders {
     /** True if this box decides on the order. */
     readonly decidesOn: (rollout: RolloutId) => boolean;
     /** Returns the part of the box that reported; undefined if this box does not decide on the order. */
@@ -76,7 +76,7 @@
 const askInterval = 1200;
 
 /** Creates it; nothing is decided here yet. */
-export function createDeciding(options: DecidingOptions): Deciding {
+export function createRolloutDeciders(options: RolloutDecidersOptions): RolloutDeciders {
     const { clock, log, orders, trials } = options;
     const deciders = new Map<ServiceId, Decided>();
     let askAgainAt = -Infinity;
@@ -153,12 +153,12 @@
             isTargetProven: options.versions.isTargetProven(service),
         });
         carryOut(action, order);
-        decider.changedGrants().forEach(({ box, grant }) => options.sendGrant(box, grant));
+        decider.grantsToPush().forEach(({ box, grant }) => options.sendGrant(box, grant));
         logStage(entry, order);
         const news = decider.news();
         if (news !== undefined && !entry.isTold) {
             entry.isTold = true;
-            options.tell(news);
+            options.announce(news);
         }
     }
 
@@ -183,7 +183,7 @@
         writer.write(order, state);
         if (writer.isFailing(order.service) && clock() >= askAgainAt) {
             askAgainAt = clock() + askInterval;
-            options.askDeputies(order, state);
+            options.askBackupBoxes(order, state);
         }
     }
 
@@ -194,7 +194,7 @@
             return;
         }
         entry.loggedStage = status.stage;
-        const { age, allowed, plan, reason, sent, sentToTrial, total, verdict } = status;
+        const { age, allowed, plan, reason, sent, sentToTrial, grantedTotal: total, verdict } = status;
         log.info(stageEvents[status.stage], {
             service,
             targetVersion,
--- a/packages/box/src/rollouts/newest-orders.ts
+++ b/packages/box/src/rollouts/newest-orders.ts
@@ -13,7 +13,7 @@
     readonly of: (service: ServiceId) => RolloutOrder | undefined;
     readonly all: () => readonly RolloutOrder[];
     /** The copy has changed; these are all of its orders. */
-    readonly onCopy: (orders: readonly RolloutOrder[]) => void;
+    readonly onCopyChanged: (orders: readonly RolloutOrder[]) => void;
     /** The store answered that it has the order so; undefined: that there is none. */
     readonly onStored: (service: ServiceId, order: RolloutOrder | undefined) => void;
 }
@@ -32,7 +32,7 @@
     return {
         of,
         all: () => [...copy.keys()].map(of).filter(order => order !== undefined),
-        onCopy(orders) {
+        onCopyChanged(orders) {
             copy = new Map(orders.map(order => [order.service, order]));
             [...stored.keys()].filter(service => !copy.has(service)).forEach(service => stored.delete(service));
         },
--- a/packages/box/src/rollouts/outcome-writes.ts
+++ b/packages/box/src/rollouts/outcome-writes.ts
@@ -8,17 +8,17 @@
 
 import { isSameRollout, type RolloutId, type RolloutOrder } from "@chalkdale/decisions";
 import type { Milliseconds, ServiceId } from "@chalkdale/kernel";
-import type { DecidingBox } from "./deciding-box.js";
+import type { DecidingBoxLocator } from "./deciding-box.js";
 import type { NewestOrders } from "./newest-orders.js";
-import type { KnownNews } from "./rollout-news.js";
-import { readWanted, type WantedEntry } from "./rollout-parts.js";
+import type { KnownDecisions } from "./rollout-news.js";
+import { decodeWriteRequest, type WriteRequestEntry } from "./rollout-parts.js";
 import type { RolloutWriter } from "./rollout-writer.js";
 
 export interface OutcomeWritesOptions {
     readonly writer: RolloutWriter;
     readonly orders: Pick<NewestOrders, "of">;
-    readonly news: Pick<KnownNews, "decisionOf">;
-    readonly decidingBox: Pick<DecidingBox, "isSelf">;
+    readonly news: Pick<KnownDecisions, "decisionOf">;
+    readonly decidingBox: Pick<DecidingBoxLocator, "isSelf">;
     /** Time since the store confirmed the copy of the orders, to this box or through another; undefined if it never did. */
     readonly copyAge: () => Milliseconds | undefined;
     /** False while this box calls the store and it does not answer. */
@@ -32,12 +32,12 @@
     /** True for an order whose outcome the store has. */
     readonly isDecidedInStore: (rollout: RolloutId) => boolean;
     /** Writes what the deciding box can't, as long as the order is the one that it knew. */
-    readonly writeFor: (entry: WantedEntry) => void;
+    readonly writeOnRequest: (entry: WriteRequestEntry) => void;
     /**
      * A decider may end between its news and its write, and the store may lose what was written; then boxes report no more, and whoever
      * decides goes by the news.
      */
-    readonly writeByNews: (order: RolloutOrder) => void;
+    readonly writeKnownDecision: (order: RolloutOrder) => void;
 }
 
 /**
@@ -53,8 +53,8 @@
         isStoreReachable: service =>
             options.isStoreAnswering() && !writer.isFailing(service) || (options.copyAge() ?? Infinity) < freshCopy,
         isDecidedInStore,
-        writeFor(entry) {
-            const { rollout, state } = readWanted(entry);
+        writeOnRequest(entry) {
+            const { rollout, state } = decodeWriteRequest(entry);
             const order = orders.of(rollout.service);
             if (order === undefined || !isSameRollout(order, rollout) || isDecidedInStore(rollout)) {
                 return;
@@ -64,7 +64,7 @@
                 writer.write(order, state);
             }
         },
-        writeByNews(order) {
+        writeKnownDecision(order) {
             const decision = news.decisionOf(order);
             if (decision !== undefined && !isDecidedInStore(order) && decidingBox.isSelf(order.service)) {
                 writer.write(order, decision);
--- a/packages/box/src/rollouts/rollout-checks.ts
+++ b/packages/box/src/rollouts/rollout-checks.ts
@@ -5,7 +5,7 @@
  */
 
 import type { RolloutStage, RolloutState } from "@chalkdale/decisions";
-import { longestReason, mostCells, type RolloutMessage, unknownTotal } from "./rollout-parts.js";
+import { maxReasonLength, maxReportCells, type RolloutMessage, unknownGrantedTotal } from "./rollout-parts.js";
 
 /** Servers are grouped by hash into so many groups. */
 const groupCount = 8;
@@ -29,8 +29,8 @@
     const [id, incarnation, sent, sentToTrial, inProgressElsewhere, cap, knownTotal, age, cells] = value as unknown[];
     return isId(id) && typeof incarnation === "string"
         && [sent, sentToTrial, inProgressElsewhere, cap, age].every(isCount)
-        && (knownTotal === unknownTotal || isCount(knownTotal))
-        && Array.isArray(cells) && cells.length <= mostCells && cells.every(isCell);
+        && (knownTotal === unknownGrantedTotal || isCount(knownTotal))
+        && Array.isArray(cells) && cells.length <= maxReportCells && cells.every(isCell);
 }
 
 function isCell(value: unknown): boolean {
@@ -61,7 +61,7 @@
     }
     const [id, decision, reason] = value as unknown[];
     return isId(id) && (decision === "completed" || decision === "rolledBack")
-        && typeof reason === "string" && reason.length <= longestReason;
+        && typeof reason === "string" && reason.length <= maxReasonLength;
 }
 
 function isId(value: unknown): boolean {
--- a/packages/box/src/rollouts/rollout-metrics.ts
+++ b/packages/box/src/rollouts/rollout-metrics.ts
@@ -7,7 +7,7 @@
 
 import type { EvidenceCell, Route } from "@chalkdale/decisions";
 import { hashText } from "@chalkdale/kernel";
-import type { RolloutCounts } from "./rollouts.js";
+import type { RolloutSummary } from "./rollouts.js";
 
 /** Orders with series of their own, the oldest first: some 60 lines of 100 bytes each at most. */
 const mostOrders = 20;
@@ -22,7 +22,7 @@
 }
 
 /** Returns the lines. */
-export function rolloutMetricLines(counts: readonly RolloutCounts[], routes: readonly Route[]): readonly string[] {
+export function rolloutMetricLines(counts: readonly RolloutSummary[], routes: readonly Route[]): readonly string[] {
     if (counts.length === 0) {
         return [];
     }
@@ -30,7 +30,7 @@
     return counts.slice(0, mostOrders).flatMap(entry => linesOf(entry, names));
 }
 
-function linesOf(entry: RolloutCounts, names: ReadonlyMap<number, string>): readonly string[] {
+function linesOf(entry: RolloutSummary, names: ReadonlyMap<number, string>): readonly string[] {
     const { decider, news, order, provenVersion, report, traffic } = entry;
     const service = label("service", order.service);
     const state = [
@@ -54,7 +54,7 @@
     if (decider !== undefined) {
         lines.push(
             `chalkdale_rollout_allowed{${service}} ${Math.floor(decider.allowed)}`,
-            `chalkdale_rollout_granted{${service}} ${Math.floor(decider.total)}`,
+            `chalkdale_rollout_granted{${service}} ${Math.floor(decider.grantedTotal)}`,
         );
     }
     return lines;
--- a/packages/box/src/rollouts/rollout-news.ts
+++ b/packages/box/src/rollouts/rollout-news.ts
@@ -6,7 +6,7 @@
  * asks to prefer what the store says.
  */
 
-import { isSameRollout, type RolloutId, type RolloutNews } from "@chalkdale/decisions";
+import { isSameRollout, type RolloutDecision, type RolloutId } from "@chalkdale/decisions";
 import { type Clock, type Milliseconds, milliseconds } from "@chalkdale/kernel";
 
 /**
@@ -20,22 +20,22 @@
 const mostTold = 4;
 
 /** The decisions that a box knows. */
-export interface KnownNews {
+export interface KnownDecisions {
     /** Takes a decision; true if it is the first one on this order. */
-    readonly learn: (news: RolloutNews) => boolean;
-    readonly decisionOf: (rollout: RolloutId) => RolloutNews["decision"] | undefined;
-    readonly find: (rollout: RolloutId) => RolloutNews | undefined;
+    readonly add: (news: RolloutDecision) => boolean;
+    readonly decisionOf: (rollout: RolloutId) => RolloutDecision["decision"] | undefined;
+    readonly find: (rollout: RolloutId) => RolloutDecision | undefined;
     /** What is to be told on now. */
-    readonly recent: () => readonly RolloutNews[];
+    readonly dueForGossip: () => readonly RolloutDecision[];
 }
 
 /** Creates it without any. `isOpen`: the store has no outcome of the order. */
-export function createKnownNews(clock: Clock, isOpen: (rollout: RolloutId) => boolean): KnownNews {
-    let known: { readonly news: RolloutNews; readonly at: Milliseconds; }[] = [];
+export function createKnownDecisions(clock: Clock, isOpen: (rollout: RolloutId) => boolean): KnownDecisions {
+    let known: { readonly news: RolloutDecision; readonly at: Milliseconds; }[] = [];
     const find = (rollout: RolloutId) => known.find(({ news }) => isSameRollout(news.rollout, rollout))?.news;
 
     return {
-        learn(news) {
+        add(news) {
             if (find(news.rollout) !== undefined) {
                 return false;
             }
@@ -44,7 +44,7 @@
         },
         decisionOf: rollout => find(rollout)?.decision,
         find,
-        recent: () =>
+        dueForGossip: () =>
             known.filter(({ at, news }) => clock() - at < repeatedFor || isOpen(news.rollout))
                 .slice(0, mostTold)
                 .map(({ news }) => news),
--- a/packages/box/src/rollouts/rollout-parts.ts
+++ b/packages/box/src/rollouts/rollout-parts.ts
@@ -7,9 +7,9 @@
 
 import type {
     EvidenceCell,
+    RolloutDecision,
     RolloutGrant,
     RolloutId,
-    RolloutNews,
     RolloutReport,
     RolloutStage,
     RolloutState,
@@ -46,8 +46,8 @@
     total: number,
     age: number,
 ];
-export type WantedEntry = readonly [id: IdEntry, state: RolloutState];
-type NewsEntry = readonly [id: IdEntry, decision: RolloutNews["decision"], reason: string];
+export type WriteRequestEntry = readonly [id: IdEntry, state: RolloutState];
+type NewsEntry = readonly [id: IdEntry, decision: RolloutDecision["decision"], reason: string];
 
 /** The part of a datagram that is about roll-outs. */
 export interface RolloutMessage {
@@ -56,24 +56,34 @@
     /** Its answer. */
     readonly grant?: GrantEntry;
     /** A state that the deciding box can't write, and the one that gets this may. */
-    readonly wanted?: WantedEntry;
+    readonly wanted?: WriteRequestEntry;
     /** Decisions, from whoever knows them. */
     readonly news?: readonly NewsEntry[];
 }
 
 /** Cells of one report at most, those with the most answers: some 40 bytes each, with the sender's record below 8 KB. */
-export const mostCells = 150;
+export const maxReportCells = 150;
 /** Characters of the reason of a decision at most; it is for the logs. */
-export const longestReason = 300;
+export const maxReasonLength = 300;
 /** Stands for a sum that is not known. */
-export const unknownTotal = -1;
+export const unknownGrantedTotal = -1;
 
 /** Shortens a report. */
-export function reportEntry(report: RolloutReport): ReportEntry {
-    const { age, cap, cells, incarnation, inProgressElsewhere, knownTotal, rollout, sent, sentToTrial } = report;
-    const told = cells.length <= mostCells
+export function encodeReport(report: RolloutReport): ReportEntry {
+    const {
+        age,
+        cap,
+        cells,
+        incarnation,
+        inProgressOnOtherVersions: inProgressElsewhere,
+        knownGrantedTotal: knownTotal,
+        rollout,
+        sent,
+        sentToTrial,
+    } = report;
+    const told = cells.length <= maxReportCells
         ? cells
-        : [...cells].sort((a, b) => b.answers - a.answers).slice(0, mostCells);
+        : [...cells].sort((a, b) => b.answers - a.answers).slice(0, maxReportCells);
     return [
         idEntry(rollout),
         incarnation,
@@ -81,55 +91,67 @@
         sentToTrial,
         inProgressElsewhere,
         cap,
-        knownTotal ?? unknownTotal,
+        knownTotal ?? unknownGrantedTotal,
         Math.round(age),
         told.map(cellEntry),
     ];
 }
 
 /** Shortens a grant. */
-export function grantEntry({ age, cap, rollout, sampledServers, share, stage, total }: RolloutGrant): GrantEntry {
+export function encodeGrant(
+    { age, cap, rollout, sampledServerCount: sampledServers, share, stage, grantedTotal: total }: RolloutGrant,
+): GrantEntry {
     return [idEntry(rollout), stage, cap, round(share), sampledServers, total, Math.round(age)];
 }
 
 /** Shortens the wish that another box writes a state. */
-export function wantedEntry(rollout: RolloutId, state: RolloutState): WantedEntry {
+export function encodeWriteRequest(rollout: RolloutId, state: RolloutState): WriteRequestEntry {
     return [idEntry(rollout), state];
 }
 
 /** Returns the wish of an entry. */
-export function readWanted([id, state]: WantedEntry): { readonly rollout: RolloutId; readonly state: RolloutState; } {
+export function decodeWriteRequest(
+    [id, state]: WriteRequestEntry,
+): { readonly rollout: RolloutId; readonly state: RolloutState; } {
     return { rollout: readId(id), state };
 }
 
 /** Shortens news. */
-export function newsEntry({ decision, reason, rollout }: RolloutNews): NewsEntry {
-    return [idEntry(rollout), decision, reason.slice(0, longestReason)];
+export function encodeDecision({ decision, reason, rollout }: RolloutDecision): NewsEntry {
+    return [idEntry(rollout), decision, reason.slice(0, maxReasonLength)];
 }
 
 /** Returns the report of an entry. */
-export function readReport(entry: ReportEntry): RolloutReport {
+export function decodeReport(entry: ReportEntry): RolloutReport {
     const [id, incarnation, sent, sentToTrial, inProgressElsewhere, cap, knownTotal, age, cells] = entry;
     return {
         rollout: readId(id),
         incarnation: incarnationId(incarnation),
         sent,
         sentToTrial,
-        inProgressElsewhere,
+        inProgressOnOtherVersions: inProgressElsewhere,
         cap,
-        knownTotal: knownTotal === unknownTotal ? undefined : knownTotal,
+        knownGrantedTotal: knownTotal === unknownGrantedTotal ? undefined : knownTotal,
         age: milliseconds(age),
         cells: cells.map(readCell),
     };
 }
 
 /** Returns the grant of an entry. */
-export function readGrant([id, stage, cap, share, sampledServers, total, age]: GrantEntry): RolloutGrant {
-    return { rollout: readId(id), stage, cap, share, sampledServers, total, age: milliseconds(age) };
+export function decodeGrant([id, stage, cap, share, sampledServers, total, age]: GrantEntry): RolloutGrant {
+    return {
+        rollout: readId(id),
+        stage,
+        cap,
+        share,
+        sampledServerCount: sampledServers,
+        grantedTotal: total,
+        age: milliseconds(age),
+    };
 }
 
 /** Returns the news of an entry. */
-export function readNews([id, decision, reason]: NewsEntry): RolloutNews {
+export function decodeDecision([id, decision, reason]: NewsEntry): RolloutDecision {
     return { rollout: readId(id), decision, reason };
 }
 
--- a/packages/box/src/rollouts/rollout-writer.ts
+++ b/packages/box/src/rollouts/rollout-writer.ts
@@ -9,11 +9,11 @@
 
 import {
     describePosition,
-    firstBackoff,
+    initialBackoff,
+    jitteredBackoff,
     nextBackoff,
     type RolloutOrder,
     type RolloutState,
-    spreadBackoff,
 } from "@chalkdale/decisions";
 import type { Clock, Milliseconds, ServiceId } from "@chalkdale/kernel";
 import type { Log } from "@chalkdale/runtime";
@@ -90,8 +90,8 @@
 
     function onFailure(service: ServiceId): void {
         const last = failures.get(service);
-        const backoff = last === undefined ? firstBackoff : nextBackoff(last.backoff, true);
-        const until = clock() + spreadBackoff(backoff, options.random());
+        const backoff = last === undefined ? initialBackoff : nextBackoff(last.backoff, true);
+        const until = clock() + jitteredBackoff(backoff, options.random());
         failures.set(service, { backoff, until: until as Milliseconds });
     }
 }
