--- a/packages/decisions/src/choose/server-choice.ts
+++ b/packages/decisions/src/choose/server-choice.ts
@@ -23,19 +23,19 @@
 import type { ServiceId } from "@chalkdale/kernel";
 import type { BackendServer } from "../servers/server-catalog.js";
 import type { Choice, ChoiceRequest, ChosenServer } from "./choice.js";
-import { comparedCount, firstOfRanking } from "./compared-servers.js";
+import { comparedCount, topRankedServers } from "./compared-servers.js";
 import { createEligibleServers, type EligibleServersOptions } from "./eligible-servers.js";
 import { longestWait } from "./longest-wait.js";
-import type { MovedBytes } from "./moved-bytes.js";
+import type { TransferSizes } from "./moved-bytes.js";
 import type { RecentKeys } from "./recent-keys.js";
-import { createReturningKeys } from "./returning-keys.js";
+import { createKeyRebalancing } from "./returning-keys.js";
 import { createServerEstimate, type ServerEstimateOptions } from "./server-estimate.js";
 
 export interface ServerChoiceOptions
-    extends Omit<EligibleServersOptions, "returningKeys">, Omit<ServerEstimateOptions, "returningKeys">
+    extends Omit<EligibleServersOptions, "keyRebalancing">, Omit<ServerEstimateOptions, "keyRebalancing">
 {
     readonly recentKeys: RecentKeys;
-    readonly movedBytes: MovedBytes;
+    readonly transferSizes: TransferSizes;
     /** Requests at the service's servers for each of their slots; see `ServiceLoad`. */
     readonly loadPerSlot: (service: ServiceId) => number;
 }
@@ -49,18 +49,18 @@
 
 /** Returns the function that chooses. */
 export function createServerChoice(options: ServerChoiceOptions): (request: ChoiceRequest) => Choice {
-    const returningKeys = createReturningKeys();
-    const eligibleServers = createEligibleServers({ ...options, returningKeys });
-    const estimate = createServerEstimate({ ...options, returningKeys });
+    const returningKeys = createKeyRebalancing();
+    const eligibleServers = createEligibleServers({ ...options, keyRebalancing: returningKeys });
+    const estimate = createServerEstimate({ ...options, keyRebalancing: returningKeys });
 
     return function choose(request) {
-        const eligible = eligibleServers.first(request);
+        const eligible = eligibleServers.topRanked(request);
         if (eligible.length === 0) {
             const candidates = eligibleServers.candidates(request);
             return chooseLastResort(candidates, request) ?? noChoice(candidates, request);
         }
         const best = fastest(eligible.slice(0, comparedCount), request);
-        if (best.least > request.timeLeft) {
+        if (best.minExpected > request.timeLeft) {
             return { kind: "tooLate", expected: best.expected };
         }
         if (best.wait <= longestWait(best.warm, request, options.loadPerSlot)) {
@@ -88,21 +88,21 @@
      * to be full, so that none is refused beside a free slot.
      */
     function mayBeServedElsewhere({ route, service }: ChoiceRequest): boolean {
-        return options.movedBytes.step(route) === "bulk" || options.loadPerSlot(service) <= plentyOfSlots;
+        return options.transferSizes.sizeClass(route) === "bulk" || options.loadPerSlot(service) <= plentyOfSlots;
     }
 
     /** When no server is eligible, an ejected one that is idle gets a trial, so that no service stays empty. */
     function chooseLastResort(candidates: readonly BackendServer[], request: ChoiceRequest): Choice | undefined {
-        const ejected = candidates.filter(server => server.state.exclusion(request.at) === "ejected");
+        const ejected = candidates.filter(server => server.state.exclusionReason(request.at) === "ejected");
         const idle = ejected.filter(server => server.state.inFlight() === 0);
         const { keyHash, route } = request;
-        const step = options.movedBytes.step(route);
-        const ranked = firstOfRanking(idle, { keyHash, step }, options, comparedCount);
+        const step = options.transferSizes.sizeClass(route);
+        const ranked = topRankedServers(idle, { keyHash, sizeClass: step }, options, comparedCount);
         return ranked.length === 0 ? undefined : fastest(ranked, request);
     }
 
     function noChoice(candidates: readonly BackendServer[], request: ChoiceRequest): Choice {
-        const reasons = new Set(candidates.map(server => server.state.exclusion(request.at)));
+        const reasons = new Set(candidates.map(server => server.state.exclusionReason(request.at)));
         if (reasons.has("limited")) {
             return { kind: "allLimited" };
         }
@@ -115,7 +115,7 @@
     /** True if this box's next request for the service can only go to a server that asked it for back-off, whatever this one has tried. */
     function areAllBackedOff(request: ChoiceRequest): boolean {
         const servers = eligibleServers.candidates({ ...request, tried: new Set() });
-        const reasons = servers.map(({ state }) => state.exclusion(request.at));
+        const reasons = servers.map(({ state }) => state.exclusionReason(request.at));
         return reasons.includes("backedOff") && !reasons.includes(undefined);
     }
 
--- a/packages/decisions/src/choose/server-estimate.ts
+++ b/packages/decisions/src/choose/server-estimate.ts
@@ -10,10 +10,10 @@
 import type { BackendServer } from "../servers/server-catalog.js";
 import type { Route } from "../shared-state/configuration.js";
 import type { ChoiceRequest, ChosenServer } from "./choice.js";
-import { reachOf } from "./compared-servers.js";
-import type { MovedBytes } from "./moved-bytes.js";
-import { movingPenalty } from "./place-cost.js";
-import type { ReturningKeys } from "./returning-keys.js";
+import { proximityOf } from "./compared-servers.js";
+import type { TransferSizes } from "./moved-bytes.js";
+import { transferPenalty } from "./place-cost.js";
+import type { KeyRebalancing } from "./returning-keys.js";
 import type { WorkEstimate } from "./work-estimate.js";
 
 /** A server as it would be chosen, and what servers are compared by: expected time, and what the choice costs beside it. */
@@ -25,9 +25,9 @@
 export interface ServerEstimateOptions {
     readonly region: RegionId;
     readonly zone: AvailabilityZoneId;
-    readonly work: WorkEstimate;
-    readonly movedBytes: Pick<MovedBytes, "expected">;
-    readonly returningKeys: Pick<ReturningKeys, "isDue">;
+    readonly workEstimate: WorkEstimate;
+    readonly transferSizes: Pick<TransferSizes, "expected">;
+    readonly keyRebalancing: Pick<KeyRebalancing, "isDue">;
     /** Time to a place and back. */
     readonly roundTrip: (region: RegionId, zone: AvailabilityZoneId) => Milliseconds;
 }
@@ -63,18 +63,18 @@
         const { region, slots, zone } = server.state.record();
         const slowness = server.state.slowness(at);
         const warm = !route.sticky || knownBy.includes(server);
-        const warmWork = options.work.expected(route, true);
-        const isReturning = rank === 0 && !warm && options.returningKeys.isDue(server, keyHash, at);
+        const warmWork = options.workEstimate.expected(route, true);
+        const isReturning = rank === 0 && !warm && options.keyRebalancing.isDue(server, keyHash, at);
         const usualWork = warm ? warmWork : workOfUnseenKey(route, rank, knownBy.length > 0 && !isReturning);
         const work = usualWork * slowness;
         const excess = Math.max(0, server.state.load(at) + 1 - slots);
-        const usualWait = excess / slots * options.work.ofQueue(service, route);
+        const usualWait = excess / slots * options.workEstimate.expectedOfQueued(service, route);
         const wait = usualWait * slowness;
         const way = options.roundTrip(region, zone);
         const expected = way + wait + work;
         // The one cold run of a key that comes back is not charged to it: it would never come.
         const charged = isReturning ? way + wait + warmWork * slowness : expected;
-        const moved = movingPenalty(options.movedBytes.expected(route), reachOf({ region, zone }, options));
+        const moved = transferPenalty(options.transferSizes.expected(route), proximityOf({ region, zone }, options));
         const penalty = moved + (rank > 0 && route.sticky ? movePenalty : 0);
         return {
             choice: {
@@ -83,17 +83,17 @@
                 rank,
                 warm,
                 expected: milliseconds(expected),
-                least: milliseconds(way + wait + options.work.least(route)),
+                minExpected: milliseconds(way + wait + options.workEstimate.minExpected(route)),
                 wait: milliseconds(wait),
-                usual: milliseconds(way + usualWait + usualWork),
+                expectedAtNormalSpeed: milliseconds(way + usualWait + usualWork),
             },
             cost: charged + penalty,
         };
     };
 
     function workOfUnseenKey(route: Route, rank: number, isKnownElsewhere: boolean): number {
-        const warmWork = options.work.expected(route, true);
-        const coldWork = options.work.expected(route, false);
+        const warmWork = options.workEstimate.expected(route, true);
+        const coldWork = options.workEstimate.expected(route, false);
         if (rank > 0) {
             return coldWork;
         }
--- a/packages/decisions/src/choose/work-estimate.ts
+++ b/packages/decisions/src/choose/work-estimate.ts
@@ -13,7 +13,7 @@
 export interface WorkEstimate {
     readonly expected: (route: Route, warm: boolean) => Milliseconds;
     /** Less than this no answer is expected to take; 0 as long as nothing was measured. */
-    readonly least: (route: Route) => Milliseconds;
+    readonly minExpected: (route: Route) => Milliseconds;
     /**
      * Learns from an answer. A key that this box did not know at the server may have been known to it all the same,
      * from other boxes' requests: the time itself shows which.
@@ -27,16 +27,16 @@
      * Warm work of the requests that go to a service, whatever their routes: one that waits in a queue waits for these. `route` is
      * taken as long as none was sent.
      */
-    readonly ofQueue: (service: ServiceId, route: Route) => Milliseconds;
+    readonly expectedOfQueued: (service: ServiceId, route: Route) => Milliseconds;
     /**
      * Compares an answer with what is expected, without learning from it; `wait` is the time that it was expected to wait for a
      * slot. Whether a server knew a key that this box had not sent there is unknown: between warm and cold work nothing is out of the ordinary.
      *
      * @returns how many times as long as expected the answer took.
      */
-    readonly compare: (route: Route, known: boolean, duration: Milliseconds, wait: Milliseconds) => number;
+    readonly slownessOf: (route: Route, known: boolean, duration: Milliseconds, wait: Milliseconds) => number;
     /** Time after which `compare` gives `slowness` for an answer that has not come. */
-    readonly durationOf: (route: Route, known: boolean, slowness: number, wait: Milliseconds) => Milliseconds;
+    readonly durationAtSlowness: (route: Route, known: boolean, slowness: number, wait: Milliseconds) => Milliseconds;
 }
 
 /** Weight of the newest answer; ten answers count for two thirds. */
@@ -66,7 +66,7 @@
 
     return {
         expected: (route, warm) => milliseconds(warm ? of(route).warm : of(route).cold),
-        least: route => milliseconds(of(route).isMeasured ? of(route).warm * leastPartOfWarm : 0),
+        minExpected: route => milliseconds(of(route).isMeasured ? of(route).warm * leastPartOfWarm : 0),
         onMeasured(route, known, duration) {
             const estimate = of(route);
             const middle = (estimate.warm + estimate.cold) / 2;
@@ -84,12 +84,13 @@
             const before = queued.get(service) ?? warm;
             queued.set(service, before + (warm - before) * mixSmoothing);
         },
-        ofQueue: (service, route) => milliseconds(queued.get(service) ?? of(route).warm),
-        compare(route, known, duration, wait) {
+        expectedOfQueued: (service, route) => milliseconds(queued.get(service) ?? of(route).warm),
+        slownessOf(route, known, duration, wait) {
             const { least, most } = ordinaryTimes(route, known, wait);
             return duration > most ? duration / most : Math.min(1, duration / least);
         },
-        durationOf: (route, known, slowness, wait) => milliseconds(ordinaryTimes(route, known, wait).most * slowness),
+        durationAtSlowness: (route, known, slowness, wait) =>
+            milliseconds(ordinaryTimes(route, known, wait).most * slowness),
     };
 
     function ordinaryTimes(route: Route, known: boolean, wait: Milliseconds) {
--- a/packages/decisions/src/customers/copy-age.ts
+++ b/packages/decisions/src/customers/copy-age.ts
@@ -17,17 +17,17 @@
 /** Bounds on how old a copy may be for a decision. */
 export interface CopyAgeBounds {
     /** Time in which a change of the shared state is in force; what an older copy does not know may exist. */
-    readonly changeInForce: Milliseconds;
+    readonly maxPropagationDelay: Milliseconds;
     /** Age up to which a known key is admitted; undefined where it is admitted by a copy of any age. */
-    readonly revocation: Milliseconds | undefined;
+    readonly maxKeyCopyAge: Milliseconds | undefined;
 }
 
 /** True if a key that the copy does not know may be denied for good: callers do not ask again after that. */
-export function mayDeny(age: Milliseconds, bounds: CopyAgeBounds): boolean {
-    return age <= bounds.changeInForce;
+export function mayRejectUnknownKey(age: Milliseconds, bounds: CopyAgeBounds): boolean {
+    return age <= bounds.maxPropagationDelay;
 }
 
 /** True if a key that the copy knows may be admitted. */
-export function mayAdmitKeys(age: Milliseconds, bounds: CopyAgeBounds): boolean {
-    return bounds.revocation === undefined || age <= bounds.revocation;
+export function mayAdmitKnownKey(age: Milliseconds, bounds: CopyAgeBounds): boolean {
+    return bounds.maxKeyCopyAge === undefined || age <= bounds.maxKeyCopyAge;
 }
--- a/packages/decisions/src/customers/urgency.ts
+++ b/packages/decisions/src/customers/urgency.ts
@@ -8,7 +8,7 @@
 import type { Customer, Route } from "../shared-state/configuration.js";
 
 /** Returns a number; 0 is the most urgent. */
-export function urgencyOf(route: Route, customer: Customer | undefined): number {
+export function combinedPriority(route: Route, customer: Customer | undefined): number {
     const first = customer?.priority ?? route.priority;
     const amongEquals = route.priority / (route.priority + 1);
     return first + amongEquals;
--- a/packages/decisions/src/deadly/deadly-record.ts
+++ b/packages/decisions/src/deadly/deadly-record.ts
@@ -14,16 +14,16 @@
     type Milliseconds,
     milliseconds,
     type RequestFingerprint,
-    type ServerLife,
+    type ServerIncarnationId,
 } from "@chalkdale/kernel";
 
 /** One request under which servers ended. */
-export interface DeadlyRecord {
+export interface PoisonRequestRecord {
     readonly fingerprint: RequestFingerprint;
     /** Lives of servers that ended while they had the request, the earliest end first. */
-    readonly ends: readonly KnownEvent<ServerLife>[];
+    readonly ends: readonly ObservedEvent<ServerIncarnationId>[];
     /** The latest answers that servers gave to the request since it is known, the earliest first. */
-    readonly answers: readonly KnownEvent<AnswerId>[];
+    readonly answers: readonly ObservedEvent<AnswerId>[];
     /** When a caller last sent the request to any box. */
     readonly seenAt: Milliseconds;
 }
@@ -32,13 +32,13 @@
  * Something that a box saw, and when. Each message on its way adds to the time, so that of two times for one event the earlier
  * one is nearer to the truth.
  */
-export interface KnownEvent<Id extends string> {
+export interface ObservedEvent<Id extends string> {
     readonly id: Id;
     readonly at: Milliseconds;
 }
 
 /** How a request may be served, from the mildest to the strictest. */
-export type DeadlyStanding =
+export type RequestRestriction =
     /** As any other. */
     | "unsuspected"
     /** At one server at a time for each request: no second copy beside an overdue one. */
@@ -61,15 +61,18 @@
 /** The pause before a trial is so many times the time from the first end to the last, so that few trials are made in all. */
 const trialPauseGrowth = 10;
 /** Milliseconds after which a request that nobody sends is forgotten. */
-export const deadlyLifetime = 30 * 60_000;
+export const poisonRecordLifetime = 30 * 60_000;
 
 /** A record of a request that nothing speaks against yet. */
-export function createDeadlyRecord(fingerprint: RequestFingerprint, at: Milliseconds): DeadlyRecord {
+export function createPoisonRequestRecord(fingerprint: RequestFingerprint, at: Milliseconds): PoisonRequestRecord {
     return { fingerprint, ends: [], answers: [], seenAt: at };
 }
 
 /** Returns what two records of one request say together. */
-export function mergeDeadlyRecords(first: DeadlyRecord, second: DeadlyRecord): DeadlyRecord {
+export function mergePoisonRequestRecords(
+    first: PoisonRequestRecord,
+    second: PoisonRequestRecord,
+): PoisonRequestRecord {
     const merged = {
         fingerprint: first.fingerprint,
         ends: mergeEvents(first.ends, second.ends),
@@ -80,10 +83,10 @@
 }
 
 function mergeEvents<Id extends string>(
-    first: readonly KnownEvent<Id>[],
-    second: readonly KnownEvent<Id>[],
-): readonly KnownEvent<Id>[] {
-    const byId = new Map<Id, KnownEvent<Id>>();
+    first: readonly ObservedEvent<Id>[],
+    second: readonly ObservedEvent<Id>[],
+): readonly ObservedEvent<Id>[] {
+    const byId = new Map<Id, ObservedEvent<Id>>();
     for (const event of [...first, ...second]) {
         const known = byId.get(event.id);
         byId.set(event.id, known !== undefined && known.at <= event.at ? known : event);
@@ -92,22 +95,22 @@
 }
 
 /** Ends that count no more go first, then those between the earliest and the latest. */
-function endsToKeep(record: DeadlyRecord): DeadlyRecord["ends"] {
+function endsToKeep(record: PoisonRequestRecord): PoisonRequestRecord["ends"] {
     if (record.ends.length <= endsKeptEachSide + endsKeptEachSide) {
         return record.ends;
     }
-    const counted = endsThatCount(record);
+    const counted = endsSinceLastAnswer(record);
     return counted.filter((_, index) => index < endsKeptEachSide || index >= counted.length - endsKeptEachSide);
 }
 
 /** The ends since the latest answer. */
-export function endsThatCount({ answers, ends }: DeadlyRecord): DeadlyRecord["ends"] {
+export function endsSinceLastAnswer({ answers, ends }: PoisonRequestRecord): PoisonRequestRecord["ends"] {
     const answeredAt = answers.at(-1)?.at ?? -Infinity;
     return ends.filter(({ at }) => at > answeredAt);
 }
 
 /** Returns how a request may be served by what is known of it. */
-export function standingOf(record: DeadlyRecord): DeadlyStanding {
+export function restrictionOf(record: PoisonRequestRecord): RequestRestriction {
     const count = countEnds(record);
     if (count >= endsOfStanding.held) {
         return "held";
@@ -119,18 +122,18 @@
 }
 
 /** Returns when a held request may be tried once more, to find out whether it still ends servers. */
-export function trialDueAt(record: DeadlyRecord): Milliseconds {
-    const ends = endsThatCount(record);
+export function trialDueAt(record: PoisonRequestRecord): Milliseconds {
+    const ends = endsSinceLastAnswer(record);
     const first = ends[0].at;
     const last = ends[ends.length - 1].at;
     return milliseconds(last + Math.max(firstTrialAfter, (last - first) * trialPauseGrowth));
 }
 
 /** Ends that count, those that came together as one. */
-function countEnds(record: DeadlyRecord): number {
+function countEnds(record: PoisonRequestRecord): number {
     let count = 0;
     let since = -Infinity;
-    for (const { at } of endsThatCount(record)) {
+    for (const { at } of endsSinceLastAnswer(record)) {
         if (at - since >= togetherWithin) {
             count += 1;
             since = at;
--- a/packages/decisions/src/deadly/deadly-requests.ts
+++ b/packages/decisions/src/deadly/deadly-requests.ts
@@ -12,16 +12,16 @@
     type Milliseconds,
     milliseconds,
     type RequestFingerprint,
-    type ServerLife,
+    type ServerIncarnationId,
 } from "@chalkdale/kernel";
 import { rendezvousScore } from "../choose/rendezvous.js";
 import {
-    createDeadlyRecord,
-    deadlyLifetime,
-    type DeadlyRecord,
-    type DeadlyStanding,
-    mergeDeadlyRecords,
-    standingOf,
+    createPoisonRequestRecord,
+    mergePoisonRequestRecords,
+    poisonRecordLifetime,
+    type PoisonRequestRecord,
+    type RequestRestriction,
+    restrictionOf,
     trialDueAt,
 } from "./deadly-record.js";
 
@@ -42,32 +42,36 @@
 }
 
 /** A record that says more than before. */
-export interface DeadlyChange {
-    readonly record: DeadlyRecord;
-    readonly before: DeadlyStanding;
-    readonly now: DeadlyStanding;
+export interface PoisonRequestChange {
+    readonly record: PoisonRequestRecord;
+    readonly before: RequestRestriction;
+    readonly now: RequestRestriction;
 }
 
 /** The requests of one box under which servers end. */
-export interface DeadlyRequests {
+export interface PoisonRequests {
     readonly isEmpty: () => boolean;
-    readonly find: (fingerprint: RequestFingerprint) => DeadlyRecord | undefined;
+    readonly find: (fingerprint: RequestFingerprint) => PoisonRequestRecord | undefined;
     /** The standing of a request; "unsuspected" for one that isn't known. */
-    readonly standing: (fingerprint: RequestFingerprint) => DeadlyStanding;
+    readonly restriction: (fingerprint: RequestFingerprint) => RequestRestriction;
     readonly decide: (fingerprint: RequestFingerprint, inputs: ClearanceInputs) => Clearance;
     /** A server ended while it had the request. */
-    readonly onEnd: (fingerprint: RequestFingerprint, life: ServerLife, at: Milliseconds) => DeadlyChange;
+    readonly onServerEnded: (
+        fingerprint: RequestFingerprint,
+        life: ServerIncarnationId,
+        at: Milliseconds,
+    ) => PoisonRequestChange;
     /** A server answered a request that is known. Undefined for another, and for one that nothing spoke against. */
     readonly onAnswer: (
         fingerprint: RequestFingerprint,
         answer: AnswerId,
         at: Milliseconds,
-    ) => DeadlyChange | undefined;
+    ) => PoisonRequestChange | undefined;
     /** A caller sent a request that is known. */
     readonly onSeen: (fingerprint: RequestFingerprint, at: Milliseconds) => void;
     /** Takes another box's record; undefined if it says nothing new of how the request may be served. */
-    readonly onRecord: (record: DeadlyRecord) => DeadlyChange | undefined;
-    readonly records: () => readonly DeadlyRecord[];
+    readonly onRecord: (record: PoisonRequestRecord) => PoisonRequestChange | undefined;
+    readonly records: () => readonly PoisonRequestRecord[];
     readonly fingerprints: () => Iterable<RequestFingerprint>;
     /** Forgets what nobody sends any more. */
     readonly sweep: (at: Milliseconds) => void;
@@ -77,16 +81,16 @@
 const mostRecords = 256;
 /** Boxes to which an end is told first: two, so that one of them may be lost. */
 const collectorsOfRequest = 2;
-const strictness: readonly DeadlyStanding[] = ["unsuspected", "watched", "oneAtATime", "held"];
+const strictness: readonly RequestRestriction[] = ["unsuspected", "watched", "oneAtATime", "held"];
 
 /** Creates the records of a box that knows of none. */
-export function createDeadlyRequests(): DeadlyRequests {
-    const records = new Map<RequestFingerprint, DeadlyRecord>();
+export function createPoisonRequests(): PoisonRequests {
+    const records = new Map<RequestFingerprint, PoisonRequestRecord>();
 
     return {
         isEmpty: () => records.size === 0,
         find: fingerprint => records.get(fingerprint),
-        standing,
+        restriction: standing,
         decide(fingerprint, { at, isUnderWay, makesTrials }) {
             const record = records.get(fingerprint);
             switch (standing(fingerprint)) {
@@ -101,15 +105,15 @@
                 }
             }
         },
-        onEnd(fingerprint, life, at) {
-            const record = { ...createDeadlyRecord(fingerprint, at), ends: [{ id: life, at }] };
+        onServerEnded(fingerprint, life, at) {
+            const record = { ...createPoisonRequestRecord(fingerprint, at), ends: [{ id: life, at }] };
             return take(record);
         },
         onAnswer(fingerprint, answer, at) {
             if (standing(fingerprint) === "unsuspected") {
                 return undefined;
             }
-            return take({ ...createDeadlyRecord(fingerprint, at), answers: [{ id: answer, at }] });
+            return take({ ...createPoisonRequestRecord(fingerprint, at), answers: [{ id: answer, at }] });
         },
         onSeen(fingerprint, at) {
             const record = records.get(fingerprint);
@@ -125,40 +129,40 @@
         fingerprints: () => records.keys(),
         sweep(at) {
             for (const { fingerprint, seenAt } of records.values()) {
-                if (at - seenAt > deadlyLifetime) {
+                if (at - seenAt > poisonRecordLifetime) {
                     records.delete(fingerprint);
                 }
             }
         },
     };
 
-    function standing(fingerprint: RequestFingerprint): DeadlyStanding {
+    function standing(fingerprint: RequestFingerprint): RequestRestriction {
         const record = records.get(fingerprint);
-        return record === undefined ? "unsuspected" : standingOf(record);
+        return record === undefined ? "unsuspected" : restrictionOf(record);
     }
 
-    function take(record: DeadlyRecord): DeadlyChange {
+    function take(record: PoisonRequestRecord): PoisonRequestChange {
         const { fingerprint } = record;
         const before = standing(fingerprint);
-        const known = records.get(fingerprint) ?? createDeadlyRecord(fingerprint, record.seenAt);
-        const merged = mergeDeadlyRecords(known, record);
+        const known = records.get(fingerprint) ?? createPoisonRequestRecord(fingerprint, record.seenAt);
+        const merged = mergePoisonRequestRecords(known, record);
         records.set(fingerprint, merged);
         if (records.size > mostRecords) {
             records.delete(leastSuspect());
         }
-        return { record: merged, before, now: standingOf(merged) };
+        return { record: merged, before, now: restrictionOf(merged) };
     }
 
     function leastSuspect(): RequestFingerprint {
         const [first] = [...records.values()].sort((a, b) =>
-            strictness.indexOf(standingOf(a)) - strictness.indexOf(standingOf(b)) || a.seenAt - b.seenAt
+            strictness.indexOf(restrictionOf(a)) - strictness.indexOf(restrictionOf(b)) || a.seenAt - b.seenAt
         );
         return first.fingerprint;
     }
 }
 
 /** True for a standing that every box has to know. */
-export function concernsAllBoxes(standing: DeadlyStanding): boolean {
+export function requiresBroadcast(standing: RequestRestriction): boolean {
     return standing === "oneAtATime" || standing === "held";
 }
 
--- a/packages/decisions/src/give-up/come-back.ts
+++ b/packages/decisions/src/give-up/come-back.ts
@@ -13,10 +13,10 @@
 import { type RefusalKind, refusals } from "./refusals.js";
 
 /** What is known of the service. */
-export interface ComeBackInputs {
+export interface RetryAfterInputs {
     /** Requests at the service's servers for each of their slots; see `ServiceLoad`. */
     readonly loadPerSlot: number;
-    /** Time of the work of those that wait; see `WorkEstimate.ofQueue`. */
+    /** Time of the work of those that wait; see `WorkEstimate.expectedOfQueued`. */
     readonly queuedWork: Milliseconds;
 }
 
@@ -35,14 +35,14 @@
  * Returns the time for a request whose servers want nothing from this box: until the first of them is back, spread by `chance`,
  * which is from 0 to 1.
  */
-export function comeBackAfterBackoff(firstBackIn: Milliseconds, chance: number): Milliseconds {
+export function retryAfterBackoff(firstBackIn: Milliseconds, chance: number): Milliseconds {
     const earliest = Math.max(soonest, Math.min(firstBackIn, longestAfterBackoff - backoffSpread));
     return milliseconds(earliest + backoffSpread * chance);
 }
 
 /** Returns the time for a refusal; undefined when coming back cannot help. */
-export function comeBackAfter(refusal: RefusalKind, inputs: ComeBackInputs): Milliseconds | undefined {
-    const { retryAfter } = refusals[refusal];
+export function retryAfterRefusal(refusal: RefusalKind, inputs: RetryAfterInputs): Milliseconds | undefined {
+    const { retryAfterSeconds: retryAfter } = refusals[refusal];
     if (retryAfter === undefined) {
         return undefined;
     }
--- a/packages/decisions/src/give-up/limited-returns.ts
+++ b/packages/decisions/src/give-up/limited-returns.ts
@@ -8,9 +8,9 @@
 import { type Milliseconds, milliseconds, type ServiceId } from "@chalkdale/kernel";
 
 /** Returns of callers to one box. */
-export interface LimitedReturns {
+export interface CallerRetryPacer {
     /** Time until the next caller may come back; `rate`: requests a second of the service that this box can promise. */
-    readonly next: (service: ServiceId, rate: number, at: Milliseconds) => Milliseconds;
+    readonly nextRetryAfter: (service: ServiceId, rate: number, at: Milliseconds) => Milliseconds;
 }
 
 /** Milliseconds: the least time, so that callers do not come back while the same turn of a box is under way. */
@@ -23,11 +23,11 @@
 const second = 1000;
 
 /** Creates the returns; none is promised. */
-export function createLimitedReturns(random: () => number): LimitedReturns {
+export function createCallerRetryPacer(random: () => number): CallerRetryPacer {
     const lastReturn = new Map<ServiceId, number>();
 
     return {
-        next(service, rate, at) {
+        nextRetryAfter(service, rate, at) {
             const previous = Math.max(lastReturn.get(service) ?? 0, at + soonest);
             const returnAt = rate > 0 ? previous + second / rate : Infinity;
             if (returnAt > at + longest) {
--- a/packages/decisions/src/give-up/refusals.ts
+++ b/packages/decisions/src/give-up/refusals.ts
@@ -37,7 +37,7 @@
 export interface Refusal {
     readonly status: number;
     /** Seconds after which the caller may come back; undefined when that cannot help. */
-    readonly retryAfter: number | undefined;
+    readonly retryAfterSeconds: number | undefined;
 }
 
 /** Seconds: another box, or another server, can serve at once. */
@@ -54,31 +54,31 @@
 
 /** The answer for each kind. 503 promises that the request has not run and never will. */
 export const refusals: Readonly<Record<RefusalKind, Refusal>> = {
-    notReady: { status: 503, retryAfter: later },
-    leaving: { status: 503, retryAfter: soon },
-    noRoute: { status: 404, retryAfter: undefined },
-    unknownKey: { status: 401, retryAfter: undefined },
-    copyTooOld: { status: 503, retryAfter: soon },
-    quotaSpent: { status: 429, retryAfter: later },
-    bodyTooLarge: { status: 413, retryAfter: undefined },
-    bodyStalled: { status: 503, retryAfter: soon },
-    bodiesFull: { status: 503, retryAfter: afterOverload },
-    noServer: { status: 503, retryAfter: later },
-    serversCold: { status: 503, retryAfter: afterOverload },
-    serversLimited: { status: 503, retryAfter: afterOverload },
-    serversBackedOff: { status: 503, retryAfter: afterOverload },
-    crowded: { status: 503, retryAfter: afterOverload },
-    tooLate: { status: 503, retryAfter: afterOverload },
-    serversFull: { status: 503, retryAfter: afterOverload },
-    budgetSpent: { status: 503, retryAfter: afterOverload },
-    endsServers: { status: 503, retryAfter: untilTrial },
-    unreachable: { status: 503, retryAfter: soon },
-    timedOutUnsent: { status: 503, retryAfter: soon },
-    timedOut: { status: 504, retryAfter: undefined },
-    brokenOff: { status: 502, retryAfter: undefined },
-    unprovenAnswer: { status: 502, retryAfter: undefined },
-    unframedAnswer: { status: 502, retryAfter: undefined },
-    internalFault: { status: 500, retryAfter: undefined },
+    notReady: { status: 503, retryAfterSeconds: later },
+    leaving: { status: 503, retryAfterSeconds: soon },
+    noRoute: { status: 404, retryAfterSeconds: undefined },
+    unknownKey: { status: 401, retryAfterSeconds: undefined },
+    copyTooOld: { status: 503, retryAfterSeconds: soon },
+    quotaSpent: { status: 429, retryAfterSeconds: later },
+    bodyTooLarge: { status: 413, retryAfterSeconds: undefined },
+    bodyStalled: { status: 503, retryAfterSeconds: soon },
+    bodiesFull: { status: 503, retryAfterSeconds: afterOverload },
+    noServer: { status: 503, retryAfterSeconds: later },
+    serversCold: { status: 503, retryAfterSeconds: afterOverload },
+    serversLimited: { status: 503, retryAfterSeconds: afterOverload },
+    serversBackedOff: { status: 503, retryAfterSeconds: afterOverload },
+    crowded: { status: 503, retryAfterSeconds: afterOverload },
+    tooLate: { status: 503, retryAfterSeconds: afterOverload },
+    serversFull: { status: 503, retryAfterSeconds: afterOverload },
+    budgetSpent: { status: 503, retryAfterSeconds: afterOverload },
+    endsServers: { status: 503, retryAfterSeconds: untilTrial },
+    unreachable: { status: 503, retryAfterSeconds: soon },
+    timedOutUnsent: { status: 503, retryAfterSeconds: soon },
+    timedOut: { status: 504, retryAfterSeconds: undefined },
+    brokenOff: { status: 502, retryAfterSeconds: undefined },
+    unprovenAnswer: { status: 502, retryAfterSeconds: undefined },
+    unframedAnswer: { status: 502, retryAfterSeconds: undefined },
+    internalFault: { status: 500, retryAfterSeconds: undefined },
 };
 
 /** Status by which a refusal promises that the request has not run. */
--- a/packages/decisions/src/give-up/stop-schedule.ts
+++ b/packages/decisions/src/give-up/stop-schedule.ts
@@ -9,7 +9,7 @@
 import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
 
 /** Phases of a box's life. */
-export type StopPhase = "running" | "leaving" | "closing";
+export type ShutdownPhase = "running" | "leaving" | "closing";
 
 /**
  * Part of the grace after which new work is refused: 2.4 s of 6 s, longer than the 2 s for which callers keep
@@ -22,20 +22,20 @@
 const lingerPart = 0.1;
 
 /** The times of one stop. `elapsed` counts from the signal to stop. */
-export interface StopSchedule {
+export interface ShutdownSchedule {
     /** How long new work is taken. */
-    readonly takeWorkFor: Milliseconds;
+    readonly acceptRequestsFor: Milliseconds;
     /** True once the box need not wait for work in flight any more. */
-    readonly isWaitOver: (elapsed: Milliseconds, inFlight: number) => boolean;
+    readonly isDrainOver: (elapsed: Milliseconds, inFlight: number) => boolean;
     /** How long the process stays once the wait is over. */
     readonly lingerFor: (elapsed: Milliseconds) => Milliseconds;
 }
 
 /** Creates the schedule for a grace, the time between the signal to stop and the kill. */
-export function createStopSchedule(grace: Milliseconds): StopSchedule {
+export function createShutdownSchedule(grace: Milliseconds): ShutdownSchedule {
     return {
-        takeWorkFor: milliseconds(grace * takeWorkPart),
-        isWaitOver: (elapsed, inFlight) => inFlight === 0 || elapsed >= grace * endPart,
+        acceptRequestsFor: milliseconds(grace * takeWorkPart),
+        isDrainOver: (elapsed, inFlight) => inFlight === 0 || elapsed >= grace * endPart,
         lingerFor: elapsed => milliseconds(Math.min(grace * lingerPart, Math.max(0, grace * endPart - elapsed))),
     };
 }
--- a/packages/decisions/src/give-up/time-limits.ts
+++ b/packages/decisions/src/give-up/time-limits.ts
@@ -31,12 +31,12 @@
 const leastOverdue = 400;
 
 /** Returns the time after which a request without an answer counts as overdue. */
-export function overdueTime(expected: Milliseconds): Milliseconds {
+export function overdueThreshold(expected: Milliseconds): Milliseconds {
     return milliseconds(Math.max(leastOverdue, expected * overdueAfter));
 }
 
 /** Returns how long a request is held: the shorter of what its caller waits and what its route allows. */
-export function requestLimit(callerWaits: number, routeTimeout: Milliseconds): Milliseconds {
+export function requestTimeout(callerWaits: number, routeTimeout: Milliseconds): Milliseconds {
     const isGiven = Number.isFinite(callerWaits) && callerWaits > 0;
     return milliseconds(isGiven ? Math.min(callerWaits, routeTimeout) : routeTimeout);
 }
@@ -49,11 +49,11 @@
 const usedPartOfKeepAlive = 0.5;
 
 /** Returns how long a connection may have rested before it carries a request. */
-export function longestRestBefore(isIdempotent: boolean): Milliseconds {
+export function maxIdleTimeBefore(isIdempotent: boolean): Milliseconds {
     return isIdempotent ? longestRest : longestRestBeforeUnsafe;
 }
 
 /** Returns how long a connection is kept after an answer; `announced` is what the server said, if it did. */
-export function restAfterAnswer(announced: Milliseconds | undefined): Milliseconds {
+export function idleTimeoutAfterAnswer(announced: Milliseconds | undefined): Milliseconds {
     return milliseconds(Math.min(longestRest, (announced ?? longestRest) * usedPartOfKeepAlive));
 }
--- a/packages/decisions/src/limits/body-memory.ts
+++ b/packages/decisions/src/limits/body-memory.ts
@@ -20,7 +20,7 @@
     /** Bytes held now. */
     readonly held: () => number;
     /** Bodies that wait. */
-    readonly waiting: () => number;
+    readonly waitingCount: () => number;
     /** False once so many wait that what came with their heads takes up as much again as all bodies may. */
     readonly mayWait: () => boolean;
 }
@@ -28,15 +28,15 @@
 /** The part of one body. */
 export interface BodyAccount {
     /** Counts bytes that were received and the memory, in bytes, that the body takes up now. */
-    readonly grow: (received: number, held: number, at: Milliseconds) => void;
+    readonly recordReceived: (received: number, held: number, at: Milliseconds) => void;
     /** False while the body must wait; `announced` is its whole size in bytes, if it was told. */
     readonly mayRead: (announced?: number) => boolean;
     /** The body is in, and its memory stays in use. */
-    readonly finish: () => void;
+    readonly markComplete: () => void;
     /** Gives the memory back. Later calls change nothing. */
     readonly close: (at: Milliseconds) => void;
     /** Called when the turn comes after a wait. */
-    onTurn: () => void;
+    onResume: () => void;
     /** Called once if the body has stalled. */
     onStalled: () => void;
 }
@@ -54,7 +54,7 @@
 const leastProgress = 4 * 1024;
 
 /** Returns the bytes that bodies may take up on a box with a memory limit in bytes; undefined if it has none. */
-export function memoryForBodies(memoryLimit: number | undefined): number {
+export function bodyMemoryLimit(memoryLimit: number | undefined): number {
     return memoryLimit === undefined ? bytesWithoutLimit : Math.floor(memoryLimit * partForBodies);
 }
 
@@ -87,7 +87,7 @@
         open,
         sweep,
         held: () => held,
-        waiting,
+        waitingCount: waiting,
         mayWait: () => waiting() * readAtOnce <= most,
     };
 
@@ -104,7 +104,7 @@
             isWaiting: false,
             mark: { received: 0, at },
             account: {
-                grow(received, bytes, now) {
+                recordReceived(received, bytes, now) {
                     held += bytes - entry.held;
                     entry.held = bytes;
                     entry.received = received;
@@ -118,7 +118,7 @@
                     entry.isWaiting = announced > shortBody && !takeTurn(entry);
                     return !entry.isWaiting;
                 },
-                finish() {
+                markComplete() {
                     promise(entry, 0);
                     unfinished.delete(entry);
                 },
@@ -129,7 +129,7 @@
                     unfinished.delete(entry);
                     giveTurns(now);
                 },
-                onTurn: () => undefined,
+                onResume: () => undefined,
                 onStalled: () => undefined,
             },
         };
@@ -160,7 +160,7 @@
             }
             entry.isWaiting = false;
             entry.mark = { received: entry.received, at };
-            entry.account.onTurn();
+            entry.account.onResume();
         }
     }
 
@@ -168,7 +168,7 @@
         const entries = [...unfinished];
         if (entries.some(entry => entry.isWaiting)) {
             entries.filter(entry => !entry.isWaiting && hasStalled(entry, at)).forEach(entry => {
-                entry.account.finish();
+                entry.account.markComplete();
                 entry.account.onStalled();
             });
         }
--- a/packages/decisions/src/limits/box-rank.ts
+++ b/packages/decisions/src/limits/box-rank.ts
@@ -8,14 +8,14 @@
 import { type BoxId, hashText } from "@chalkdale/kernel";
 import { rendezvousScore } from "../choose/rendezvous.js";
 
-export interface RankOptions {
+export interface BoxRankOptions {
     readonly self: BoxId;
     /** What the order is for; those of two subjects differ. */
     readonly subject: string;
 }
 
 /** Returns the function that gives the place, from 0; undefined for a box that is not in the list. */
-export function createRank({ self, subject }: RankOptions): (boxes: readonly BoxId[]) => number | undefined {
+export function createBoxRank({ self, subject }: BoxRankOptions): (boxes: readonly BoxId[]) => number | undefined {
     const subjectHash = hashText(subject);
     let latest: { readonly boxes: readonly BoxId[]; readonly rank: number | undefined; } | undefined;
 
--- a/packages/decisions/src/limits/cached.ts
+++ b/packages/decisions/src/limits/cached.ts
@@ -7,7 +7,7 @@
 import type { Clock, Milliseconds } from "@chalkdale/kernel";
 
 /** Returns a function that gives the value, computed at most `lifetime` ago. */
-export function createCached<Value>(clock: Clock, lifetime: Milliseconds, compute: () => Value): () => Value {
+export function createTimedCache<Value>(clock: Clock, lifetime: Milliseconds, compute: () => Value): () => Value {
     let cached: { readonly value: Value; readonly at: Milliseconds; } | undefined;
 
     return () => {
--- a/packages/decisions/src/limits/quota/answering-counters.ts
+++ b/packages/decisions/src/limits/quota/answering-counters.ts
@@ -8,13 +8,13 @@
 import type { BoxId, Milliseconds } from "@chalkdale/kernel";
 
 /** The answers of the boxes that count, as one box sees them. */
-export interface AnsweringCounters {
+export interface CoordinatorLiveness {
     /** A report goes to a box. */
-    readonly onReported: (box: BoxId, at: Milliseconds) => void;
+    readonly onReportSent: (box: BoxId, at: Milliseconds) => void;
     /** A box has sent leases. */
-    readonly onAnswered: (box: BoxId) => void;
+    readonly onLeasesReceived: (box: BoxId) => void;
     /** Those of the boxes that answer; all of them if none does. */
-    readonly answering: (counters: readonly BoxId[], at: Milliseconds) => readonly BoxId[];
+    readonly responsive: (counters: readonly BoxId[], at: Milliseconds) => readonly BoxId[];
 }
 
 /**
@@ -26,20 +26,20 @@
 const silentFor = 3000;
 
 /** Creates the answers; every box counts as answering. */
-export function createAnsweringCounters(): AnsweringCounters {
+export function createCoordinatorLiveness(): CoordinatorLiveness {
     const unansweredSince = new Map<BoxId, Milliseconds>();
 
     return {
-        onReported(box, at) {
+        onReportSent(box, at) {
             const since = unansweredSince.get(box);
             if (since === undefined || at - since >= silentFor) {
                 unansweredSince.set(box, at);
             }
         },
-        onAnswered(box) {
+        onLeasesReceived(box) {
             unansweredSince.delete(box);
         },
-        answering(counters, at) {
+        responsive(counters, at) {
             const known = counters.filter(box => !isSilent(box, at));
             return known.length > 0 ? known : counters;
         },
--- a/packages/decisions/src/limits/quota/counting-box.ts
+++ b/packages/decisions/src/limits/quota/counting-box.ts
@@ -12,7 +12,7 @@
 
 import { type BoxId, type CustomerId, hashText, type Milliseconds, type ServiceId } from "@chalkdale/kernel";
 import { rendezvousScore } from "../../choose/rendezvous.js";
-import { leaseUsed } from "./quota-messages.js";
+import { leaseLifetime } from "./quota-messages.js";
 
 /** What a box knows of the others. */
 interface KnownBoxes {
@@ -23,7 +23,7 @@
 }
 
 /** Finds the boxes that count. */
-export interface CountingBoxes {
+export interface CoordinatorSet {
     /** Takes what is known now; due some times a second. */
     readonly update: (known: KnownBoxes, at: Milliseconds) => void;
     /** The boxes that count; none while this box may be cut off. */
@@ -42,7 +42,7 @@
 const leastKnownPart = 0.5;
 
 /** Creates the search of one box that knows none yet. */
-export function createCountingBoxes(): CountingBoxes {
+export function createCoordinatorSet(): CoordinatorSet {
     let most = { count: 0, at: 0 };
     let counters: readonly BoxId[] = [];
     let namedCount = 1;
@@ -72,7 +72,7 @@
 
     /** The most of the time for which leases hold. */
     function mostAlive(count: number, at: Milliseconds): number {
-        if (count >= most.count || at - most.at > leaseUsed) {
+        if (count >= most.count || at - most.at > leaseLifetime) {
             most = { count, at };
         }
         return most.count;
@@ -80,7 +80,7 @@
 }
 
 /** Returns the box that counts for a customer, or decides on a service's roll-outs; undefined if none does. */
-export function countingBox(counted: CustomerId | ServiceId, counters: readonly BoxId[]): BoxId | undefined {
+export function coordinatorFor(counted: CustomerId | ServiceId, counters: readonly BoxId[]): BoxId | undefined {
     return rank(hashText(counted), counters).at(0);
 }
 
@@ -88,7 +88,7 @@
  * Returns the boxes that count for a customer at the same time, the one whose leases are used first: each hears all reports, so that the second
  * goes on where the first stands still, and nobody waits for it.
  */
-export function countingPair(customer: CustomerId, counters: readonly BoxId[]): readonly BoxId[] {
+export function coordinatorPairFor(customer: CustomerId, counters: readonly BoxId[]): readonly BoxId[] {
     return rank(hashText(customer), counters).slice(0, countersAtOnce);
 }
 
--- a/packages/decisions/src/limits/quota/quota-counter.ts
+++ b/packages/decisions/src/limits/quota/quota-counter.ts
@@ -11,11 +11,11 @@
 
 import type { BoxId, CustomerId, Milliseconds } from "@chalkdale/kernel";
 import type { CustomerQuota } from "../../shared-state/configuration.js";
-import { createQuotaLevel, type PresumedUse, settleTime } from "./quota-level.js";
-import { leaseUsed, type QuotaLease, type QuotaReport } from "./quota-messages.js";
+import { coordinatorSettleTime, createQuotaLevel, type PresumedUse } from "./quota-level.js";
+import { leaseLifetime, type QuotaLease, type QuotaReport } from "./quota-messages.js";
 
 /** Counts for one customer. */
-export interface QuotaCounter {
+export interface QuotaAllocator {
     /**
      * True if no box has reported for so long that another box may have counted meanwhile. Where all boxes have given back their leases,
      * nobody has asked since, as long as the same boxes count.
@@ -25,7 +25,7 @@
      * True if the box is better served by the lease that it has of another counter: until this one has heard of all boxes, it gives out
      * little more than equal parts. A box that has once had a lease of this one gets all later ones.
      */
-    readonly leavesAnswer: (box: BoxId, report: QuotaReport, at: Milliseconds) => boolean;
+    readonly withholdsLease: (box: BoxId, report: QuotaReport, at: Milliseconds) => boolean;
     /** Takes a box's report and answers with its part. */
     readonly onReport: (box: BoxId, report: QuotaReport, context: QuotaContext) => QuotaLease;
 }
@@ -89,7 +89,7 @@
  * @param earned requests that the customer has not used, since no box but this one can have counted for it; 0 where another one
  * may have, whose leases the boxes still use.
  */
-export function createQuotaCounter(startedAt: Milliseconds, earned = 0): QuotaCounter {
+export function createQuotaAllocator(startedAt: Milliseconds, earned = 0): QuotaAllocator {
     const demands = new Map<BoxId, BoxDemand>();
     const leasedTo = new Set<BoxId>();
     const level = createQuotaLevel(startedAt, earned);
@@ -100,7 +100,7 @@
             const silentFor = at - reportedAt;
             return silentFor > staleAfter && (demands.size > 0 || silentFor > countersUnchangedFor);
         },
-        leavesAnswer(box, { lastLevel }, at) {
+        withholdsLease(box, { lastLevel }, at) {
             const hasFreshLease = lastLevel !== undefined && lastLevel.age < leaseFresh;
             if (isSettling(at) && hasFreshLease && !leasedTo.has(box)) {
                 return true;
@@ -112,13 +112,13 @@
             const { at, quota } = context;
             const known = demands.get(box);
             level.advance(quota, at, [...demands.values()].filter(demand => isSilent(demand, at)));
-            level.takeOver(report, quota, at, known === undefined);
+            level.reconcile(report, quota, at, known === undefined);
             level.charge(report.admitted, known);
             const own = noteDemand(box, report, at);
             const lease = leaseOf(box, own.rate, known === undefined, report.customer, context);
             own.leasedRate = lease.rate;
             reportedAt = at;
-            if (report.asked === 0) {
+            if (report.requested === 0) {
                 demands.delete(box);
             }
             return lease;
@@ -126,7 +126,7 @@
     };
 
     function isSettling(at: Milliseconds): boolean {
-        return at - startedAt < settleTime;
+        return at - startedAt < coordinatorSettleTime;
     }
 
     function leaseOf(
@@ -142,7 +142,7 @@
         if (isSettling(at)) {
             const rate = Math.min(partOf(own, demand, quota.rate, boxes), unleased(box, quota.rate, boxes));
             const isCalm = earned > 0 && current > quota.burst * calmPart;
-            return { customer, rate, burst: Math.max(1, current / boxes), isCalm, level: current };
+            return { customer, rate, burst: Math.max(1, current / boxes), hasHeadroom: isCalm, level: current };
         }
         // Below the rate the bursts give the level out.
         const fromLevel = demand > quota.rate || current < 0 ? current * 1000 / levelWindow : 0;
@@ -151,7 +151,7 @@
             customer,
             rate: partOf(own, demand, usable, boxes),
             burst: Math.max(1, burstOvercommit * current / boxes),
-            isCalm: current > quota.burst * (isFirst ? calmPartOfFirst : calmPart),
+            hasHeadroom: current > quota.burst * (isFirst ? calmPartOfFirst : calmPart),
             level: current,
         };
     }
@@ -173,9 +173,9 @@
 
     function noteDemand(box: BoxId, report: QuotaReport, at: Milliseconds): BoxDemand {
         const since = Math.max(1, report.since);
-        const seen = report.asked * 1000 / since;
+        const seen = report.requested * 1000 / since;
         const demand = demands.get(box) ?? { rate: 0, leasedRate: 0, reportedAt: at, presumed: 0 };
-        const window = demandWindow + fewRequestsWindow / (1 + report.asked);
+        const window = demandWindow + fewRequestsWindow / (1 + report.requested);
         demand.rate += (seen - demand.rate) * Math.min(1, since / window);
         demand.reportedAt = at;
         demands.set(box, demand);
@@ -186,7 +186,7 @@
     function sumDemand(at: Milliseconds): number {
         let sum = 0;
         for (const [box, known] of demands) {
-            if (at - known.reportedAt > leaseUsed) {
+            if (at - known.reportedAt > leaseLifetime) {
                 demands.delete(box);
             }
             else if (!isSilent(known, at)) {
@@ -199,7 +199,7 @@
 
 /** True for a box that may be cut off: it still has its lease. */
 function isSilent({ reportedAt }: BoxDemand, at: Milliseconds): boolean {
-    return at - reportedAt > silentAfter && at - reportedAt <= leaseUsed;
+    return at - reportedAt > silentAfter && at - reportedAt <= leaseLifetime;
 }
 
 /** A box's part of what may be given out: its demand and an equal part of the rest, or as much less as all ask for more. */
--- a/packages/decisions/src/limits/quota/quota-level.ts
+++ b/packages/decisions/src/limits/quota/quota-level.ts
@@ -35,7 +35,7 @@
      *
      * @param isFirst the box has not reported to this one before.
      */
-    readonly takeOver: (report: QuotaReport, quota: CustomerQuota, at: Milliseconds, isFirst: boolean) => void;
+    readonly reconcile: (report: QuotaReport, quota: CustomerQuota, at: Milliseconds, isFirst: boolean) => void;
     /** A box has told what it let in, which takes the place of what was presumed. */
     readonly charge: (admitted: number, use: PresumedUse | undefined) => void;
 }
@@ -44,7 +44,7 @@
  * Milliseconds in which a box that begins to count hears of all others: two rounds of reports and the way. Until then its leases stay
  * within the rate.
  */
-export const settleTime = 700;
+export const coordinatorSettleTime = 700;
 /** Requests in the bucket of a box that begins to count: what deployments tolerate besides, so that small customers need not wait. */
 const firstLevel = 10;
 
@@ -67,18 +67,18 @@
                 use.presumed += presumed;
                 level -= presumed;
             }
-            resumedAt = passed > settleTime ? at : resumedAt;
+            resumedAt = passed > coordinatorSettleTime ? at : resumedAt;
             advancedAt = at;
         },
-        takeOver({ lastLevel, unanswered = 0 }, quota, at, isFirst) {
+        reconcile({ lastLevel, unacknowledged: unanswered = 0 }, quota, at, isFirst) {
             const told = lastLevel && Math.min(quota.burst, lastLevel.level + quota.rate * lastLevel.age / 1000);
-            if (isFirst && at - startedAt < settleTime) {
+            if (isFirst && at - startedAt < coordinatorSettleTime) {
                 level += told === undefined || knowsLevel ? 0 : told - firstLevel;
                 knowsLevel ||= told !== undefined;
                 level -= unanswered;
             }
             // Another box may have counted while this one stood still.
-            if (told !== undefined && at - resumedAt < settleTime) {
+            if (told !== undefined && at - resumedAt < coordinatorSettleTime) {
                 level = Math.min(level, told);
             }
         },
--- a/packages/decisions/src/limits/quota/quota-share.ts
+++ b/packages/decisions/src/limits/quota/quota-share.ts
@@ -10,7 +10,7 @@
 
 import { type CustomerId, type Milliseconds, milliseconds } from "@chalkdale/kernel";
 import type { CustomerQuota } from "../../shared-state/configuration.js";
-import { leaseUsed, type QuotaLease, type QuotaReport, type ToldLevel } from "./quota-messages.js";
+import { leaseLifetime, type QuotaLease, type QuotaReport, type ReportedLevel } from "./quota-messages.js";
 
 /** What decides on a request, besides the bucket. */
 interface QuotaShareContext {
@@ -23,11 +23,11 @@
 }
 
 /** A request that this box's part has no room for, and what that went by. */
-export interface QuotaDenied {
+export interface QuotaDenial {
     /** When there is room for one more. */
-    readonly comeBackAfter: Milliseconds;
+    readonly retryAfter: Milliseconds;
     /** Requests a second that this box may admit now. */
-    readonly partRate: number;
+    readonly shareRate: number;
     /** Time since the lease came; undefined for an equal part of the boxes. */
     readonly leaseAge: Milliseconds | undefined;
     /** Boxes that may admit requests of the customer, as this box knows. */
@@ -37,16 +37,16 @@
 /** A customer's part on one box. */
 export interface QuotaShare {
     /** Takes a token for a request; undefined if there was one. */
-    readonly take: (context: QuotaShareContext) => QuotaDenied | undefined;
+    readonly consume: (context: QuotaShareContext) => QuotaDenial | undefined;
     /** True once a request came and no lease is there or on its way: the report is due at once. */
     readonly needsLease: (at: Milliseconds) => boolean;
     /** A request that was admitted has not run. */
-    readonly giveBack: () => void;
+    readonly refund: () => void;
     /** True until a lease answers the last report. */
-    readonly isReportUnanswered: () => boolean;
+    readonly isReportPending: () => boolean;
     readonly onLease: (lease: QuotaLease, at: Milliseconds) => void;
     /** This box stood still, and let nothing in by its lease. */
-    readonly onStall: (duration: Milliseconds) => void;
+    readonly onProcessPause: (duration: Milliseconds) => void;
     /** What to tell the box that counts, if it is time to. */
     readonly dueReport: (at: Milliseconds) => QuotaReport | undefined;
     /** Requests let in and refused since the start. */
@@ -123,7 +123,7 @@
     let refused = 0;
 
     return {
-        take(context) {
+        consume(context) {
             const { at, boxCount, quota } = context;
             asked += 1;
             bucket ??= { tokens: firstTokens(context), refilledAt: at };
@@ -132,8 +132,8 @@
             if (bucket.tokens < 1) {
                 refused += 1;
                 return {
-                    comeBackAfter: milliseconds((1 - bucket.tokens) * 1000 / Math.max(rate, slowestRate)),
-                    partRate: rate,
+                    retryAfter: milliseconds((1 - bucket.tokens) * 1000 / Math.max(rate, slowestRate)),
+                    shareRate: rate,
                     leaseAge: lease && milliseconds(at - leasedAt),
                     boxCount,
                 };
@@ -144,27 +144,27 @@
         },
         needsLease: at =>
             lease === undefined && asked > reported.asked && (!wasNews || at - reportedAt >= leaseAwaited),
-        giveBack() {
+        refund() {
             admitted -= 1;
             if (bucket !== undefined) {
                 bucket.tokens += 1;
             }
         },
-        isReportUnanswered: () => lease === undefined || leasedAt < reportedAt,
+        isReportPending: () => lease === undefined || leasedAt < reportedAt,
         onLease(next, at) {
             if (!wasNews) {
                 return;
             }
             bucket ??= { tokens: 1, refilledAt: at };
             refill(bucket, lease === undefined ? 0 : leasedRate(lease, at), burstOf(next), at);
-            if (next.isCalm) {
+            if (next.hasHeadroom) {
                 bucket.tokens = burstOf(next);
             }
             lease = next;
             leasedAt = at;
             unanswered = 0;
         },
-        onStall(duration) {
+        onProcessPause(duration) {
             leasedAt = milliseconds(leasedAt + duration);
         },
         dueReport(at) {
@@ -174,10 +174,10 @@
             wasNews = asked > reported.asked;
             const report = {
                 customer,
-                asked: asked - reported.asked,
+                requested: asked - reported.asked,
                 admitted: admitted - reported.admitted,
                 since: milliseconds(at - reportedAt),
-                unanswered,
+                unacknowledged: unanswered,
                 lastLevel: lastLevel(at),
             };
             unanswered += report.admitted;
@@ -191,14 +191,14 @@
         counts: () => ({ admitted, refused }),
     };
 
-    function lastLevel(at: Milliseconds): ToldLevel | undefined {
+    function lastLevel(at: Milliseconds): ReportedLevel | undefined {
         return lease?.level === undefined ? undefined : { level: lease.level, age: milliseconds(at - leasedAt) };
     }
 
     /** The lease's rate, less of it once nobody has renewed it for long. */
     function leasedRate(current: QuotaLease, at: Milliseconds): number {
         const age = at - leasedAt;
-        if (age > leaseUsed) {
+        if (age > leaseLifetime) {
             return current.rate * partAfterLease;
         }
         return isInDebt(current) && age > debtLeaseUsed ? current.rate * partOfDebtLease : current.rate;
@@ -216,13 +216,13 @@
         }
         // A calm customer's next report must not wait while nobody has answered the last one: its lease would grow old.
         const isOverdue = leasedAt < reportedAt && at - reportedAt >= leaseAwaited;
-        const isCalm = lease?.isCalm === true && (bucket?.tokens ?? 0) >= lease.burst * lowPartOfBurst;
+        const isCalm = lease?.hasHeadroom === true && (bucket?.tokens ?? 0) >= lease.burst * lowPartOfBurst;
         return isNews && (isOverdue || !isCalm);
     }
 }
 
 /** True if more had been let in than the quota allows: each box gives back its part of that until it hears more. */
-function isInDebt({ isCalm, level }: QuotaLease): boolean {
+function isInDebt({ hasHeadroom: isCalm, level }: QuotaLease): boolean {
     return level === undefined ? !isCalm : level <= 0;
 }
 
--- a/packages/decisions/src/limits/quota/usable-quota.ts
+++ b/packages/decisions/src/limits/quota/usable-quota.ts
@@ -22,6 +22,6 @@
 const usedPartOfSlack = 0.6;
 
 /** Returns the quota to share out. */
-export function usableQuota({ burst, rate }: CustomerQuota, { over, slack }: QuotaTolerance): CustomerQuota {
+export function effectiveQuota({ burst, rate }: CustomerQuota, { over, slack }: QuotaTolerance): CustomerQuota {
     return { rate: rate * (1 + over * usedPartOfOver), burst: burst + slack * usedPartOfSlack };
 }
--- a/packages/decisions/src/limits/shared-limits.ts
+++ b/packages/decisions/src/limits/shared-limits.ts
@@ -13,9 +13,9 @@
 import { type BoxId, type Clock, milliseconds, type RegionId, type ServiceId } from "@chalkdale/kernel";
 import type { MemberRecord } from "../membership/member-record.js";
 import type { Membership } from "../membership/membership.js";
-import { advertisedBoxes, boxesNear } from "../place/advertised-boxes.js";
+import { advertisedBoxes, eligibleSenders } from "../place/advertised-boxes.js";
 import { createRetryBudget, type RetryBudget, type RetryBudgetOptions } from "../retry/retry-budget.js";
-import { createCached } from "./cached.js";
+import { createTimedCache } from "./cached.js";
 
 export interface SharedLimitsOptions {
     readonly clock: Clock;
@@ -24,7 +24,7 @@
     /** Bounds on the retries of all boxes together, for each service. */
     readonly retries: Omit<RetryBudgetOptions, "boxCount">;
     /** Connections that one server of a service accepts from all boxes; undefined if that is not known. */
-    readonly connectionsOf: (service: ServiceId) => number | undefined;
+    readonly serverConnectionLimit: (service: ServiceId) => number | undefined;
     /** Called when the number of advertised boxes has changed. */
     readonly onAdvertisedChanged: (advertisedCount: number, alive: readonly MemberRecord[]) => void;
 }
@@ -37,10 +37,10 @@
     readonly advertisedIds: () => readonly BoxId[];
     readonly isAdvertised: (box: BoxId) => boolean;
     /** Boxes that may send to a cold or limited server of a region; the same array while the advertised boxes are the same. */
-    readonly boxesNear: (region: RegionId) => readonly BoxId[];
-    readonly budgetOf: (service: ServiceId) => RetryBudget;
+    readonly eligibleSenders: (region: RegionId) => readonly BoxId[];
+    readonly retryBudgetOf: (service: ServiceId) => RetryBudget;
     /** Connections to one server that this box may hold. */
-    readonly mostConnections: (service: ServiceId) => number;
+    readonly maxConnectionsPerServer: (service: ServiceId) => number;
 }
 
 /** Milliseconds for which the advertised boxes are not computed anew: less than a round of gossip, which changes them. */
@@ -56,7 +56,7 @@
 interface AdvertisedLists {
     readonly among: readonly MemberRecord[];
     readonly ids: readonly BoxId[];
-    /** By region; see `boxesNear`. */
+    /** By region; see `eligibleSenders`. */
     readonly near: Map<RegionId, readonly BoxId[]>;
 }
 
@@ -64,7 +64,7 @@
 export function createSharedLimits(options: SharedLimitsOptions): SharedLimits {
     const { clock, membership } = options;
     const budgets = new Map<ServiceId, RetryBudget>();
-    const advertised = createCached(clock, advertisedLifetime, findAdvertised);
+    const advertised = createTimedCache(clock, advertisedLifetime, findAdvertised);
     let lists: AdvertisedLists | undefined;
     let knownCount = 0;
 
@@ -72,10 +72,10 @@
         advertised,
         advertisedIds: () => listsOfAdvertised().ids,
         isAdvertised,
-        boxesNear: boxesNearRegion,
-        budgetOf,
-        mostConnections(service) {
-            const most = options.connectionsOf(service) ?? assumedMostConnections;
+        eligibleSenders: boxesNearRegion,
+        retryBudgetOf: budgetOf,
+        maxConnectionsPerServer(service) {
+            const most = options.serverConnectionLimit(service) ?? assumedMostConnections;
             return Math.max(leastConnections, Math.floor(most * usedPartOfConnections / sharingBoxes()));
         },
     };
@@ -101,7 +101,7 @@
 
     function boxesNearRegion(region: RegionId): readonly BoxId[] {
         const { among, near } = listsOfAdvertised();
-        const known = near.get(region) ?? boxesNear(among, region);
+        const known = near.get(region) ?? eligibleSenders(among, region);
         near.set(region, known);
         return known;
     }
--- a/packages/decisions/src/limits/shared-rate.ts
+++ b/packages/decisions/src/limits/shared-rate.ts
@@ -10,7 +10,7 @@
  */
 
 import type { BoxId, Milliseconds } from "@chalkdale/kernel";
-import { createRank } from "./box-rank.js";
+import { createBoxRank } from "./box-rank.js";
 
 /** One box's part of a rate. */
 export interface SharedRate {
@@ -31,11 +31,11 @@
     /** Requests a second, from all boxes together. */
     readonly rate: () => number;
     /** Boxes that hold a part of so great a rate, at most. */
-    readonly mostHolders: (rate: number) => number;
+    readonly maxHolders: (rate: number) => number;
     /** Part of the rate that is used; the rest is for boxes that don't yet agree on the holders. */
-    readonly usedPart: number;
+    readonly usedFraction: number;
     /** Part of a request that a box saves up beside a whole one: what it earned while nobody asked. */
-    readonly savedPart: number;
+    readonly savedFraction: number;
     /** Whether a box that comes to hold a part may send at once, or has to earn its first request. */
     readonly firstRequest: "atOnce" | "earned";
 }
@@ -56,7 +56,7 @@
 
 /** Creates the part of a box. */
 export function createSharedRate(options: SharedRateOptions): SharedRate {
-    const ownRank = createRank(options);
+    const ownRank = createBoxRank(options);
     let nextAt: number | undefined;
 
     return {
@@ -71,7 +71,7 @@
         },
         onSent(at) {
             const interval = ownPart()?.interval ?? second;
-            const saved = Math.max(interval * options.savedPart, savedTime - interval);
+            const saved = Math.max(interval * options.savedFraction, savedTime - interval);
             nextAt = Math.max(nextAt ?? at, at - saved) + interval;
         },
         onNotSent() {
@@ -91,10 +91,10 @@
         const boxes = options.boxes();
         const rate = options.rate();
         const rank = ownRank(boxes);
-        const holders = Math.min(options.mostHolders(rate), Math.max(1, boxes.length));
+        const holders = Math.min(options.maxHolders(rate), Math.max(1, boxes.length));
         if (rate <= 0 || rank === undefined || rank >= holders) {
             return undefined;
         }
-        return { rank, holders, interval: second * holders / (rate * options.usedPart) };
+        return { rank, holders, interval: second * holders / (rate * options.usedFraction) };
     }
 }
--- a/packages/decisions/src/membership/member-news.ts
+++ b/packages/decisions/src/membership/member-news.ts
@@ -7,20 +7,20 @@
 
 import type { BoxId } from "@chalkdale/kernel";
 import type { MemberRecord } from "./member-record.js";
-import { newsSends } from "./membership-times.js";
+import { retransmitLimit } from "./membership-times.js";
 
 /** News of members on their way. */
-export interface MemberNews {
+export interface MemberUpdates {
     /** A member became known. */
-    readonly onNew: (record: MemberRecord) => void;
+    readonly onMemberAdded: (record: MemberRecord) => void;
     /** Something about a member changed that others should hear. */
-    readonly onChanged: (record: MemberRecord) => void;
+    readonly onMemberChanged: (record: MemberRecord) => void;
     /** A member is suspected that someone has heard from since. */
-    readonly onContradicted: (record: MemberRecord) => void;
+    readonly onSuspicionRefuted: (record: MemberRecord) => void;
     /** True if the load has changed enough since it was last told as news. */
-    readonly isLoadNews: (record: MemberRecord) => boolean;
+    readonly isLoadChangeSignificant: (record: MemberRecord) => boolean;
     /** Takes at most `count` members to tell of; only those that `isRecent` are told in turn. */
-    readonly take: (count: number, isRecent: (box: BoxId) => boolean) => readonly BoxId[];
+    readonly nextUpdates: (count: number, isRecent: (box: BoxId) => boolean) => readonly BoxId[];
 }
 
 /** Members told in turn in each message besides the news. */
@@ -45,33 +45,33 @@
 }
 
 /** Creates the news; there is none yet. */
-export function createMemberNews(): MemberNews {
+export function createMemberUpdates(): MemberUpdates {
     const members = new Map<BoxId, ToldMember>();
     let turn: Iterator<ToldMember> = members.values();
 
     return {
-        onNew({ box, capacity, load }) {
+        onMemberAdded({ box, capacity, load }) {
             members.set(box, { box, capacity, sendsLeft: newMemberSends, toldLoad: load });
         },
-        onChanged({ box, capacity, load }) {
+        onMemberChanged({ box, capacity, load }) {
             const member = members.get(box);
             if (member !== undefined) {
                 member.capacity = capacity;
-                member.sendsLeft = newsSends(members.size + 1);
+                member.sendsLeft = retransmitLimit(members.size + 1);
                 member.toldLoad = load;
             }
         },
-        onContradicted({ box }) {
+        onSuspicionRefuted({ box }) {
             const member = members.get(box);
             if (member !== undefined) {
                 member.sendsLeft = Math.max(member.sendsLeft, contradictionSends);
             }
         },
-        isLoadNews({ box, capacity, load }) {
+        isLoadChangeSignificant({ box, capacity, load }) {
             const member = members.get(box);
             return member !== undefined && Math.abs(load - member.toldLoad) > capacity * loadChange;
         },
-        take(count, isRecent) {
+        nextUpdates(count, isRecent) {
             const news = [...members.values()]
                 .filter(({ sendsLeft }) => sendsLeft > 0)
                 .sort((a, b) => b.sendsLeft - a.sendsLeft || b.capacity - a.capacity)
--- a/packages/decisions/src/membership/member-record.ts
+++ b/packages/decisions/src/membership/member-record.ts
@@ -32,7 +32,7 @@
  * Sorts boxes by what they can carry, the strongest first; boxes of equal capacity stand in an order of their own that is
  * the same on every box. Whatever all boxes must agree on without asking goes by it.
  */
-export function sortStrongestFirst(records: readonly MemberRecord[]): MemberRecord[] {
+export function sortByCapacity(records: readonly MemberRecord[]): MemberRecord[] {
     return records
         .map(record => ({ record, hash: hashText(record.box) }))
         .sort((a, b) => b.record.capacity - a.record.capacity || a.hash - b.hash)
--- a/packages/decisions/src/membership/membership.ts
+++ b/packages/decisions/src/membership/membership.ts
@@ -14,13 +14,13 @@
  */
 
 import type { BoxId, Milliseconds, RegionId } from "@chalkdale/kernel";
-import { createMemberNews } from "./member-news.js";
+import { createMemberUpdates } from "./member-news.js";
 import type { MemberRecord } from "./member-record.js";
-import { forgetAfter, longestWay, suspicionTime } from "./membership-times.js";
-import { createRegionAges } from "./region-ages.js";
+import { gossipToFailedTime, maxMessageDelay, suspicionTimeout } from "./membership-times.js";
+import { createRegionLiveness } from "./region-ages.js";
 
 /** What a box tells of a member. */
-export interface Sighting {
+export interface MemberStatus {
     readonly record: MemberRecord;
     /** Milliseconds since someone heard from the member itself. */
     readonly heardAgo: number;
@@ -37,16 +37,16 @@
 
 /** Members, and who has heard from each. */
 export interface Membership {
-    readonly own: () => MemberRecord;
+    readonly ownRecord: () => MemberRecord;
     /** Counts up the own heartbeat and returns the own record. */
-    readonly beat: () => MemberRecord;
+    readonly incrementHeartbeat: () => MemberRecord;
     readonly setOwnState: (state: MemberState) => void;
     /** A message came from the box itself. True if it was not known before. */
     readonly onHeard: (record: MemberRecord, at: Milliseconds) => boolean;
     /** Takes what another box tells of members. */
-    readonly merge: (sightings: readonly Sighting[], at: Milliseconds) => void;
+    readonly merge: (sightings: readonly MemberStatus[], at: Milliseconds) => void;
     /** A member did not answer what it was asked. */
-    readonly onUnanswered: (box: BoxId, askedAt: Milliseconds) => void;
+    readonly onProbeFailed: (box: BoxId, askedAt: Milliseconds) => void;
     /** True for a member that is taken to run. */
     readonly isAlive: (box: BoxId, at: Milliseconds) => boolean;
     /** True if someone has heard from the member since. */
@@ -59,18 +59,18 @@
     /** True while a box is suspected and not yet taken as failed. */
     readonly isAnySuspected: (at: Milliseconds) => boolean;
     /** Boxes of the own region whose suspicion is about to be believed, each once: this box should ask them itself. */
-    readonly takeDoubtful: (count: number, at: Milliseconds) => readonly MemberRecord[];
+    readonly nextSuspectsToProbe: (count: number, at: Milliseconds) => readonly MemberRecord[];
     /** Boxes heard of within the memory, to which messages may go; this one excluded. */
-    readonly reachable: (at: Milliseconds) => readonly MemberRecord[];
+    readonly recentMembers: (at: Milliseconds) => readonly MemberRecord[];
     /** What is known of all boxes that run but this one. */
-    readonly sightings: (at: Milliseconds) => readonly Sighting[];
+    readonly statuses: (at: Milliseconds) => readonly MemberStatus[];
     /** Takes what others should hear next: the news that was told least, and a few members in turn. */
-    readonly takeNews: (count: number, at: Milliseconds) => readonly Sighting[];
+    readonly nextUpdates: (count: number, at: Milliseconds) => readonly MemberStatus[];
     /** Milliseconds since anyone heard from a box of each region. */
     readonly regionAges: (at: Milliseconds) => ReadonlyMap<RegionId, number>;
-    readonly onRegionAges: (ages: ReadonlyMap<RegionId, number>, at: Milliseconds) => void;
+    readonly mergeRegionAges: (ages: ReadonlyMap<RegionId, number>, at: Milliseconds) => void;
     /** True once after others suspected this box: they should hear from it. */
-    readonly takeOwnSuspicion: () => boolean;
+    readonly consumeOwnSuspicion: () => boolean;
 }
 
 /** Part of the time of a suspicion after which a box asks the suspect itself, so that an answer still comes in time. */
@@ -89,14 +89,14 @@
 /** Creates a membership that knows this box only. */
 export function createMembership(self: MemberRecord): Membership {
     const others = new Map<BoxId, Entry>();
-    const regions = createRegionAges();
-    const news = createMemberNews();
+    const regions = createRegionLiveness();
+    const news = createMemberUpdates();
     let own = self;
     let isSuspected = false;
 
     return {
-        own: () => own,
-        beat() {
+        ownRecord: () => own,
+        incrementHeartbeat() {
             own = { ...own, heartbeat: own.heartbeat + 1 };
             return own;
         },
@@ -112,10 +112,10 @@
         merge(sightings, at) {
             for (const { heardAgo, record, suspectedFor } of sightings) {
                 const suspectedAt = suspectedFor === undefined ? undefined : at - suspectedFor;
-                take(record, at - heardAgo - longestWay, suspectedAt);
+                take(record, at - heardAgo - maxMessageDelay, suspectedAt);
             }
         },
-        onUnanswered(box, askedAt) {
+        onProbeFailed(box, askedAt) {
             const entry = others.get(box);
             if (entry !== undefined) {
                 suspect(entry, askedAt);
@@ -133,23 +133,23 @@
             return records.filter(record => record.ready && !record.leaving);
         },
         isAnySuspected: at => [...others.values()].some(entry => entry.suspectedAt !== undefined && isAlive(entry, at)),
-        takeDoubtful(count, at) {
+        nextSuspectsToProbe(count, at) {
             const doubtful = [...others.values()].filter(entry => isDoubtful(entry, at)).slice(0, count);
             for (const entry of doubtful) {
                 entry.isAsked = true;
             }
             return doubtful.map(entry => entry.record);
         },
-        reachable: at => recordsOf(entry => at - entry.heardAt < forgetAfter),
-        sightings: at => [...others.values()].filter(entry => isAlive(entry, at)).map(entry => sightingOf(entry, at)),
-        takeNews: (count, at) =>
-            news.take(count, box => at - (others.get(box)?.heardAt ?? -Infinity) < forgetAfter)
+        recentMembers: at => recordsOf(entry => at - entry.heardAt < gossipToFailedTime),
+        statuses: at => [...others.values()].filter(entry => isAlive(entry, at)).map(entry => sightingOf(entry, at)),
+        nextUpdates: (count, at) =>
+            news.nextUpdates(count, box => at - (others.get(box)?.heardAt ?? -Infinity) < gossipToFailedTime)
                 .map(box => others.get(box))
                 .filter(entry => entry !== undefined)
                 .map(entry => sightingOf(entry, at)),
         regionAges: regions.ages,
-        onRegionAges: regions.merge,
-        takeOwnSuspicion() {
+        mergeRegionAges: regions.merge,
+        consumeOwnSuspicion() {
             const wasSuspected = isSuspected;
             isSuspected = false;
             return wasSuspected;
@@ -165,7 +165,7 @@
         if (entry === undefined || record.incarnation > entry.record.incarnation) {
             const suspicion = suspectedAt !== undefined && suspectedAt > heardAt ? suspectedAt : undefined;
             others.set(record.box, { record, heardAt, suspectedAt: suspicion, isAsked: false });
-            news.onNew(record);
+            news.onMemberAdded(record);
             return;
         }
         if (record.incarnation === entry.record.incarnation) {
@@ -181,34 +181,34 @@
         entry.heardAt = Math.max(entry.heardAt, heardAt);
         if (entry.suspectedAt !== undefined && entry.heardAt >= entry.suspectedAt) {
             entry.suspectedAt = undefined;
-            news.onChanged(entry.record);
+            news.onMemberChanged(entry.record);
         }
         if (record.heartbeat <= entry.record.heartbeat) {
             return;
         }
         const { leaving, ready } = entry.record;
         entry.record = record;
-        if (record.leaving !== leaving || record.ready !== ready || news.isLoadNews(record)) {
-            news.onChanged(record);
+        if (record.leaving !== leaving || record.ready !== ready || news.isLoadChangeSignificant(record)) {
+            news.onMemberChanged(record);
         }
     }
 
     /** Takes a suspicion, unless someone has heard from the box since: then those who suspect it should hear that. */
     function suspect(entry: Entry, askedAt: number): void {
         if (entry.heardAt >= askedAt) {
-            news.onContradicted(entry.record);
+            news.onSuspicionRefuted(entry.record);
             return;
         }
         if (entry.suspectedAt === undefined) {
             entry.suspectedAt = askedAt;
             entry.isAsked = false;
-            news.onChanged(entry.record);
+            news.onMemberChanged(entry.record);
             return;
         }
         entry.suspectedAt = Math.min(entry.suspectedAt, askedAt);
     }
 
-    function sightingOf({ heardAt, record, suspectedAt }: Entry, at: Milliseconds): Sighting {
+    function sightingOf({ heardAt, record, suspectedAt }: Entry, at: Milliseconds): MemberStatus {
         return {
             record,
             heardAgo: at - heardAt,
@@ -217,13 +217,13 @@
     }
 
     function isAlive({ record, suspectedAt }: Entry, at: Milliseconds): boolean {
-        const isFailed = suspectedAt !== undefined && at - suspectedAt >= suspicionTime(others.size + 1);
-        return !isFailed && regions.isHeard(record.region, at);
+        const isFailed = suspectedAt !== undefined && at - suspectedAt >= suspicionTimeout(others.size + 1);
+        return !isFailed && regions.isAlive(record.region, at);
     }
 
     function isDoubtful({ isAsked, record, suspectedAt }: Entry, at: Milliseconds): boolean {
         return suspectedAt !== undefined && !isAsked && record.region === own.region
-            && at - suspectedAt >= suspicionTime(others.size + 1) * askAfterPart;
+            && at - suspectedAt >= suspicionTimeout(others.size + 1) * askAfterPart;
     }
 
     function recordsOf(accept: (entry: Entry) => boolean): MemberRecord[] {
--- a/packages/decisions/src/membership/probing.ts
+++ b/packages/decisions/src/membership/probing.ts
@@ -64,13 +64,13 @@
 
     return {
         nextRound(at) {
-            const own = membership.own();
-            const members = membership.reachable(at);
+            const own = membership.ownRecord();
+            const members = membership.recentMembers(at);
             const isNear = (member: MemberRecord) => member.region === own.region;
             const again = takeUnanswered(at);
             const regionSize = members.filter(member => isNear(member) && membership.isAlive(member.box, at)).length
                 + 1;
-            const targets = [...again, ...membership.takeDoubtful(mostDoubtful, at)];
+            const targets = [...again, ...membership.nextSuspectsToProbe(mostDoubtful, at)];
             isTurnOfAdvertised = !isTurnOfAdvertised;
             const isUneasy = membership.isAnySuspected(at);
             if (isTurnOfAdvertised || isUneasy) {
@@ -114,7 +114,7 @@
                 continue;
             }
             questions.delete(box);
-            membership.onUnanswered(box, question.askedAt);
+            membership.onProbeFailed(box, question.askedAt);
         }
         return again;
     }
--- a/packages/decisions/src/membership/region-ages.ts
+++ b/packages/decisions/src/membership/region-ages.ts
@@ -7,10 +7,10 @@
  */
 
 import type { Milliseconds, RegionId } from "@chalkdale/kernel";
-import { failAfter, longestWay } from "./membership-times.js";
+import { maxMessageDelay, regionFailureTimeout } from "./membership-times.js";
 
 /** Regions, and how long they have been silent. */
-export interface RegionAges {
+export interface RegionLiveness {
     /** This box has heard from a box of the region. */
     readonly onHeard: (region: RegionId, at: Milliseconds) => void;
     /** Another box tells how long ago anyone has heard from each region, in milliseconds. */
@@ -18,11 +18,11 @@
     /** Milliseconds since anyone heard from a box of each region. */
     readonly ages: (at: Milliseconds) => ReadonlyMap<RegionId, number>;
     /** True for a region that is heard of; one that never was is given time from now on. */
-    readonly isHeard: (region: RegionId, at: Milliseconds) => boolean;
+    readonly isAlive: (region: RegionId, at: Milliseconds) => boolean;
 }
 
 /** Creates the ages; no region is known yet. */
-export function createRegionAges(): RegionAges {
+export function createRegionLiveness(): RegionLiveness {
     const heardAt = new Map<RegionId, number>();
 
     return {
@@ -31,13 +31,13 @@
         },
         merge(ages, at) {
             for (const [region, age] of ages) {
-                const toldAt = at - age - longestWay;
+                const toldAt = at - age - maxMessageDelay;
                 if (toldAt > (heardAt.get(region) ?? -Infinity)) {
                     heardAt.set(region, toldAt);
                 }
             }
         },
         ages: at => new Map([...heardAt].map(([region, since]) => [region, at - since])),
-        isHeard: (region, at) => at - (heardAt.get(region) ?? at) < failAfter,
+        isAlive: (region, at) => at - (heardAt.get(region) ?? at) < regionFailureTimeout,
     };
 }
--- a/packages/decisions/src/place/advertised-boxes.ts
+++ b/packages/decisions/src/place/advertised-boxes.ts
@@ -11,7 +11,7 @@
  */
 
 import type { BoxId, RegionId } from "@chalkdale/kernel";
-import { type MemberRecord, sortStrongestFirst } from "../membership/member-record.js";
+import { type MemberRecord, sortByCapacity } from "../membership/member-record.js";
 
 /**
  * A box with less than this part of the region's greatest capacity counts as weak. Fleets mix boxes of 0.27 and of
@@ -28,7 +28,7 @@
 
 /** Returns the advertised boxes of one region, the strongest first. `inService` may hold boxes of all regions. */
 export function advertisedBoxesOfRegion(inService: readonly MemberRecord[], region: RegionId): readonly MemberRecord[] {
-    const boxes = sortStrongestFirst(inService.filter(record => record.region === region));
+    const boxes = sortByCapacity(inService.filter(record => record.region === region));
     if (boxes.length === 0) {
         return boxes;
     }
@@ -48,7 +48,7 @@
 }
 
 /** Returns the boxes that may send to a cold or limited server of a region: the region's own advertised boxes, if it has any. */
-export function boxesNear(advertised: readonly MemberRecord[], region: RegionId): readonly BoxId[] {
+export function eligibleSenders(advertised: readonly MemberRecord[], region: RegionId): readonly BoxId[] {
     const ofRegion = advertised.filter(record => record.region === region);
     return (ofRegion.length > 0 ? ofRegion : advertised).map(record => record.box);
 }
--- a/packages/decisions/src/place/directory.ts
+++ b/packages/decisions/src/place/directory.ts
@@ -12,7 +12,7 @@
 import { boxesForZone } from "./zone-boxes.js";
 
 /** Where a caller is. */
-export interface CallerPlace {
+export interface CallerLocality {
     readonly region: RegionId | undefined;
     readonly zone: AvailabilityZoneId | undefined;
 }
@@ -21,13 +21,13 @@
 const mostAddresses = 64;
 
 /** Returns the addresses for a caller. */
-export function chooseBoxes(inService: readonly MemberRecord[], place: CallerPlace): string[] {
+export function chooseBoxAddresses(inService: readonly MemberRecord[], place: CallerLocality): string[] {
     const near = nearBoxes(inService, place);
     const chosen = near.length > 0 ? near : advertisedBoxes(inService);
     return chosen.slice(0, mostAddresses).map(record => record.callerAddress);
 }
 
-function nearBoxes(inService: readonly MemberRecord[], { region, zone }: CallerPlace): readonly MemberRecord[] {
+function nearBoxes(inService: readonly MemberRecord[], { region, zone }: CallerLocality): readonly MemberRecord[] {
     if (region === undefined) {
         return [];
     }
--- a/packages/decisions/src/place/homes.ts
+++ b/packages/decisions/src/place/homes.ts
@@ -9,7 +9,7 @@
 import type { Customer, Route } from "../shared-state/configuration.js";
 
 /** Returns the regions, none if the homes of both have nothing in common; undefined when all regions may serve. */
-export function homesOf(route: Route, customer: Customer | undefined): ReadonlySet<RegionId> | undefined {
+export function allowedRegionsOf(route: Route, customer: Customer | undefined): ReadonlySet<RegionId> | undefined {
     const ofCustomer = customer?.homeRegions ?? [];
     if (route.homeRegions.length === 0) {
         return ofCustomer.length === 0 ? undefined : new Set(ofCustomer);
--- a/packages/decisions/src/place/place-settings.ts
+++ b/packages/decisions/src/place/place-settings.ts
@@ -10,32 +10,36 @@
 import type { AvailabilityZoneId, RegionId } from "@chalkdale/kernel";
 
 /** Values that a place may state. */
-export interface PlaceValues {
+export interface LocalityValues {
     /** False: no requests go to servers of the place. */
     readonly admitsRequests: boolean;
 }
 
 /** What each place states for itself. */
-export interface PlaceSettings {
-    readonly root: PlaceValues;
-    readonly regions: ReadonlyMap<RegionId, Partial<PlaceValues>>;
-    readonly zones: ReadonlyMap<AvailabilityZoneId, Partial<PlaceValues>>;
+export interface LocalitySettings {
+    readonly root: LocalityValues;
+    readonly regions: ReadonlyMap<RegionId, Partial<LocalityValues>>;
+    readonly zones: ReadonlyMap<AvailabilityZoneId, Partial<LocalityValues>>;
 }
 
 /** Settings in which every place admits requests. */
-export const openPlaces: PlaceSettings = {
+export const defaultLocalitySettings: LocalitySettings = {
     root: { admitsRequests: true },
     regions: new Map(),
     zones: new Map(),
 };
 
 /** Returns the values in force in a zone. */
-export function resolvePlace(settings: PlaceSettings, region: RegionId, zone: AvailabilityZoneId): PlaceValues {
+export function resolveLocality(
+    settings: LocalitySettings,
+    region: RegionId,
+    zone: AvailabilityZoneId,
+): LocalityValues {
     return { ...settings.root, ...settings.regions.get(region), ...settings.zones.get(zone) };
 }
 
 /** Returns settings in which the given zones admit nothing and all else is inherited. */
-export function closeZones(settings: PlaceSettings, zones: Iterable<AvailabilityZoneId>): PlaceSettings {
+export function closeZones(settings: LocalitySettings, zones: Iterable<AvailabilityZoneId>): LocalitySettings {
     const closed = new Map([...zones].map(zone => [zone, { admitsRequests: false }] as const));
     return { ...settings, zones: closed };
 }
--- a/packages/decisions/src/retry/answer-verdict.ts
+++ b/packages/decisions/src/retry/answer-verdict.ts
@@ -10,12 +10,12 @@
 import type { LoadReport } from "../servers/load-estimate.js";
 
 /** What is known when an answer came. */
-export interface AnswerInputs {
+export interface AnswerClassInputs {
     readonly status: number;
     /** The server says that it did not run the request. */
     readonly saysNotRun: boolean;
     /** The server wants nothing from this box for a while. */
-    readonly asksBackoff: boolean;
+    readonly requestsBackoff: boolean;
     /** Load that the server reported with the answer. */
     readonly load: LoadReport | undefined;
     /** The server is in slow start. */
@@ -25,7 +25,7 @@
 }
 
 /** What follows for the server. */
-export type AnswerVerdict =
+export type AnswerClass =
     /** Another server has the address now: nothing more goes there, and the request did not run. */
     | { readonly kind: "otherServer"; }
     /** The request did not run since the server is full, or, with free slots, since the server fails: then it is not full. */
@@ -43,12 +43,12 @@
 const leastFailureStatus = 500;
 
 /** Judges an answer. */
-export function judgeAnswer(inputs: AnswerInputs): AnswerVerdict {
+export function classifyAnswer(inputs: AnswerClassInputs): AnswerClass {
     const { isCold, load, status } = inputs;
     if (status === statusMisdirected) {
         return { kind: "otherServer" };
     }
-    if (inputs.asksBackoff) {
+    if (inputs.requestsBackoff) {
         return { kind: "backedOff", mayHaveRun: !inputs.saysNotRun };
     }
     if (inputs.saysNotRun) {
--- a/packages/decisions/src/retry/hedge-decision.ts
+++ b/packages/decisions/src/retry/hedge-decision.ts
@@ -28,7 +28,7 @@
     /** Chooses among the servers that the request has not been sent to. */
     readonly chooseSecond: () => Choice;
     /** Takes one retry from the service's budget; false if none is left. */
-    readonly takeRetry: () => boolean;
+    readonly consumeRetry: () => boolean;
 }
 
 /** Load per slot from which a second copy of a request keeps others waiting: one waits for each slot. */
@@ -48,5 +48,5 @@
     if (second.kind !== "chosen" || second.wait > 0 || second.expected > inputs.timeLeft) {
         return undefined;
     }
-    return inputs.takeRetry() ? second : undefined;
+    return inputs.consumeRetry() ? second : undefined;
 }
--- a/packages/decisions/src/retry/retry-budget.ts
+++ b/packages/decisions/src/retry/retry-budget.ts
@@ -14,7 +14,7 @@
  */
 
 import type { Milliseconds } from "@chalkdale/kernel";
-import { createSlidingCount, type SlidingCount } from "./sliding-count.js";
+import { createSlidingWindowCounter, type SlidingWindowCounter } from "./sliding-count.js";
 
 export interface RetryBudgetOptions {
     /** Retries allowed for each request, from 0 to 1. */
@@ -30,8 +30,8 @@
 export interface RetryBudget {
     /** Notes a request for the service. */
     readonly onRequest: (at: Milliseconds) => void;
-    /** Takes one retry for a request; false when none is left for one so urgent, see `urgencyOf`. */
-    readonly tryTake: (at: Milliseconds, urgency: number) => boolean;
+    /** Takes one retry for a request; false when none is left for one so urgent, see `combinedPriority`. */
+    readonly tryConsume: (at: Milliseconds, urgency: number) => boolean;
 }
 
 /**
@@ -43,13 +43,13 @@
 
 /** Creates the budget of one service. */
 export function createRetryBudget(options: RetryBudgetOptions): RetryBudget {
-    const requests = createSlidingCount(options.window);
-    const retries = createSlidingCount(options.window);
-    const asked = new Map<number, SlidingCount>();
+    const requests = createSlidingWindowCounter(options.window);
+    const retries = createSlidingWindowCounter(options.window);
+    const asked = new Map<number, SlidingWindowCounter>();
 
     return {
         onRequest: at => requests.add(at),
-        tryTake(at, urgency) {
+        tryConsume(at, urgency) {
             askedOf(urgency).add(at);
             const earned = requests.total(at) * options.ratio * usedShareOfRatio;
             const granted = options.allowance * usedShareOfAllowance / Math.max(1, options.boxCount());
@@ -62,10 +62,10 @@
         },
     };
 
-    function askedOf(urgency: number): SlidingCount {
+    function askedOf(urgency: number): SlidingWindowCounter {
         let count = asked.get(urgency);
         if (count === undefined) {
-            count = createSlidingCount(options.window);
+            count = createSlidingWindowCounter(options.window);
             asked.set(urgency, count);
         }
         return count;
--- a/packages/decisions/src/retry/retry-decision.ts
+++ b/packages/decisions/src/retry/retry-decision.ts
@@ -35,7 +35,7 @@
     /** Time until the request must be answered. */
     readonly timeLeft: Milliseconds;
     /** Takes one retry from the service's budget; false if none is left. Asked only when all else allows the retry. */
-    readonly takeRetry: () => boolean;
+    readonly consumeRetry: () => boolean;
 }
 
 /** What follows. */
@@ -82,5 +82,5 @@
     if (inputs.sent >= inputs.maxAttempts) {
         return end.kind === "notRun" ? "serversFull" : "brokenOff";
     }
-    return inputs.takeRetry() ? undefined : "budgetSpent";
+    return inputs.consumeRetry() ? undefined : "budgetSpent";
 }
--- a/packages/decisions/src/retry/sliding-count.ts
+++ b/packages/decisions/src/retry/sliding-count.ts
@@ -7,7 +7,7 @@
 import type { Milliseconds } from "@chalkdale/kernel";
 
 /** A count over a sliding window. Times never go back. */
-export interface SlidingCount {
+export interface SlidingWindowCounter {
     readonly add: (at: Milliseconds, count?: number) => void;
     /** Events within the window that ends at the given time; the oldest interval counts whole. */
     readonly total: (at: Milliseconds) => number;
@@ -17,7 +17,7 @@
 const intervals = 20;
 
 /** Creates an empty count. */
-export function createSlidingCount(window: Milliseconds): SlidingCount {
+export function createSlidingWindowCounter(window: Milliseconds): SlidingWindowCounter {
     const length = window / intervals;
     const counts = new Array<number>(intervals + 1).fill(0);
     let current = 0;
--- a/packages/decisions/src/rollouts/compared-versions.ts
+++ b/packages/decisions/src/rollouts/compared-versions.ts
@@ -12,7 +12,7 @@
 type VerdictTest = "failures" | "slowness";
 
 /** Figures that a verdict goes by. */
-export interface VerdictFigures {
+export interface VersionComparison {
     readonly test: VerdictTest;
     /** Hash of the route; undefined for all together. */
     readonly route: number | undefined;
@@ -28,15 +28,15 @@
     /** Share of failures, or mean of the logarithms of slowness, above that of the proven version. */
     readonly difference: number;
     /** The same without the worst groups of each side. */
-    readonly trimmed: number;
+    readonly trimmedDifference: number;
     /** Standard score of the difference. */
     readonly score: number;
     /** Score from which the difference is taken for real. */
-    readonly bound: number;
+    readonly criticalScore: number;
 }
 
 /** Evidence of one span of time. */
-export interface EvidenceSpan {
+export interface EvidenceWindow {
     readonly table: EvidenceTable;
     /** The version gets all requests: its servers wait and learn keys as the others did not have to, so times say less. */
     readonly isMoving: boolean;
@@ -80,7 +80,7 @@
 /** Part of the score of perfectly separated groups that suffices where there are too few groups for the bound. */
 const separatedPart = 0.98;
 /** The comparisons of a span; the first ones are of all routes together. */
-export function compareSpan({ table }: EvidenceSpan): readonly VerdictFigures[] {
+export function compareVersions({ table }: EvidenceWindow): readonly VersionComparison[] {
     return [undefined, ...routesOf(table)].flatMap(route => {
         const sides = sidesOf(table, route);
         return [compare("failures", route, sides), compare("slowness", route, sides)];
@@ -88,16 +88,16 @@
 }
 
 /** Returns what the tests of a route, or of all together, need and bear. */
-export function boundsOf({ route }: Pick<VerdictFigures, "route">): TestBounds {
+export function thresholdsOf({ route }: Pick<VersionComparison, "route">): TestBounds {
     return route === undefined ? ofAll : ofRoute;
 }
 
-function compare(test: VerdictTest, route: number | undefined, sides: EvidenceSides): VerdictFigures {
+function compare(test: VerdictTest, route: number | undefined, sides: EvidenceSides): VersionComparison {
     const trial = sides.trial.filter(group => countOf(test, group) > 0);
     const control = sides.control.filter(group => countOf(test, group) > 0);
     const summaryOf = (group: GroupEvidence) => sumOf(test, group) / countOf(test, group);
     const separated = Math.sqrt(3 * trial.length * control.length / (trial.length + control.length + 1));
-    const isComparable = Math.min(trial.length, control.length) >= boundsOf({ route }).fewestGroups;
+    const isComparable = Math.min(trial.length, control.length) >= thresholdsOf({ route }).fewestGroups;
     return {
         test,
         route,
@@ -108,9 +108,10 @@
         controlAnswers: total(sides.control, group => countOf(test, group)),
         controlFailures: total(sides.control, group => group.failures),
         difference: pooled(test, trial) - pooled(test, control),
-        trimmed: pooled(test, withoutWorst(trial, summaryOf)) - pooled(test, withoutWorst(control, summaryOf)),
+        trimmedDifference: pooled(test, withoutWorst(trial, summaryOf))
+            - pooled(test, withoutWorst(control, summaryOf)),
         score: rankSumScore(trial.map(summaryOf), control.map(summaryOf)),
-        bound: isComparable ? Math.min(boundsOf({ route }).score, separated * separatedPart) : Infinity,
+        criticalScore: isComparable ? Math.min(thresholdsOf({ route }).score, separated * separatedPart) : Infinity,
     };
 }
 
--- a/packages/decisions/src/rollouts/evidence-history.ts
+++ b/packages/decisions/src/rollouts/evidence-history.ts
@@ -14,8 +14,8 @@
 export interface EvidenceHistory {
     readonly onReport: (box: BoxId, report: RolloutReport) => void;
     /** Keeps the sums of this time; due some times a second. */
-    readonly keep: (at: Milliseconds) => void;
-    readonly whole: () => EvidenceTable;
+    readonly takeSnapshot: (at: Milliseconds) => void;
+    readonly sinceStart: () => EvidenceTable;
     /** What was answered in the time since; all of it if that is longer than the history. */
     readonly since: (at: Milliseconds) => EvidenceTable;
 }
@@ -50,14 +50,14 @@
                 kept = kept.map(({ at, table }) => ({ at, table: addCells(table, report.cells) }));
             }
         },
-        keep(at) {
+        takeSnapshot(at) {
             const last = kept.at(-1);
             if (last !== undefined && at - last.at < keptInterval) {
                 return;
             }
             kept = [...kept, { at, table: whole }].slice(-mostKept);
         },
-        whole: () => whole,
+        sinceStart: () => whole,
         since(at) {
             const before = kept.findLast(sums => sums.at <= at);
             return before === undefined ? whole : addCells(whole, before.table.values(), -1);
--- a/packages/decisions/src/rollouts/evidence.ts
+++ b/packages/decisions/src/rollouts/evidence.ts
@@ -31,7 +31,7 @@
 export function addCells(table: EvidenceTable, cells: Iterable<EvidenceCell>, sign = 1): EvidenceTable {
     const sums = new Map(table);
     for (const cell of cells) {
-        const name = cellName(cell);
+        const name = cellKey(cell);
         sums.set(name, { ...cell, ...addEvidence(sums.get(name) ?? noEvidence, cell, sign) });
     }
     return sums;
@@ -56,7 +56,7 @@
 }
 
 /** Name of what a cell counts. */
-export function cellName({ group, isTrial, route }: Pick<EvidenceCell, "group" | "isTrial" | "route">): string {
+export function cellKey({ group, isTrial, route }: Pick<EvidenceCell, "group" | "isTrial" | "route">): string {
     return `${isTrial ? "trial" : "control"} ${group} ${route}`;
 }
 
--- a/packages/decisions/src/rollouts/exposure-account.ts
+++ b/packages/decisions/src/rollouts/exposure-account.ts
@@ -18,14 +18,14 @@
 import type { RolloutBounds } from "./rollout-order.js";
 
 /** The account of one order. */
-export interface ExposureAccount {
+export interface ExposureBudget {
     /** Takes what a box counted; a repeat changes nothing. */
     readonly onReport: (box: BoxId, report: RolloutReport) => void;
     /** Raises a box's cap as far as the account holds, and returns the cap. */
-    readonly raise: (box: BoxId, incarnation: IncarnationId, wanted: number) => number;
+    readonly raiseCap: (box: BoxId, incarnation: IncarnationId, wanted: number) => number;
     readonly capOf: (box: BoxId, incarnation: IncarnationId) => number;
     /** Sum of all caps that were ever granted. */
-    readonly total: () => number;
+    readonly grantedTotal: () => number;
     /** What the sum of the caps may be now. */
     readonly allowed: () => number;
     /** Requests that all boxes sent since the order. */
@@ -33,13 +33,13 @@
     /** Of these, to the version on trial. */
     readonly sentToTrial: () => number;
     /** The trial ran, and no box knows its sum. */
-    readonly onMemoryLost: () => void;
+    readonly onGrantHistoryLost: () => void;
 }
 
 /**
  * Part of the bound that is used: the rule counts what reaches servers, and a request that a box sent may be lost on its way.
  */
-export const usedPart = 0.9;
+export const exposureSafetyFactor = 0.9;
 
 interface BoxCounts {
     sent: number;
@@ -48,7 +48,7 @@
 }
 
 /** Creates the account of an order that no box has reported on. */
-export function createExposureAccount(bounds: RolloutBounds): ExposureAccount {
+export function createExposureBudget(bounds: RolloutBounds): ExposureBudget {
     const counts = new Map<string, BoxCounts>();
     let capSum = 0;
     let total = 0;
@@ -63,9 +63,9 @@
             sentToTrial += rise(known, "sentToTrial", report.sentToTrial);
             // A cap that another decider granted is within the sum that it told with it.
             capSum += rise(known, "cap", report.cap);
-            total = Math.max(total, report.knownTotal ?? 0, capSum);
+            total = Math.max(total, report.knownGrantedTotal ?? 0, capSum);
         },
-        raise(box, incarnation, wanted) {
+        raiseCap(box, incarnation, wanted) {
             const known = countsOf(box, incarnation);
             const left = Math.max(0, Math.floor(allowed() - total));
             const added = Math.min(left, Math.max(0, Math.floor(wanted) - known.cap));
@@ -75,18 +75,18 @@
             return known.cap;
         },
         capOf: (box, incarnation) => countsOf(box, incarnation).cap,
-        total: () => total,
+        grantedTotal: () => total,
         allowed,
         sent: () => sent,
         sentToTrial: () => sentToTrial,
-        onMemoryLost() {
+        onGrantHistoryLost() {
             isMemoryLost = true;
         },
     };
 
     function allowed(): number {
         const allowance = isMemoryLost ? 0 : bounds.exposedAllowance;
-        return usedPart * (bounds.exposedShare * sent + allowance);
+        return exposureSafetyFactor * (bounds.exposedShare * sent + allowance);
     }
 
     function countsOf(box: BoxId, incarnation: IncarnationId): BoxCounts {
--- a/packages/decisions/src/rollouts/proven-versions.ts
+++ b/packages/decisions/src/rollouts/proven-versions.ts
@@ -12,7 +12,7 @@
 
 import { type BackendServerId, type Milliseconds, milliseconds, type ServerVersion } from "@chalkdale/kernel";
 import type { BackendServer } from "../servers/server-catalog.js";
-import type { RolloutNews } from "./rollout-messages.js";
+import type { RolloutDecision } from "./rollout-messages.js";
 import type { RolloutOrder } from "./rollout-order.js";
 
 /** A version by name; servers without one count as one version. */
@@ -24,13 +24,13 @@
     readonly update: (
         servers: readonly BackendServer[],
         order: RolloutOrder | undefined,
-        decision: RolloutNews["decision"] | undefined,
+        decision: RolloutDecision["decision"] | undefined,
         at: Milliseconds,
     ) => void;
     readonly proven: () => VersionName;
     readonly isRejected: (version: VersionName) => boolean;
     /** True while no server of the proven version is listed, but its records may come back. */
-    readonly isLapsing: (at: Milliseconds) => boolean;
+    readonly isInGracePeriod: (at: Milliseconds) => boolean;
 }
 
 /**
@@ -70,14 +70,14 @@
         },
         proven: () => proven?.name,
         isRejected: version => rejected.has(version),
-        isLapsing: at =>
+        isInGracePeriod: at =>
             proven !== undefined && proven.isDrained !== true && proven.lastListedAt < at
             && at - proven.lastListedAt < lapseTime,
     };
 
     function applyDecision(
         order: RolloutOrder | undefined,
-        decision: RolloutNews["decision"] | undefined,
+        decision: RolloutDecision["decision"] | undefined,
         at: Milliseconds,
     ): void {
         if (order === undefined) {
--- a/packages/decisions/src/rollouts/reporting-boxes.ts
+++ b/packages/decisions/src/rollouts/reporting-boxes.ts
@@ -19,13 +19,13 @@
 export interface ReportingBoxes {
     readonly onReport: (box: BoxId, report: RolloutReport, at: Milliseconds) => void;
     /** Boxes heard of lately. */
-    readonly fresh: (at: Milliseconds) => readonly ReportingBox[];
+    readonly active: (at: Milliseconds) => readonly ReportingBox[];
     /** True while most of the boxes that reported in the last seconds still do: else this box may be cut off, and another one decides. */
-    readonly isWhole: (at: Milliseconds) => boolean;
+    readonly hasQuorum: (at: Milliseconds) => boolean;
     /** Requests a second of all boxes together, of the last seconds. */
     readonly rate: (at: Milliseconds) => number;
     /** Requests in progress at servers of other versions, at the boxes heard of lately. */
-    readonly inProgressElsewhere: (at: Milliseconds) => number;
+    readonly inProgressOnOtherVersions: (at: Milliseconds) => number;
 }
 
 /** Milliseconds after which a box counts as silent: several rounds of reports, lost ones included. */
@@ -65,8 +65,8 @@
                 counts = [...dropOld(counts, at), { at, sent }];
             }
         },
-        fresh,
-        isWhole(at) {
+        active: fresh,
+        hasQuorum(at) {
             const known = [...boxes.values()].filter(({ at: heardAt }) => at - heardAt < goneAfter);
             return fresh(at).length >= known.length * leastHeardPart;
         },
@@ -75,7 +75,8 @@
             const time = first === undefined ? 0 : at - first.at;
             return first === undefined || time <= 0 ? 0 : (sent - first.sent) * second / time;
         },
-        inProgressElsewhere: at => fresh(at).reduce((sum, { report }) => sum + report.inProgressElsewhere, 0),
+        inProgressOnOtherVersions: at =>
+            fresh(at).reduce((sum, { report }) => sum + report.inProgressOnOtherVersions, 0),
     };
 
     function fresh(at: Milliseconds): readonly ReportingBox[] {
@@ -90,6 +91,6 @@
 }
 
 /** Mean time of a request, by Little's law. Returns undefined without requests. */
-export function meanTime(inProgress: number, rate: number): Milliseconds | undefined {
+export function estimateMeanRequestTime(inProgress: number, rate: number): Milliseconds | undefined {
     return rate <= 0 ? undefined : milliseconds(inProgress / rate * second);
 }
--- a/packages/decisions/src/rollouts/restored-orders.ts
+++ b/packages/decisions/src/rollouts/restored-orders.ts
@@ -17,13 +17,13 @@
 type RolloutOutcome = Exclude<RolloutState, "running">;
 
 /** The orders of one box. */
-export interface RestoredOrders {
+export interface OrderHistory {
     /** Takes an order as the store has it. */
-    readonly note: (order: RolloutOrder, at: Milliseconds) => void;
+    readonly onStoredOrder: (order: RolloutOrder, at: Milliseconds) => void;
     /** Returns an order as the store has it under the identity by which boxes know it. */
-    readonly identify: (order: RolloutOrder) => RolloutOrder;
+    readonly withKnownIdentity: (order: RolloutOrder) => RolloutOrder;
     /** Another box speaks of a roll-out; true if it is one that this box knew by another identity until now. */
-    readonly adopt: (rollout: RolloutId, at: Milliseconds) => boolean;
+    readonly adoptIdentity: (rollout: RolloutId, at: Milliseconds) => boolean;
     /** Forgets the orders of other services. */
     readonly keepOnly: (services: ReadonlySet<ServiceId>) => void;
     /** The outcome that the store has had of an order, whether it has it now or not. */
@@ -47,11 +47,11 @@
 const adoptedFor = 15_000;
 
 /** Creates it without orders. */
-export function createRestoredOrders(): RestoredOrders {
+export function createOrderHistory(): OrderHistory {
     const known = new Map<ServiceId, KnownOrder>();
 
     return {
-        note(order, at) {
+        onStoredOrder(order, at) {
             const before = known.get(order.service);
             if (before !== undefined && order.revision < before.stored.revision) {
                 return;
@@ -59,13 +59,13 @@
             const goesOn = before !== undefined && isSameOrder(order, before);
             known.set(order.service, goesOn ? goOn(order, before) : begin(order, at));
         },
-        identify(order) {
+        withKnownIdentity(order) {
             const newest = known.get(order.service);
             return newest !== undefined && order.createdAt === newest.stored.createdAt
                 ? { ...order, createdAt: newest.createdAt }
                 : order;
         },
-        adopt(rollout, at) {
+        adoptIdentity(rollout, at) {
             const order = known.get(rollout.service);
             if (order === undefined || !isOtherIdentity(rollout, order) || at - order.since >= adoptedFor) {
                 return false;
--- a/packages/decisions/src/rollouts/rollout-action.ts
+++ b/packages/decisions/src/rollouts/rollout-action.ts
@@ -32,7 +32,7 @@
     /** Requests of the service since the order, of these to the target, sum of caps, and what that sum may be. */
     readonly sent: number;
     readonly sentToTrial: number;
-    readonly total: number;
+    readonly grantedTotal: number;
     readonly allowed: number;
     readonly verdict: Verdict;
     /** What decided; undefined before. */
@@ -40,7 +40,7 @@
 }
 
 /** What a step goes by. */
-export interface StepInputs {
+export interface RolloutStepInputs {
     /** The newest copy of the order. */
     readonly order: RolloutOrder;
     /** The store answers this box. */
--- a/packages/decisions/src/rollouts/rollout-decider.ts
+++ b/packages/decisions/src/rollouts/rollout-decider.ts
@@ -14,13 +14,13 @@
  */
 
 import { type BoxId, type Milliseconds, milliseconds } from "@chalkdale/kernel";
-import type { EvidenceSpan } from "./compared-versions.js";
+import type { EvidenceWindow } from "./compared-versions.js";
 import { createEvidenceHistory } from "./evidence-history.js";
-import { createExposureAccount } from "./exposure-account.js";
-import { createReportingBoxes, meanTime } from "./reporting-boxes.js";
-import type { AddressedGrant, RolloutAction, RolloutStatus, StepInputs } from "./rollout-action.js";
+import { createExposureBudget } from "./exposure-account.js";
+import { createReportingBoxes, estimateMeanRequestTime } from "./reporting-boxes.js";
+import type { AddressedGrant, RolloutAction, RolloutStatus, RolloutStepInputs } from "./rollout-action.js";
 import { createRolloutGrants } from "./rollout-grants.js";
-import type { RolloutGrant, RolloutNews, RolloutReport, RolloutStage } from "./rollout-messages.js";
+import type { RolloutDecision, RolloutGrant, RolloutReport, RolloutStage } from "./rollout-messages.js";
 import type { RolloutBounds, RolloutId, RolloutOrder } from "./rollout-order.js";
 import { planRollout, type RolloutPlan } from "./rollout-plan.js";
 import { describeVerdict, judgeTrial } from "./verdict.js";
@@ -30,11 +30,11 @@
     /** Takes a box's report and answers with its grant. */
     readonly onReport: (box: BoxId, report: RolloutReport, at: Milliseconds) => RolloutGrant;
     /** Due some times a second. The same action is returned until the copy of the order shows its effect. */
-    readonly step: (at: Milliseconds, inputs: StepInputs) => RolloutAction;
+    readonly step: (at: Milliseconds, inputs: RolloutStepInputs) => RolloutAction;
     /** Grants to push to boxes after a step that changed the stage; empty after others. */
-    readonly changedGrants: () => readonly AddressedGrant[];
+    readonly grantsToPush: () => readonly AddressedGrant[];
     /** What to tell all boxes: `rolledBack` as soon as it is decided, `completed` once the store has it. */
-    readonly news: () => RolloutNews | undefined;
+    readonly news: () => RolloutDecision | undefined;
     readonly status: (at: Milliseconds) => RolloutStatus;
 }
 
@@ -77,8 +77,8 @@
 export function createRolloutDecider(options: RolloutDeciderOptions): RolloutDecider {
     const { bounds, order: { createdAt, duration, service, targetVersion } } = options;
     const rollout: RolloutId = { createdAt, service, targetVersion };
-    const account = createExposureAccount(bounds);
-    const grants = createRolloutGrants({ rollout, account, serverCount: options.serverCount });
+    const account = createExposureBudget(bounds);
+    const grants = createRolloutGrants({ rollout, budget: account, serverCount: options.serverCount });
     const boxes = createReportingBoxes();
     const history = createEvidenceHistory();
     let order = options.order;
@@ -93,11 +93,11 @@
     let hasAskedToRun = false;
     let workTime = firstWorkTime;
     let changed: readonly AddressedGrant[] = [];
-    let verdict = judgeTrial([{ table: history.whole(), isMoving: false }]);
+    let verdict = judgeTrial([{ table: history.sinceStart(), isMoving: false }]);
 
     return {
         onReport(box, report, at) {
-            knowsTotal ||= report.knownTotal !== undefined;
+            knowsTotal ||= report.knownGrantedTotal !== undefined;
             ageAtStart = Math.max(ageAtStart, report.age - (at - options.at));
             account.onReport(box, report);
             boxes.onReport(box, report, at);
@@ -107,7 +107,7 @@
         step(at, inputs) {
             noteTakeover(inputs.order, at);
             order = inputs.order;
-            history.keep(at);
+            history.takeSnapshot(at);
             learnWorkTime(at);
             settle(at);
             const stageBefore = shownStage();
@@ -115,7 +115,7 @@
             changed = shownStage() === stageBefore ? [] : grantAll(at);
             return actionFor(inputs);
         },
-        changedGrants: () => changed,
+        grantsToPush: () => changed,
         news() {
             const decision = shownStage();
             return decision === "completed" || decision === "rolledBack"
@@ -129,14 +129,14 @@
             plan: planAt(at),
             sent: account.sent(),
             sentToTrial: account.sentToTrial(),
-            total: account.total(),
+            grantedTotal: account.grantedTotal(),
             allowed: account.allowed(),
             verdict,
             reason,
         }),
     };
 
-    function advance(at: Milliseconds, inputs: StepInputs): void {
+    function advance(at: Milliseconds, inputs: RolloutStepInputs): void {
         if (order.state === "completed" || order.state === "rolledBack") {
             end(order.state, "found in the store");
             return;
@@ -158,7 +158,7 @@
         }
     }
 
-    function advanceUndecided(at: Milliseconds, { isStoreReachable }: StepInputs): void {
+    function advanceUndecided(at: Milliseconds, { isStoreReachable }: RolloutStepInputs): void {
         const age = ageAt(at);
         const { moveAt, writeAt } = planAt(at);
         if (age >= writeAt) {
@@ -170,17 +170,17 @@
             endMove(move, at);
             return;
         }
-        const mayMove = order.state === "running" && isStoreReachable && boxes.isWhole(at);
+        const mayMove = order.state === "running" && isStoreReachable && boxes.hasQuorum(at);
         if (mayMove && verdict.kind === "good" && age >= moveAt && age < writeAt - latestMove) {
             stage = "moving";
-            move = { at, inProgress: boxes.inProgressElsewhere(at), total: Infinity };
+            move = { at, inProgress: boxes.inProgressOnOtherVersions(at), total: Infinity };
         }
     }
 
     /** The move is done when all boxes have heard of it and hardly a request is left elsewhere; answers to it count first. */
     function endMove({ at: beganAt, inProgress, total }: Move, at: Milliseconds): void {
-        const hasReached = boxes.fresh(at).every(({ report }) => (report.knownTotal ?? 0) >= total);
-        const hasEnded = boxes.inProgressElsewhere(at) <= inProgress * leftInProgress;
+        const hasReached = boxes.active(at).every(({ report }) => (report.knownGrantedTotal ?? 0) >= total);
+        const hasEnded = boxes.inProgressOnOtherVersions(at) <= inProgress * leftInProgress;
         if (hasReached && hasEnded && at - beganAt >= workTime && verdict.kind === "good") {
             end("completed", describeVerdict(verdict));
         }
@@ -193,7 +193,7 @@
         }
     }
 
-    function actionFor({ isStoreReachable }: StepInputs): RolloutAction {
+    function actionFor({ isStoreReachable }: RolloutStepInputs): RolloutAction {
         if (order.state === "completed" || order.state === "rolledBack") {
             return { kind: "none" };
         }
@@ -233,16 +233,16 @@
     }
 
     function leftInAccount(): number {
-        return Math.max(0, account.allowed() - account.total());
+        return Math.max(0, account.allowed() - account.grantedTotal());
     }
 
     function grantAll(at: Milliseconds): readonly AddressedGrant[] {
         const left = leftInAccount();
-        const all = boxes.fresh(at).map(({ box, report }) => ({ box, grant: grantTo(box, report, at, left) }));
+        const all = boxes.active(at).map(({ box, report }) => ({ box, grant: grantTo(box, report, at, left) }));
         if (move?.total === Infinity) {
-            move.total = account.total();
+            move.total = account.grantedTotal();
         }
-        return all.map(({ box, grant }) => ({ box, grant: { ...grant, total: account.total() } }));
+        return all.map(({ box, grant }) => ({ box, grant: { ...grant, grantedTotal: account.grantedTotal() } }));
     }
 
     /** Boxes go on moving until the store has the outcome: then the versions that are served follow it. */
@@ -250,11 +250,11 @@
         return stage === "completed" && order.state !== "completed" ? "moving" : stage;
     }
 
-    function spansAt(at: Milliseconds): [EvidenceSpan, ...EvidenceSpan[]] {
+    function spansAt(at: Milliseconds): [EvidenceWindow, ...EvidenceWindow[]] {
         const isMoving = stage === "moving" || stage === "completed";
         const lengths = spanParts.map(part => Math.max(shortestSpan, duration * part));
         return [
-            { table: history.whole(), isMoving },
+            { table: history.sinceStart(), isMoving },
             ...lengths.map(length => ({ table: history.since(milliseconds(at - length)), isMoving })),
         ];
     }
@@ -264,7 +264,7 @@
             bounds,
             duration,
             rate: boxes.rate(at),
-            workTime,
+            meanRequestTime: workTime,
             allowed: account.allowed(),
             age: ageAt(at),
         });
@@ -272,7 +272,7 @@
 
     function learnWorkTime(at: Milliseconds): void {
         if (stage === "watching") {
-            workTime = meanTime(boxes.inProgressElsewhere(at), boxes.rate(at)) ?? workTime;
+            workTime = estimateMeanRequestTime(boxes.inProgressOnOtherVersions(at), boxes.rate(at)) ?? workTime;
         }
     }
 
@@ -282,7 +282,7 @@
         }
         isSettled = true;
         if (!knowsTotal) {
-            account.onMemoryLost();
+            account.onGrantHistoryLost();
             ageAtStart = Math.max(ageAtStart, unknownAge);
         }
     }
--- a/packages/decisions/src/rollouts/rollout-grants.ts
+++ b/packages/decisions/src/rollouts/rollout-grants.ts
@@ -9,7 +9,7 @@
  */
 
 import { type BoxId, hashText, type Milliseconds } from "@chalkdale/kernel";
-import type { ExposureAccount } from "./exposure-account.js";
+import type { ExposureBudget } from "./exposure-account.js";
 import type { RolloutGrant, RolloutReport, RolloutStage } from "./rollout-messages.js";
 import type { RolloutId } from "./rollout-order.js";
 import type { RolloutPlan } from "./rollout-plan.js";
@@ -35,7 +35,7 @@
 
 export interface RolloutGrantsOptions {
     readonly rollout: RolloutId;
-    readonly account: ExposureAccount;
+    readonly budget: ExposureBudget;
     /** Servers of the target that are listed now. */
     readonly serverCount: () => number;
 }
@@ -66,7 +66,7 @@
 }
 
 /** Creates the division of an account. */
-export function createRolloutGrants({ account, rollout, serverCount }: RolloutGrantsOptions): RolloutGrants {
+export function createRolloutGrants({ budget: account, rollout, serverCount }: RolloutGrantsOptions): RolloutGrants {
     const capAtFirst = new Map<string, number>();
     let watchStart: WatchStart | undefined;
 
@@ -82,8 +82,8 @@
                 stage,
                 cap: account.capOf(box, report.incarnation),
                 share,
-                sampledServers: sampledServers(share, context),
-                total: account.total(),
+                sampledServerCount: sampledServers(share, context),
+                grantedTotal: account.grantedTotal(),
                 age,
             };
         },
@@ -94,22 +94,24 @@
         const cap = account.capOf(box, incarnation);
         const part = sent / Math.max(1, account.sent());
         if (context.stage === "moving") {
-            account.raise(box, incarnation, cap + Math.floor(context.left * part + roundingOf(box)));
+            account.raiseCap(box, incarnation, cap + Math.floor(context.left * part + roundingOf(box)));
             return;
         }
         const name = `${box} ${incarnation}`;
         const first = capAtFirst.get(name) ?? cap;
         capAtFirst.set(name, first);
-        account.raise(box, incarnation, first + Math.floor(part * plannedBy(context) + roundingOf(box)));
+        account.raiseCap(box, incarnation, first + Math.floor(part * plannedBy(context) + roundingOf(box)));
     }
 
     /** Requests that all boxes together may have sent to the target by now, since the watch began. */
     function plannedBy({ age, plan }: GrantContext): number {
-        const start = watchStart ??= { age, total: account.total() };
+        const start = watchStart ??= { age, total: account.grantedTotal() };
         const due = age + capLead;
-        const ahead = due < plan.loadAt
-            ? between(due, start.age, plan.loadAt) * (plan.spread - start.total)
-            : plan.spread - start.total + between(due, plan.loadAt, plan.sentBy) * (plan.watched - plan.spread);
+        const ahead = due < plan.concentrateAt
+            ? between(due, start.age, plan.concentrateAt) * (plan.requestsBeforeConcentration - start.total)
+            : plan.requestsBeforeConcentration - start.total
+                + between(due, plan.concentrateAt, plan.samplingEndsAt)
+                    * (plan.requestsBeforeMove - plan.requestsBeforeConcentration);
         return Math.max(0, ahead);
     }
 
@@ -119,8 +121,8 @@
         }
         const start = watchStart ?? { age: 0, total: 0 };
         const [time, planned] = isLoading(age, plan)
-            ? [plan.sentBy - plan.loadAt, plan.watched - plan.spread]
-            : [plan.loadAt - start.age, plan.spread - start.total];
+            ? [plan.samplingEndsAt - plan.concentrateAt, plan.requestsBeforeMove - plan.requestsBeforeConcentration]
+            : [plan.concentrateAt - start.age, plan.requestsBeforeConcentration - start.total];
         const requests = rate * Math.max(0, time) / second;
         return requests <= 0 ? firstShare : Math.min(greatestShare, shareLead * Math.max(0, planned) / requests);
     }
@@ -137,7 +139,7 @@
 
 /** Boxes hear of it a round later. */
 function isLoading(age: Milliseconds, plan: RolloutPlan): boolean {
-    return age >= plan.loadAt;
+    return age >= plan.concentrateAt;
 }
 
 /** Part of the way from one time to another, from 0 to 1. */
--- a/packages/decisions/src/rollouts/rollout-messages.ts
+++ b/packages/decisions/src/rollouts/rollout-messages.ts
@@ -35,11 +35,11 @@
     /** Of these, to the version on trial. */
     readonly sentToTrial: number;
     /** Requests in progress at servers of other versions. */
-    readonly inProgressElsewhere: number;
+    readonly inProgressOnOtherVersions: number;
     /** Greatest cap that this box was granted. */
     readonly cap: number;
     /** Greatest sum of all caps that this box heard of; undefined before the first grant. */
-    readonly knownTotal: number | undefined;
+    readonly knownGrantedTotal: number | undefined;
     /** Time since the order, as far as this box knows. */
     readonly age: Milliseconds;
     readonly cells: readonly EvidenceCell[];
@@ -57,14 +57,14 @@
     /** Part of its requests that a box should spend on the trial, while its cap allows it. */
     readonly share: number;
     /** Servers of the target version among which the sample is concentrated. */
-    readonly sampledServers: number;
+    readonly sampledServerCount: number;
     /** Sum of the caps of all boxes. */
-    readonly total: number;
+    readonly grantedTotal: number;
     readonly age: Milliseconds;
 }
 
 /** A decision on its way: told before and besides the store. Nothing follows on a decision. */
-export interface RolloutNews {
+export interface RolloutDecision {
     readonly rollout: RolloutId;
     readonly decision: "completed" | "rolledBack";
     /** What decided, for the logs. */
--- a/packages/decisions/src/rollouts/rollout-plan.ts
+++ b/packages/decisions/src/rollouts/rollout-plan.ts
@@ -9,7 +9,7 @@
  */
 
 import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
-import { usedPart } from "./exposure-account.js";
+import { exposureSafetyFactor } from "./exposure-account.js";
 import type { RolloutBounds } from "./rollout-order.js";
 
 /** What a plan goes by. */
@@ -19,7 +19,7 @@
     /** Requests a second of the service at all boxes. */
     readonly rate: number;
     /** Mean time of a request at servers of other versions. */
-    readonly workTime: Milliseconds;
+    readonly meanRequestTime: Milliseconds;
     /** Requests that the order's account allows now, and the time since the order. */
     readonly allowed: number;
     readonly age: Milliseconds;
@@ -28,17 +28,17 @@
 /** Times since the order, and requests. */
 export interface RolloutPlan {
     /** When the sample is concentrated on few servers. */
-    readonly loadAt: Milliseconds;
+    readonly concentrateAt: Milliseconds;
     /** When what the watch may send has been sent: the answers come until the move. */
-    readonly sentBy: Milliseconds;
+    readonly samplingEndsAt: Milliseconds;
     /** When all new requests go to the target. */
     readonly moveAt: Milliseconds;
     /** When the outcome has to be written, whatever is known. */
     readonly writeAt: Milliseconds;
     /** Requests that the target may get before the sample is concentrated. */
-    readonly spread: number;
+    readonly requestsBeforeConcentration: number;
     /** Requests that the target may get before the move. */
-    readonly watched: number;
+    readonly requestsBeforeMove: number;
 }
 
 /** Milliseconds that are kept for the write at the end: a slow store and a second try. */
@@ -68,7 +68,7 @@
 
 /** Plans the rest of a roll-out. */
 export function planRollout(inputs: PlanInputs): RolloutPlan {
-    const { duration, rate, workTime } = inputs;
+    const { duration, rate, meanRequestTime: workTime } = inputs;
     const writeAt = duration - Math.min(writeReserve, duration * mostWritePart);
     const wantedMove = workTimes * workTime + moveMessages;
     const account = allowedAt(inputs, writeAt);
@@ -78,12 +78,12 @@
     const watched = Math.max(0, account - moveTime * perMillisecond);
     const sentBy = moveAt - Math.min(workTimes * workTime, moveAt * mostAnswerPart);
     return {
-        loadAt: milliseconds(sentBy - Math.min(loadTime, sentBy * mostLoadPart)),
-        sentBy: milliseconds(sentBy),
+        concentrateAt: milliseconds(sentBy - Math.min(loadTime, sentBy * mostLoadPart)),
+        samplingEndsAt: milliseconds(sentBy),
         moveAt: milliseconds(moveAt),
         writeAt: milliseconds(writeAt),
-        spread: watched * (1 - loadBudgetPart),
-        watched,
+        requestsBeforeConcentration: watched * (1 - loadBudgetPart),
+        requestsBeforeMove: watched,
     };
 }
 
@@ -96,5 +96,5 @@
 /** What the account will allow at a later time, if requests go on as now. */
 function allowedAt({ age, allowed, bounds, rate }: PlanInputs, later: number): number {
     const coming = Math.max(0, later - age) * rate / second;
-    return allowed + usedPart * bounds.exposedShare * coming;
+    return allowed + exposureSafetyFactor * bounds.exposedShare * coming;
 }
--- a/packages/decisions/src/rollouts/served-versions.ts
+++ b/packages/decisions/src/rollouts/served-versions.ts
@@ -17,9 +17,9 @@
 import type { BackendServerId, Milliseconds, ServerVersion, ServiceId } from "@chalkdale/kernel";
 import type { BackendServer, ServerCatalog } from "../servers/server-catalog.js";
 import { createProvenVersions, type ProvenVersions, type VersionName, versionOf } from "./proven-versions.js";
-import type { RolloutNews } from "./rollout-messages.js";
+import type { RolloutDecision } from "./rollout-messages.js";
 import type { RolloutId, RolloutOrder } from "./rollout-order.js";
-import { groupOf, isReady, sampledServers, sampleOrder } from "./trial-sample.js";
+import { groupOf, isReady, rankForSampling, selectSampledServers } from "./trial-sample.js";
 
 /** What the versions of a service may get. */
 export interface ServedVersions {
@@ -39,25 +39,25 @@
      */
     readonly refresh: () => void;
     /** Where a server is counted that takes part in a trial, as one of the target or one to compare with. */
-    readonly placeOf: (server: BackendServer) => TrialPlace | undefined;
+    readonly cohortOf: (server: BackendServer) => TrialCohort | undefined;
 }
 
 /** Where a server is counted in a trial. */
-export interface TrialPlace {
+export interface TrialCohort {
     readonly isTrial: boolean;
     /** From 0 to 7. */
     readonly group: number;
 }
 
 export interface ServedVersionsOptions {
-    readonly catalog: Pick<ServerCatalog, "ofService" | "listing">;
+    readonly catalog: Pick<ServerCatalog, "ofService" | "listVersion">;
     readonly now: () => Milliseconds;
     /** The order of a service as the copy has it. */
     readonly orderOf: (service: ServiceId) => RolloutOrder | undefined;
     /** A decision that was told before the store has it. */
-    readonly decisionOf: (rollout: RolloutId) => RolloutNews["decision"] | undefined;
+    readonly decisionOf: (rollout: RolloutId) => RolloutDecision["decision"] | undefined;
     /** Servers of the target among which the trial is concentrated; 0 without a trial. */
-    readonly sampledCount: (service: ServiceId) => number;
+    readonly sampledServerCount: (service: ServiceId) => number;
 }
 
 /**
@@ -80,7 +80,7 @@
     readonly trialVersion: ServerVersion | undefined;
     /** Servers that trial requests may go to. */
     readonly sample: ReadonlySet<BackendServerId>;
-    readonly places: ReadonlyMap<BackendServerId, TrialPlace>;
+    readonly places: ReadonlyMap<BackendServerId, TrialCohort>;
     /** It may change by time alone. */
     readonly isTimed: boolean;
 }
@@ -89,7 +89,7 @@
 interface PlanInputs {
     readonly listing: number;
     readonly order: RolloutOrder | undefined;
-    readonly decision: RolloutNews["decision"] | undefined;
+    readonly decision: RolloutDecision["decision"] | undefined;
     readonly sampledCount: number;
     readonly at: Milliseconds;
 }
@@ -114,17 +114,17 @@
             return order !== undefined && order.targetVersion === proven;
         },
         refresh: () => [...plans.keys()].forEach(current),
-        placeOf: server => current(server.state.record().service).places.get(server.id),
+        cohortOf: server => current(server.state.record().service).places.get(server.id),
     };
 
     function current(service: ServiceId): Plan {
         const known = plans.get(service);
         const order = options.orderOf(service);
         const inputs: PlanInputs = {
-            listing: catalog.listing(),
+            listing: catalog.listVersion(),
             order,
             decision: order === undefined ? undefined : decisionOn(order),
-            sampledCount: options.sampledCount(service),
+            sampledCount: options.sampledServerCount(service),
             at: options.now(),
         };
         if (known !== undefined && holds(known, inputs)) {
@@ -136,7 +136,7 @@
     }
 
     /** The store wins over what was told. */
-    function decisionOn(order: RolloutOrder): RolloutNews["decision"] | undefined {
+    function decisionOn(order: RolloutOrder): RolloutDecision["decision"] | undefined {
         return order.state === "completed" || order.state === "rolledBack" ? order.state : options.decisionOf(order);
     }
 
@@ -148,10 +148,10 @@
         memory.update(servers, order, decision, at);
         const proven = memory.proven();
         const openTarget = decision === undefined ? order?.targetVersion : undefined;
-        const isOnTrial = openTarget !== undefined && openTarget !== proven && !memory.isLapsing(at)
+        const isOnTrial = openTarget !== undefined && openTarget !== proven && !memory.isInGracePeriod(at)
             && servers.some(server => isOf(server, openTarget) && server.state.isListed());
         const trialVersion = isOnTrial ? openTarget : undefined;
-        const admitted = memory.isLapsing(at)
+        const admitted = memory.isInGracePeriod(at)
             ? new Set([proven])
             : admittedVersions(servers, proven, openTarget, memory.isRejected);
         const sampling = trialVersion === undefined || order === undefined
@@ -167,7 +167,7 @@
             trialVersion,
             sample,
             places: sampling?.places ?? new Map(),
-            isTimed: isOnTrial || memory.isLapsing(at),
+            isTimed: isOnTrial || memory.isInGracePeriod(at),
         };
     }
 }
@@ -200,17 +200,17 @@
     proven: VersionName,
     { at, sampledCount }: PlanInputs,
 ): Pick<Plan, "sample" | "places"> {
-    const target = sampleOrder(servers.filter(server => isOf(server, order.targetVersion)), order);
-    const control = sampleOrder(servers.filter(server => isOf(server, proven)), order);
-    const places = new Map<BackendServerId, TrialPlace>();
+    const target = rankForSampling(servers.filter(server => isOf(server, order.targetVersion)), order);
+    const control = rankForSampling(servers.filter(server => isOf(server, proven)), order);
+    const places = new Map<BackendServerId, TrialCohort>();
     target.forEach(({ id }, place) => places.set(id, { isTrial: true, group: groupOf(place) }));
-    const controls = new Set(sampledServers(control, controlCount, at));
+    const controls = new Set(selectSampledServers(control, controlCount, at));
     control.forEach((server, place) => {
         if (controls.has(server)) {
             places.set(server.id, { isTrial: false, group: groupOf(place) });
         }
     });
-    return { sample: new Set(sampledServers(target, sampledCount, at).map(({ id }) => id)), places };
+    return { sample: new Set(selectSampledServers(target, sampledCount, at).map(({ id }) => id)), places };
 }
 
 function isOf(server: BackendServer, version: VersionName): boolean {
--- a/packages/decisions/src/rollouts/trial-evidence.ts
+++ b/packages/decisions/src/rollouts/trial-evidence.ts
@@ -7,9 +7,9 @@
 
 import { hashText } from "@chalkdale/kernel";
 import type { BackendServer } from "../servers/server-catalog.js";
-import { addCells, cellName, type EvidenceTable } from "./evidence.js";
+import { addCells, cellKey, type EvidenceTable } from "./evidence.js";
 import type { EvidenceCell } from "./rollout-messages.js";
-import type { TrialPlace } from "./served-versions.js";
+import type { TrialCohort } from "./served-versions.js";
 
 /** One answer of a server that takes part in a trial, or that it ended without. */
 export interface TrialAnswer {
@@ -25,7 +25,7 @@
 
 /** Evidence of one box. */
 export interface TrialEvidence {
-    readonly add: (answer: TrialAnswer, place: TrialPlace) => void;
+    readonly add: (answer: TrialAnswer, place: TrialCohort) => void;
     readonly cells: () => readonly EvidenceCell[];
     readonly table: () => EvidenceTable;
 }
@@ -41,7 +41,7 @@
  * Slowness from which an answer that has not come is told as one that took so long, and not again when it comes: the answers of
  * a slow version come late, and those that have come are the quick ones.
  */
-export const toldSlowness = 2;
+export const earlyReportSlowness = 2;
 /** Slowness that one answer counts for at most: no single one decides on a group. */
 const greatestSlowness = 20;
 
@@ -53,9 +53,9 @@
     return {
         add({ isFailure, routeName, slowness }, { group, isTrial }) {
             const name = { isTrial, group, route: routeOf(routeName) };
-            const known = cells.get(cellName(name)) ?? { ...name, answers: 0, failures: 0, slownessSum: 0 };
+            const known = cells.get(cellKey(name)) ?? { ...name, answers: 0, failures: 0, slownessSum: 0 };
             const bounded = Math.min(greatestSlowness, Math.max(leastSlowness, slowness));
-            cells.set(cellName(name), {
+            cells.set(cellKey(name), {
                 ...known,
                 answers: known.answers + 1,
                 failures: known.failures + (isFailure ? 1 : 0),
--- a/packages/decisions/src/rollouts/trial-sample.ts
+++ b/packages/decisions/src/rollouts/trial-sample.ts
@@ -18,7 +18,7 @@
 export const groupCount = 8;
 
 /** Returns servers of one version in the order in which they are sampled. */
-export function sampleOrder(servers: readonly BackendServer[], rollout: RolloutId): readonly BackendServer[] {
+export function rankForSampling(servers: readonly BackendServer[], rollout: RolloutId): readonly BackendServer[] {
     const orderHash = hashText(`${rollout.service} ${rollout.targetVersion} ${rollout.createdAt}`);
     const scored = servers
         .map(server => ({ server, score: rendezvousScore(orderHash, server.idHash, 1) }))
@@ -34,7 +34,7 @@
  * Returns the servers that a trial goes to: the first ones of the order that are listed, do not drain, and are not cold. An
  * ejected one stays among them, since leaving it out would hide that its version is bad.
  */
-export function sampledServers(
+export function selectSampledServers(
     inOrder: readonly BackendServer[],
     count: number,
     at: Milliseconds,
--- a/packages/decisions/src/rollouts/trial-traffic.ts
+++ b/packages/decisions/src/rollouts/trial-traffic.ts
@@ -12,7 +12,7 @@
 import { hashText, type IncarnationId, type Milliseconds, milliseconds } from "@chalkdale/kernel";
 import type { BackendServer } from "../servers/server-catalog.js";
 import { versionOf } from "./proven-versions.js";
-import type { RolloutGrant, RolloutNews, RolloutReport, RolloutStage } from "./rollout-messages.js";
+import type { RolloutDecision, RolloutGrant, RolloutReport, RolloutStage } from "./rollout-messages.js";
 import { isSameRollout, type RolloutOrder } from "./rollout-order.js";
 import { createRouteSampling } from "./route-sampling.js";
 import type { ServedVersions } from "./served-versions.js";
@@ -34,15 +34,15 @@
     readonly onEnded: (server: BackendServer) => void;
     readonly onAnswer: (answer: TrialAnswer) => void;
     readonly onGrant: (grant: RolloutGrant, at: Milliseconds) => void;
-    readonly onNews: (news: RolloutNews) => void;
+    readonly onDecision: (news: RolloutDecision) => void;
     /** What this box tells the deciding box; undefined once the order is decided. */
     readonly report: (at: Milliseconds) => RolloutReport | undefined;
     /** What news told; the store's state is not looked at here. */
-    readonly decision: () => RolloutNews["decision"] | undefined;
+    readonly decision: () => RolloutDecision["decision"] | undefined;
     readonly stage: () => RolloutStage;
     /** Part of the requests that try the target now. */
     readonly share: () => number;
-    readonly sampledServers: () => number;
+    readonly sampledServerCount: () => number;
     /** Time since the order, as far as this box knows. */
     readonly age: (at: Milliseconds) => Milliseconds;
 }
@@ -50,7 +50,7 @@
 export interface TrialTrafficOptions {
     readonly order: RolloutOrder;
     readonly incarnation: IncarnationId;
-    readonly versions: Pick<ServedVersions, "placeOf" | "trialVersion">;
+    readonly versions: Pick<ServedVersions, "cohortOf" | "trialVersion">;
     /** Time since the order when this box learned of it; 0 if it saw it come. */
     readonly age: Milliseconds;
     readonly at: Milliseconds;
@@ -79,7 +79,7 @@
     let isOwnVerdictBad = false;
     let knownTotal: number | undefined;
     let grant: RolloutGrant | undefined;
-    let decision: RolloutNews["decision"] | undefined;
+    let decision: RolloutDecision["decision"] | undefined;
 
     return {
         assign(routeName) {
@@ -113,7 +113,7 @@
             }
         },
         onAnswer(answer) {
-            const place = versions.placeOf(answer.server);
+            const place = versions.cohortOf(answer.server);
             if (place === undefined || answer.wasCold) {
                 return;
             }
@@ -130,10 +130,10 @@
             const cap = Math.max(next.cap, grant?.cap ?? 0);
             // A grant that was overtaken on its way must not open again what a later one closed.
             grant = { ...(grant !== undefined && isFinal(grant.stage) ? grant : next), cap };
-            knownTotal = Math.max(next.total, knownTotal ?? 0);
+            knownTotal = Math.max(next.grantedTotal, knownTotal ?? 0);
             ageAtStart = Math.max(ageAtStart, next.age - (at - options.at));
         },
-        onNews(news) {
+        onDecision(news) {
             if (isSameRollout(news.rollout, order)) {
                 decision = news.decision;
             }
@@ -142,7 +142,7 @@
         decision: () => decision,
         stage: () => decision ?? grant?.stage ?? "watching",
         share,
-        sampledServers: () => isDecided() ? 0 : grant?.sampledServers ?? 0,
+        sampledServerCount: () => isDecided() ? 0 : grant?.sampledServerCount ?? 0,
         age,
     };
 
@@ -153,9 +153,9 @@
             incarnation: options.incarnation,
             sent,
             sentToTrial,
-            inProgressElsewhere,
+            inProgressOnOtherVersions: inProgressElsewhere,
             cap: grant?.cap ?? 0,
-            knownTotal,
+            knownGrantedTotal: knownTotal,
             age: age(at),
             cells: evidence.cells(),
         };
--- a/packages/decisions/src/rollouts/verdict.ts
+++ b/packages/decisions/src/rollouts/verdict.ts
@@ -13,13 +13,13 @@
  * Owns nothing; relies on sums of the answers.
  */
 
-import { boundsOf, compareSpan, type EvidenceSpan, type VerdictFigures } from "./compared-versions.js";
+import { compareVersions, type EvidenceWindow, thresholdsOf, type VersionComparison } from "./compared-versions.js";
 
 /** What the evidence says. */
 export type Verdict =
-    | { readonly kind: "bad"; readonly figures: VerdictFigures; }
+    | { readonly kind: "bad"; readonly figures: VersionComparison; }
     | { readonly kind: "good"; readonly answers: number; }
-    | { readonly kind: "undecided"; readonly why: "fewAnswers" | "unclear"; readonly figures: VerdictFigures; };
+    | { readonly kind: "undecided"; readonly cause: "fewAnswers" | "unclear"; readonly figures: VersionComparison; };
 
 /** Times the logarithms that slowness must reach while all requests move. */
 const movingFactor = 1.25;
@@ -59,23 +59,23 @@
 const rarePart = 0.01;
 
 /** Judges spans of time, the whole trial first; one span that shows a bad version suffices. */
-export function judgeTrial(spans: readonly [EvidenceSpan, ...EvidenceSpan[]]): Verdict {
-    const [whole, ...others] = spans.map(compareSpan);
+export function judgeTrial(spans: readonly [EvidenceWindow, ...EvidenceWindow[]]): Verdict {
+    const [whole, ...others] = spans.map(compareVersions);
     const bad = [whole, ...others].flat().find(figures => isBad(figures, spans[0].isMoving));
     if (bad !== undefined) {
         return { kind: "bad", figures: bad };
     }
     const [all] = whole;
-    const isRare = (figures: VerdictFigures) =>
+    const isRare = (figures: VersionComparison) =>
         figures.answers + figures.controlAnswers < rarePart * (all.answers + all.controlAnswers);
-    const thin = whole.find(figures => figures.answers < boundsOf(figures).enoughAnswers && !isRare(figures));
+    const thin = whole.find(figures => figures.answers < thresholdsOf(figures).enoughAnswers && !isRare(figures));
     if (thin !== undefined) {
-        return { kind: "undecided", why: "fewAnswers", figures: thin };
+        return { kind: "undecided", cause: "fewAnswers", figures: thin };
     }
     const unclear = whole.find(figures => isUnclear(figures, spans[0].isMoving));
     return unclear === undefined
         ? { kind: "good", answers: all.answers }
-        : { kind: "undecided", why: "unclear", figures: unclear };
+        : { kind: "undecided", cause: "unclear", figures: unclear };
 }
 
 /** Returns a verdict with its figures as one line for logs and operators. */
@@ -88,18 +88,18 @@
     const figures = `${answers} answers, ${failures} failed, against ${controlAnswers}; difference ${
         difference.toFixed(3)
     }, score ${score.toFixed(1)}`;
-    return `${verdict.kind === "bad" ? "bad" : verdict.why} by ${test} on ${where}: ${figures}`;
+    return `${verdict.kind === "bad" ? "bad" : verdict.cause} by ${test} on ${where}: ${figures}`;
 }
 
-function isBad(figures: VerdictFigures, isMoving: boolean): boolean {
+function isBad(figures: VersionComparison, isMoving: boolean): boolean {
     if (failuresAgainstNone(figures) >= decidingAgainstNone || isTooManyInDoubt(figures, isMoving)) {
         return true;
     }
-    if (figures.score < figures.bound) {
+    if (figures.score < figures.criticalScore) {
         return false;
     }
-    const { leastFailures, leastSlowness, score } = boundsOf(figures);
-    const isOfFewGroups = figures.bound < score;
+    const { leastFailures, leastSlowness, score } = thresholdsOf(figures);
+    const isOfFewGroups = figures.criticalScore < score;
     if (figures.test === "failures") {
         const least = isOfFewGroups ? leastFailuresOfFew : leastFailures;
         return figures.failures >= fewestFailures && figures.difference >= least;
@@ -112,7 +112,7 @@
  * Failures of the version on trial in several groups, where many answers of the proven version show none; else 0. A fault that
  * strikes servers at random would be seen there as well, so each answer counts for itself.
  */
-function failuresAgainstNone(figures: VerdictFigures): number {
+function failuresAgainstNone(figures: VersionComparison): number {
     const { controlAnswers, controlFailures, difference, failedGroups, failures, groups, route, test } = figures;
     const isClean = controlAnswers >= fewestClean && controlFailures <= controlAnswers * cleanShare;
     const isComparable = test === "failures" && route === undefined && isClean;
@@ -124,27 +124,28 @@
  * True if so many answers are bad by the estimates that no more may be waited for, though the score is short of its bound: a bad
  * version must get nothing soon after its 50th bad answer, and eight groups that a fault strikes as well never reach the bound.
  */
-function isTooManyInDoubt(figures: VerdictFigures, isMoving: boolean): boolean {
-    const { answers, difference, score, test, trimmed } = figures;
-    const { toleratedFailures, toleratedSlowness } = boundsOf(figures);
+function isTooManyInDoubt(figures: VersionComparison, isMoving: boolean): boolean {
+    const { answers, difference, score, test, trimmedDifference: trimmed } = figures;
+    const { toleratedFailures, toleratedSlowness } = thresholdsOf(figures);
     const bad = answers * difference / (test === "failures" ? 1 : slownessOfOne);
     const tolerated = test === "failures" ? toleratedFailures : toleratedSlowness * (isMoving ? movingFactor : 1);
     return bad >= mostInDoubt && trimmed > tolerated && score >= chanceScore;
 }
 
 /** True if the estimates don't yet allow to call the version good. */
-function isUnclear(figures: VerdictFigures, isMoving: boolean): boolean {
-    const { leastFailures, leastSlowness, toleratedFailures, toleratedSlowness } = boundsOf(figures);
+function isUnclear(figures: VersionComparison, isMoving: boolean): boolean {
+    const { leastFailures, leastSlowness, toleratedFailures, toleratedSlowness } = thresholdsOf(figures);
     const factor = figures.test === "slowness" && isMoving ? movingFactor : 1;
     const [least, tolerated] = figures.test === "failures"
         ? [leastFailures, toleratedFailures]
         : [leastSlowness, toleratedSlowness];
-    const isDoubtful = figures.score >= Math.min(doubtfulScore, figures.bound) && figures.difference >= least * factor;
+    const isDoubtful = figures.score >= Math.min(doubtfulScore, figures.criticalScore)
+        && figures.difference >= least * factor;
     if (isDoubtful || failuresAgainstNone(figures) >= doubtfulAgainstNone) {
         return true;
     }
-    if (figures.bound === Infinity) {
-        return figures.trimmed > tolerated * factor * toleratedOfFew;
+    if (figures.criticalScore === Infinity) {
+        return figures.trimmedDifference > tolerated * factor * toleratedOfFew;
     }
-    return figures.trimmed > tolerated * factor && figures.score >= chanceScore;
+    return figures.trimmedDifference > tolerated * factor && figures.score >= chanceScore;
 }
--- a/packages/decisions/src/servers/idle-life.ts
+++ b/packages/decisions/src/servers/idle-life.ts
@@ -13,14 +13,14 @@
 import { type Milliseconds, milliseconds, type ServiceId } from "@chalkdale/kernel";
 
 /** Knows how long connections may rest. */
-export interface IdleLife {
+export interface IdleTimeoutEstimate {
     /**
      * A request on a connection that had rested so long was answered by a reset, so long after it was sent, the way left out.
      * True if the rest is the likely cause, and not the server's health.
      */
     readonly onReset: (service: ServiceId, rest: Milliseconds, after: Milliseconds, at: Milliseconds) => boolean;
     /** Returns how long a connection may have rested; at most `longest`. */
-    readonly longestRest: (service: ServiceId, longest: Milliseconds, at: Milliseconds) => Milliseconds;
+    readonly maxIdleTime: (service: ServiceId, longest: Milliseconds, at: Milliseconds) => Milliseconds;
 }
 
 /** Milliseconds for which a rest that was too long is remembered: longer than the pause between two requests to most servers. */
@@ -38,7 +38,7 @@
 }
 
 /** Creates the memory; nothing is known at first. */
-export function createIdleLife(): IdleLife {
+export function createIdleTimeoutEstimate(): IdleTimeoutEstimate {
     const known = new Map<ServiceId, KnownRest>();
 
     return {
@@ -50,7 +50,7 @@
             known.set(service, { rest: milliseconds(shortest), at });
             return true;
         },
-        longestRest(service, longest, at) {
+        maxIdleTime(service, longest, at) {
             const shortest = current(service, at);
             return shortest === undefined ? longest : milliseconds(Math.min(longest, shortest.rest * usedPart));
         },
--- a/packages/decisions/src/servers/limit-share.ts
+++ b/packages/decisions/src/servers/limit-share.ts
@@ -11,7 +11,7 @@
  */
 
 import type { BackendServerId, BoxId, Milliseconds } from "@chalkdale/kernel";
-import { createRank } from "../limits/box-rank.js";
+import { createBoxRank } from "../limits/box-rank.js";
 import { createSharedRate, type SharedRate } from "../limits/shared-rate.js";
 
 /** Boxes that hold a part of the smallest rates. */
@@ -39,7 +39,7 @@
     /** Boxes among which the holders are chosen; one that is not among them sends nothing. */
     readonly boxes: () => readonly BoxId[];
     /** Boxes that callers are named, of all regions; the same array while they are the same. */
-    readonly allBoxes: () => readonly BoxId[];
+    readonly advertisedBoxIds: () => readonly BoxId[];
 }
 
 /** What is known of a limit. */
@@ -47,13 +47,13 @@
     /** Requests a second. */
     readonly rate: number;
     /** The time of the newest word of it. */
-    readonly heardAt: Milliseconds;
+    readonly updatedAt: Milliseconds;
 }
 
 /** Creates the part of a rate that a server has just named; `known` gives what is known of it now. */
 export function createLimitShare(options: LimitShareOptions, known: () => KnownLimit): SharedRate {
     const part = createPart(options, () => known().rate);
-    const ownRank = createRank({ self: options.self, subject: options.server });
+    const ownRank = createBoxRank({ self: options.self, subject: options.server });
     let askedAt = -Infinity;
     let askedBefore = -Infinity;
 
@@ -72,9 +72,9 @@
 
     /** The longer nothing is heard the more boxes ask, each the more seldom: of all together one in each turn. */
     function asks(at: Milliseconds): boolean {
-        const quietFor = at - known().heardAt - quietTime;
+        const quietFor = at - known().updatedAt - quietTime;
         const asking = Math.floor(quietFor / askingTurn) + 1;
-        const rank = quietFor < 0 ? undefined : ownRank(options.allBoxes());
+        const rank = quietFor < 0 ? undefined : ownRank(options.advertisedBoxIds());
         return rank !== undefined && rank < asking && at - askedAt >= askingTurn * asking;
     }
 }
@@ -85,9 +85,9 @@
         subject: server,
         boxes,
         rate: () => Math.max(askingRate, rate()),
-        mostHolders: used => used <= askingRate ? 1 : fewestHolders + Math.floor(used * holdersPerRate),
-        usedPart: 1,
-        savedPart,
+        maxHolders: used => used <= askingRate ? 1 : fewestHolders + Math.floor(used * holdersPerRate),
+        usedFraction: 1,
+        savedFraction: savedPart,
         firstRequest: "earned",
     });
 }
--- a/packages/decisions/src/servers/named-limit.ts
+++ b/packages/decisions/src/servers/named-limit.ts
@@ -13,33 +13,33 @@
 import type { Milliseconds } from "@chalkdale/kernel";
 
 /** What a server, or a box that heard it, says of its limit. */
-export type LimitWord =
+export type LimitUpdate =
     /** `rate`: requests a second, zero included. `at`: when the answer came that named it. */
     | { readonly kind: "named"; readonly rate: number; readonly at: Milliseconds; }
     /** `at`: when the request was sent whose answer named none. */
     | { readonly kind: "ended"; readonly at: Milliseconds; };
 
 /** The limit of one life of a server. */
-export interface NamedLimit {
+export interface ServerRateLimit {
     /** Requests a second, from all boxes together; undefined while no limit holds. */
     readonly rate: () => number | undefined;
     /** The newest word; undefined for a server that never named a limit. */
-    readonly word: () => LimitWord | undefined;
+    readonly latestUpdate: () => LimitUpdate | undefined;
     /** Takes a word; true if others have to know of it: the limit began, ended, or is another one. */
-    readonly onWord: (word: LimitWord) => boolean;
+    readonly onUpdate: (word: LimitUpdate) => boolean;
 }
 
 /** Part by which a rate must differ to be told at once: a server may name its rate anew with each answer. */
 const toldDifference = 0.1;
 
 /** Creates the limit of a life that has named none. */
-export function createNamedLimit(): NamedLimit {
-    let newest: LimitWord | undefined;
+export function createServerRateLimit(): ServerRateLimit {
+    let newest: LimitUpdate | undefined;
 
     return {
         rate: () => rateOf(newest),
-        word: () => newest,
-        onWord(word) {
+        latestUpdate: () => newest,
+        onUpdate(word) {
             const known = newest;
             if (known !== undefined && !isNewer(word, known)) {
                 return false;
@@ -50,11 +50,11 @@
     };
 }
 
-function rateOf(word: LimitWord | undefined): number | undefined {
+function rateOf(word: LimitUpdate | undefined): number | undefined {
     return word?.kind === "named" ? word.rate : undefined;
 }
 
-function isNewer(word: LimitWord, known: LimitWord): boolean {
+function isNewer(word: LimitUpdate, known: LimitUpdate): boolean {
     return word.kind === "named" ? word.at >= known.at : word.at > known.at;
 }
 
--- a/packages/decisions/src/servers/server-catalog.ts
+++ b/packages/decisions/src/servers/server-catalog.ts
@@ -8,7 +8,7 @@
  */
 
 import { type BackendServerId, hashText, type Milliseconds, milliseconds, type ServiceId } from "@chalkdale/kernel";
-import { lateWriteTime, lifeOfRecord, recordOfSameLife } from "./server-life.js";
+import { compareIncarnations, lateWriteGracePeriod, mergeSameIncarnation } from "./server-life.js";
 import type { BackendServerRecord } from "./server-record.js";
 import type { ServerState } from "./server-state.js";
 
@@ -58,13 +58,13 @@
     readonly get: (id: BackendServerId) => BackendServer | undefined;
     readonly all: () => Iterable<BackendServer>;
     /** True once another life is listed under this one's id. */
-    readonly hasNewLife: (server: BackendServer) => boolean;
+    readonly hasNewIncarnation: (server: BackendServer) => boolean;
     /** True once this life has ended as far as the list tells: another one has its id, or a later server its address. */
     readonly hasSuccessor: (server: BackendServer) => boolean;
     /** Rises whenever a server comes or goes, or what it can carry changes. */
     readonly version: () => number;
     /** Rises with each list that is applied, and when servers are forgotten. */
-    readonly listing: () => number;
+    readonly listVersion: () => number;
     /** Forgets servers that were unlisted long ago and are idle, and settles doubts about lives. Due some times a second. */
     readonly sweep: (at: Milliseconds) => SweptServers;
 }
@@ -98,13 +98,13 @@
         ofService: service => byService.get(service) ?? [],
         get: id => servers.get(id),
         all: () => servers.values(),
-        hasNewLife,
+        hasNewIncarnation: hasNewLife,
         hasSuccessor(server) {
             const newest = newestAt.get(server.state.record().address);
             return hasNewLife(server) || newest !== undefined && newest !== server;
         },
         version: () => version,
-        listing: () => listing,
+        listVersion: () => listing,
         sweep(at) {
             const restarted = settleDoubts(at);
             const forgotten: BackendServerId[] = [];
@@ -151,7 +151,7 @@
             begin(record, at);
             return;
         }
-        switch (lifeOfRecord(record, known.state.record())) {
+        switch (compareIncarnations(record, known.state.record())) {
             case "same":
                 goOn(known, record, at, change);
                 return;
@@ -172,13 +172,13 @@
         change: ChangeInProgress,
     ): void {
         const before = state.record();
-        const next = recordOfSameLife(record, before);
+        const next = mergeSameIncarnation(record, before);
         if (next.draining && !before.draining) {
             change.startedDraining.push(id);
         }
         change.isRankingChanged ||= isRankedAnew(next, before);
         state.applyRecord(next, at);
-        state.setDoubted(false);
+        state.setIncarnationUncertain(false);
         doubted.delete(id);
         unlistedAt.delete(id);
     }
@@ -207,7 +207,7 @@
         doubted.delete(record.id);
         const server = begin(record, at);
         const backoff = before.state.backoffUntil() - at;
-        if (backoff > 0 && at - before.state.backoffAskedAt() < recordLag) {
+        if (backoff > 0 && at - before.state.backoffRequestedAt() < recordLag) {
             server.state.onBackoff(at, milliseconds(backoff));
         }
         return { server, before };
@@ -218,12 +218,12 @@
         unlistedAt.delete(record.id);
         const since = doubted.get(record.id)?.since ?? at;
         doubted.set(record.id, { record, since });
-        known.state.setDoubted(true);
+        known.state.setIncarnationUncertain(true);
     }
 
     /** A record of an earlier birth that stands for long is of a new life, whose clock was set back. */
     function settleDoubts(at: Milliseconds): RestartedServer[] {
-        const settled = [...doubted.values()].filter(({ since }) => at - since >= lateWriteTime);
+        const settled = [...doubted.values()].filter(({ since }) => at - since >= lateWriteGracePeriod);
         return settled.map(({ record }) => beginAgain(servers.get(record.id)!, record, at));
     }
 
--- a/packages/decisions/src/servers/server-life.ts
+++ b/packages/decisions/src/servers/server-life.ts
@@ -18,16 +18,16 @@
 import type { BackendServerRecord } from "./server-record.js";
 
 /** Of which life a newer record of a known server speaks, seen from the record before. */
-export type LifeOfRecord = "same" | "later" | "earlier";
+export type IncarnationOrder = "same" | "later" | "earlier";
 
 /**
  * Milliseconds for which a record of an earlier birth is taken for a write that was done late, and the server gets nothing: three
  * times the 1.5 s after which the later life writes again. If it does not, its clock had run ahead and the record is of a new life.
  */
-export const lateWriteTime: Milliseconds = milliseconds(4500);
+export const lateWriteGracePeriod: Milliseconds = milliseconds(4500);
 
 /** Compares the lives of two records of one server. Without a time of birth, as in copies of earlier releases, an id is one life. */
-export function lifeOfRecord(next: BackendServerRecord, known: BackendServerRecord): LifeOfRecord {
+export function compareIncarnations(next: BackendServerRecord, known: BackendServerRecord): IncarnationOrder {
     if (next.bornAt === undefined || known.bornAt === undefined || next.bornAt === known.bornAt) {
         return "same";
     }
@@ -38,7 +38,7 @@
  * A newer record of the same life. A life that has said that it is leaving does not take that back: such a record was written
  * before. It keeps the time of birth that a copy of an earlier release has left out.
  */
-export function recordOfSameLife(next: BackendServerRecord, known: BackendServerRecord): BackendServerRecord {
+export function mergeSameIncarnation(next: BackendServerRecord, known: BackendServerRecord): BackendServerRecord {
     if (known.bornAt === undefined) {
         return next;
     }
--- a/packages/decisions/src/servers/server-record.ts
+++ b/packages/decisions/src/servers/server-record.ts
@@ -42,4 +42,4 @@
  * Time for a record to get from its writer to a box, at most in ordinary times: half of the shortest bound on changes. A cold
  * server counts as cold for so much longer.
  */
-export const recordDelay = milliseconds(1000);
+export const recordPropagationDelay = milliseconds(1000);
--- a/packages/decisions/src/servers/server-state.ts
+++ b/packages/decisions/src/servers/server-state.ts
@@ -11,7 +11,7 @@
 import { createEjection, type FailureKind } from "./ejection.js";
 import type { KnownLimit } from "./limit-share.js";
 import { createServerLoad, type LoadReport } from "./load-estimate.js";
-import { createNamedLimit, type LimitWord } from "./named-limit.js";
+import { createServerRateLimit, type LimitUpdate } from "./named-limit.js";
 import { createOutlierDetection } from "./outlier-detection.js";
 import type { BackendServerRecord } from "./server-record.js";
 import { createServerSpeed } from "./server-speed.js";
@@ -34,7 +34,7 @@
     /** Takes a newer record of the same life. */
     readonly applyRecord: (record: BackendServerRecord, at: Milliseconds) => void;
     /** Discovery has a record of an earlier life, which may have been written late, or has one of this life again. */
-    readonly setDoubted: (isDoubted: boolean) => void;
+    readonly setIncarnationUncertain: (isDoubted: boolean) => void;
     /**
      * The server says in an answer that it is leaving. Holds for the rest of its life, whatever its record says: that may be written
      * seconds later, or never.
@@ -45,7 +45,7 @@
     /** When the back-off that the server asked for is over; in the past if it asked for none. */
     readonly backoffUntil: () => Milliseconds;
     /** When it asked for back-off last; long ago if it never did. */
-    readonly backoffAskedAt: () => Milliseconds;
+    readonly backoffRequestedAt: () => Milliseconds;
     /** Discovery no longer lists the server. */
     readonly onUnlisted: () => void;
     /** True while discovery lists the server. */
@@ -72,14 +72,14 @@
     readonly onReplaced: () => void;
     /** The server says that it stays cold for so long. */
     readonly onCold: (at: Milliseconds, duration: Milliseconds) => void;
-    /** The server, or a box that heard it, says which rate it takes; true if others have to know. See `NamedLimit`. */
-    readonly onLimit: (word: LimitWord) => boolean;
+    /** The server, or a box that heard it, says which rate it takes; true if others have to know. See `ServerRateLimit`. */
+    readonly onLimitUpdate: (word: LimitUpdate) => boolean;
     /** The newest word of the rate that it takes; undefined if it never named one. */
-    readonly limit: () => LimitWord | undefined;
+    readonly limit: () => LimitUpdate | undefined;
     /** Why the server gets nothing now, or undefined if it may. Outliers are not among them: see `severity`. */
-    readonly exclusion: (at: Milliseconds) => ExclusionReason | undefined;
+    readonly exclusionReason: (at: Milliseconds) => ExclusionReason | undefined;
     /** True if the server must get nothing more: it drains, says that it is leaving, is not listed, has lost its address, or its life is in doubt. */
-    readonly hasLeft: () => boolean;
+    readonly isOutOfService: () => boolean;
     readonly isCold: (at: Milliseconds) => boolean;
     /** Requests at the server, running and waiting, as far as this box knows. */
     readonly load: (at: Milliseconds) => number;
@@ -96,9 +96,9 @@
 export interface ServerStateOptions {
     readonly slowStart: SharedRate;
     /** Creates this box's part of the rate that the server names; `known` gives what is known of it now. */
-    readonly shareLimit: (known: () => KnownLimit) => SharedRate;
+    readonly createLimitShare: (known: () => KnownLimit) => SharedRate;
     /** Added to the time that a record says a server stays cold, for the record's way here. */
-    readonly recordDelay: Milliseconds;
+    readonly recordPropagationDelay: Milliseconds;
 }
 
 /**
@@ -121,7 +121,7 @@
     const speed = createServerSpeed(at);
     const outliers = createOutlierDetection(at);
     const ejection = createEjection();
-    const limit = createNamedLimit();
+    const limit = createServerRateLimit();
     /** This box's part of the limit; undefined while none holds. */
     let limitShare: SharedRate | undefined;
     let record = first;
@@ -142,7 +142,7 @@
             record = next;
             unlisted = false;
         },
-        setDoubted(isDoubted) {
+        setIncarnationUncertain(isDoubted) {
             doubted = isDoubted;
         },
         onLeaving() {
@@ -153,7 +153,7 @@
             backoffUntil = milliseconds(Math.max(backoffUntil, now + Math.min(duration, longestBackoff)));
         },
         backoffUntil: () => backoffUntil,
-        backoffAskedAt: () => backoffAskedAt,
+        backoffRequestedAt: () => backoffAskedAt,
         onUnlisted() {
             unlisted = true;
         },
@@ -179,16 +179,16 @@
         onCold(now, duration) {
             coldUntil = Math.max(coldUntil, now + duration);
         },
-        onLimit(word) {
-            const isNews = limit.onWord(word);
+        onLimitUpdate(word) {
+            const isNews = limit.onUpdate(word);
             limitShare = limit.rate() === undefined
                 ? undefined
-                : limitShare ?? options.shareLimit(knownLimit);
+                : limitShare ?? options.createLimitShare(knownLimit);
             return isNews;
         },
-        limit: limit.word,
-        exclusion,
-        hasLeft: () => reasonOfLeaving() !== undefined,
+        limit: limit.latestUpdate,
+        exclusionReason: exclusion,
+        isOutOfService: () => reasonOfLeaving() !== undefined,
         isCold,
         load: now => load.estimate(now, record.slots),
         slowness: speed.slowness,
@@ -205,7 +205,7 @@
     };
 
     function knownLimit(): KnownLimit {
-        return { rate: limit.rate() ?? 0, heardAt: limit.word()?.at ?? at };
+        return { rate: limit.rate() ?? 0, updatedAt: limit.latestUpdate()?.at ?? at };
     }
 
     function reasonOfLeaving(): "replaced" | "draining" | "leaving" | "unlisted" | "doubted" | undefined {
@@ -256,6 +256,6 @@
     }
 
     function coldEnd(told: BackendServerRecord, now: Milliseconds): number {
-        return told.coldFor > 0 ? milliseconds(now + told.coldFor + options.recordDelay) : 0;
+        return told.coldFor > 0 ? milliseconds(now + told.coldFor + options.recordPropagationDelay) : 0;
     }
 }
--- a/packages/decisions/src/servers/shared-evidence.ts
+++ b/packages/decisions/src/servers/shared-evidence.ts
@@ -13,7 +13,7 @@
 import type { BackendServerId, BoxId, Milliseconds } from "@chalkdale/kernel";
 
 /** One box's view of one server. */
-export interface ServerReport {
+export interface OutlierReport {
     readonly server: BackendServerId;
     /** The box whose own answers show it. */
     readonly origin: BoxId;
@@ -24,14 +24,14 @@
 }
 
 /** Reports of the other boxes. */
-export interface SharedEvidence {
-    readonly onReport: (report: ServerReport, now: Milliseconds) => void;
+export interface OutlierReports {
+    readonly onReport: (report: OutlierReport, now: Milliseconds) => void;
     /** How badly the server does by the lower one of two boxes' views; 0 unless two agree. `own` is this box's view. */
     readonly severity: (server: BackendServerId, own: number, now: Milliseconds) => number;
     /** The server has started again: what was so before says nothing of its new life. */
     readonly forget: (server: BackendServerId, now: Milliseconds) => void;
     /** Reports that are fresh enough to be passed on. */
-    readonly reports: (now: Milliseconds) => readonly ServerReport[];
+    readonly reports: (now: Milliseconds) => readonly OutlierReport[];
 }
 
 /** Milliseconds for which a report counts: eight rounds of gossip, in which it reaches all boxes of a region of 80. */
@@ -40,8 +40,8 @@
 const originsKept = 2;
 
 /** Creates the evidence of a box that has heard nothing. */
-export function createSharedEvidence(self: BoxId): SharedEvidence {
-    const byServer = new Map<BackendServerId, readonly ServerReport[]>();
+export function createOutlierReports(self: BoxId): OutlierReports {
+    const byServer = new Map<BackendServerId, readonly OutlierReport[]>();
     /** When this box learned of a server's new life, for as long as older reports may still come. */
     const restartedAt = new Map<BackendServerId, Milliseconds>();
 
@@ -73,7 +73,7 @@
         },
     };
 
-    function freshReports(server: BackendServerId, now: Milliseconds): readonly ServerReport[] {
+    function freshReports(server: BackendServerId, now: Milliseconds): readonly OutlierReport[] {
         const reports = byServer.get(server) ?? [];
         const fresh = reports.filter(report => isFresh(report, now));
         if (fresh.length === 0) {
@@ -83,6 +83,6 @@
     }
 }
 
-function isFresh(report: ServerReport, now: Milliseconds): boolean {
+function isFresh(report: OutlierReport, now: Milliseconds): boolean {
     return now - report.at < reportLifetime;
 }
--- a/packages/decisions/src/servers/slow-start.ts
+++ b/packages/decisions/src/servers/slow-start.ts
@@ -31,9 +31,9 @@
         subject: server,
         boxes,
         rate,
-        mostHolders: () => mostSenders,
-        usedPart,
-        savedPart: 0,
+        maxHolders: () => mostSenders,
+        usedFraction: usedPart,
+        savedFraction: 0,
         firstRequest: "atOnce",
     });
 }
--- a/packages/decisions/src/shared-state/copy-refresh.ts
+++ b/packages/decisions/src/shared-state/copy-refresh.ts
@@ -25,15 +25,15 @@
 const firstCopyFromOtherRegion = milliseconds(400);
 
 /** What a box knows when another one's copy turns out to hold more. */
-export interface HeadStartInputs {
+export interface SnapshotDelayInputs {
     /** The box has a copy of the kind. */
     readonly hasCopy: boolean;
     /** The box always watches the store. */
-    readonly alwaysFollows: boolean;
+    readonly alwaysFollowsStore: boolean;
     /** The store does not answer this box. */
-    readonly isStoreLost: boolean;
+    readonly isStoreUnavailable: boolean;
     /** No box of the region has told of its copies for longer than one that follows the store would take. */
-    readonly isOverdue: boolean;
+    readonly isStale: boolean;
     /** The other box is of the same region. */
     readonly isSameRegion: boolean;
 }
@@ -42,20 +42,20 @@
  * Milliseconds that a message from another region is on its way at most; an age that it tells is so much older. Without it, ages
  * that were told to and fro between regions grew by 260 ms in 300 ms (computed, for a way of 35 ms).
  */
-export const farMessageAge = 100;
+export const maxInterRegionDelay = 100;
 
 /** Returns how long changes may take by the ordinary way; a box that has no copy at all hardly waits. */
-export function snapshotHeadStart(inputs: HeadStartInputs): Milliseconds {
+export function snapshotDelay(inputs: SnapshotDelayInputs): Milliseconds {
     if (!inputs.hasCopy) {
         return inputs.isSameRegion ? milliseconds(0) : firstCopyFromOtherRegion;
     }
-    if (inputs.alwaysFollows && !inputs.isStoreLost) {
+    if (inputs.alwaysFollowsStore && !inputs.isStoreUnavailable) {
         return headStart.watch;
     }
-    if (inputs.isSameRegion || inputs.isOverdue) {
+    if (inputs.isSameRegion || inputs.isStale) {
         return headStart.relay;
     }
-    return inputs.isStoreLost ? headStart.watch : headStart.otherRegion;
+    return inputs.isStoreUnavailable ? headStart.watch : headStart.otherRegion;
 }
 
 /**
@@ -63,7 +63,7 @@
  * It counts towards the time in which a change must be in force. Without it a large
  * fleet would make several times as many calls.
  */
-export const pauseAfterChange: Readonly<Record<SharedKind, Milliseconds>> = {
+export const watchPauseAfterChange: Readonly<Record<SharedKind, Milliseconds>> = {
     configuration: milliseconds(200),
     servers: milliseconds(500),
     closedZones: milliseconds(200),
@@ -72,7 +72,7 @@
 };
 
 /** First pause after a call that failed. */
-export const firstBackoff = milliseconds(150);
+export const initialBackoff = milliseconds(150);
 /** Longest pause of a box that always follows the store: within the bound on changes with a call of its own time. */
 const longestBackoff = 1200;
 /** Longest pause of a box that stands in for a relay; many may stand in at once, and each call is paid for. */
@@ -86,6 +86,6 @@
 }
 
 /** Returns how long to wait for a pause; `chance` is from 0 to 1. */
-export function spreadBackoff(backoff: Milliseconds, chance: number): Milliseconds {
+export function jitteredBackoff(backoff: Milliseconds, chance: number): Milliseconds {
     return milliseconds(backoff * (1 - backoffSpread + 2 * backoffSpread * chance));
 }
--- a/packages/decisions/src/shared-state/kinds.ts
+++ b/packages/decisions/src/shared-state/kinds.ts
@@ -26,9 +26,9 @@
 export const sharedKinds: readonly SharedKind[] = ["configuration", "servers", "closedZones", "rollouts"];
 
 /** Kinds that every box copies; the others are copied where the settings call for them. */
-export const commonKinds = ["configuration", "servers", "closedZones"] as const satisfies readonly SharedKind[];
+export const requiredKinds = ["configuration", "servers", "closedZones"] as const satisfies readonly SharedKind[];
 
 /** Returns the kinds that a box copies: without roll-outs it makes no call and sends no byte for their orders. */
-export function copiedKinds(hasRollouts: boolean): readonly SharedKind[] {
-    return hasRollouts ? sharedKinds : commonKinds;
+export function replicatedKinds(hasRollouts: boolean): readonly SharedKind[] {
+    return hasRollouts ? sharedKinds : requiredKinds;
 }
--- a/packages/decisions/src/shared-state/relay-role.ts
+++ b/packages/decisions/src/shared-state/relay-role.ts
@@ -24,10 +24,10 @@
  */
 
 import { type BoxId, type Clock, type Milliseconds, milliseconds, type RegionId } from "@chalkdale/kernel";
-import { type MemberRecord, sortStrongestFirst } from "../membership/member-record.js";
+import { type MemberRecord, sortByCapacity } from "../membership/member-record.js";
 import { gossipInterval } from "../membership/membership-times.js";
 import type { SharedKind } from "./kinds.js";
-import { mostTelling, overdueAfter, type TurnedAwayBoxes } from "./turned-away.js";
+import { maxUnservedBroadcasts, type UnservedBoxes, watchOverdueAfter } from "./turned-away.js";
 
 /**
  * Regions with fewer boxes have no relay: each box waits at the store itself. Its calls
@@ -81,28 +81,28 @@
 const digestPart = 0.15;
 
 /** Returns the rounds of gossip between two such messages: 2 for a bound of 4 s. */
-export function digestRounds(changeBound: Milliseconds): number {
+export function roundsBetweenDigests(changeBound: Milliseconds): number {
     return Math.max(1, Math.round(changeBound * digestPart / gossipInterval));
 }
 
 /** The part of one box in following the store. */
 export interface RelayRole {
     /** True if the region has a relay, this box or another. */
-    readonly isRelayed: () => boolean;
+    readonly hasRelay: () => boolean;
     /** True if this box is the relay of its region, or the region has none. */
-    readonly alwaysFollows: () => boolean;
+    readonly alwaysFollowsStore: () => boolean;
     /** Age of a copy of a kind from which this box follows the store itself; 0 for a box that always does. */
-    readonly followAfterAge: (kind: SharedKind) => Milliseconds;
+    readonly followStoreAfterAge: (kind: SharedKind) => Milliseconds;
     /** True if the boxes of the region learn from this one that their copies are complete. */
     readonly confirmsForRegion: () => boolean;
     /** Age of a copy from which a watch that still waits is taken for lost, and the store asked anew on another connection. */
-    readonly askAnewAfterAge: (kind: SharedKind) => Milliseconds;
+    readonly reconnectAfterAge: (kind: SharedKind) => Milliseconds;
     /** True for an age that a copy of the kind does not reach, in a region with a relay, while a box of it follows the store. */
-    readonly isOverdue: (kind: SharedKind, age: number) => boolean;
+    readonly isStale: (kind: SharedKind, age: number) => boolean;
     /** True if this box should tell its whole region at once that it is turned away: few others have. */
-    readonly tellsTurnedAway: () => boolean;
+    readonly shouldBroadcastUnserved: () => boolean;
     /** True while the store turns a box of the region away, as far as this box knows. */
-    readonly isAnyTurnedAway: () => boolean;
+    readonly isAnyUnserved: () => boolean;
     /** Time after the start in which the box does not follow the store yet. */
     readonly settleTime: Milliseconds;
     /** How long a watch of a kind may wait without a change, or undefined if no other box depends on this one. */
@@ -115,9 +115,9 @@
     /** Boxes that run, this one included; read at each use. */
     readonly alive: () => readonly MemberRecord[];
     /** Time in which a change must be in force. */
-    readonly changeBound: Milliseconds;
+    readonly maxPropagationDelay: Milliseconds;
     /** Boxes that the store turns away, this one maybe among them. */
-    readonly turnedAway: Pick<TurnedAwayBoxes, "has">;
+    readonly turnedAway: Pick<UnservedBoxes, "has">;
     readonly clock: Clock;
     /** Time since this box started. */
     readonly uptime: () => Milliseconds;
@@ -125,18 +125,19 @@
 
 /** Creates the role of one box. The strongest box of a region is its relay. */
 export function createRelayRole(options: RelayRoleOptions): RelayRole {
-    const { changeBound, self } = options;
+    const { maxPropagationDelay: changeBound, self } = options;
     const settleTime = milliseconds(changeBound * settlePart);
 
     return {
-        isRelayed,
-        alwaysFollows: () => followAfterAge("configuration") === 0,
-        followAfterAge,
+        hasRelay: isRelayed,
+        alwaysFollowsStore: () => followAfterAge("configuration") === 0,
+        followStoreAfterAge: followAfterAge,
         confirmsForRegion,
-        askAnewAfterAge,
-        isOverdue,
-        tellsTurnedAway: () => isRelayed() && boxesOfRegion().filter(isTurnedAway).length <= mostTelling,
-        isAnyTurnedAway,
+        reconnectAfterAge: askAnewAfterAge,
+        isStale: isOverdue,
+        shouldBroadcastUnserved: () =>
+            isRelayed() && boxesOfRegion().filter(isTurnedAway).length <= maxUnservedBroadcasts,
+        isAnyUnserved: isAnyTurnedAway,
         settleTime,
         watchWait,
     };
@@ -154,12 +155,12 @@
 
     function askAnewAfterAge(kind: SharedKind): Milliseconds {
         const part = isRelayed() ? watchPartOf(kind) : confirmPartOf(kind) + confirmRankPart * rankOfSelf();
-        return milliseconds(changeBound * part + overdueAfter);
+        return milliseconds(changeBound * part + watchOverdueAfter);
     }
 
     /** 0 for the strongest box of the region; a box that leaves comes after all others. */
     function rankOfSelf(): number {
-        const ranked = sortStrongestFirst(boxesOfRegion());
+        const ranked = sortByCapacity(boxesOfRegion());
         const rank = rankOf(ranked);
         return rank < 0 ? ranked.length : rank;
     }
@@ -178,7 +179,7 @@
     }
 
     function followAfterAge(kind: SharedKind): Milliseconds {
-        const ranked = sortStrongestFirst(boxesOfRegion());
+        const ranked = sortByCapacity(boxesOfRegion());
         const rank = rankOf(ranked);
         if (ranked.length < leastRelayedBoxes || rank < 0) {
             return afterSettling(milliseconds(0));
@@ -187,7 +188,7 @@
         if (open.length === ranked.length || rankOf(open) < 0) {
             return afterSettling(patienceOf(kind, rank, open.length < ranked.length));
         }
-        const isReplacement = rankOf(open) === 0 && ranked.length - open.length <= mostTelling;
+        const isReplacement = rankOf(open) === 0 && ranked.length - open.length <= maxUnservedBroadcasts;
         return afterSettling(isReplacement ? milliseconds(0) : standInAge(kind, rankOf(open)));
     }
 
--- a/packages/decisions/src/shared-state/replica.ts
+++ b/packages/decisions/src/shared-state/replica.ts
@@ -14,7 +14,7 @@
  */
 
 import { type Clock, type Milliseconds, milliseconds } from "@chalkdale/kernel";
-import { createRestoredEntries, type RestorePolicy } from "./restored-entries.js";
+import { createHeldEntries, type RetentionPolicy } from "./restored-entries.js";
 import { epochOf } from "./store-position.js";
 
 /** A complete copy as of a revision. */
@@ -43,7 +43,7 @@
     /** Revision up to which the copy is complete; undefined before the first snapshot. */
     readonly revision: () => number | undefined;
     /** Revision of the last change that the copy holds. */
-    readonly changedRevision: () => number;
+    readonly lastChangeRevision: () => number;
     /** Replaces the copy, but for what a store that came back older has lost; false if it is not newer. */
     readonly applySnapshot: (snapshot: Snapshot<Item>) => boolean;
     /**
@@ -53,7 +53,7 @@
     readonly applyChanges: (since: number, changes: readonly ItemChange<Item>[], revision: number) => boolean;
     readonly snapshot: () => Snapshot<Item> | undefined;
     /** Ends what was held against the store's word for long enough. Due some times a second. */
-    readonly expireHeld: () => void;
+    readonly expireHeldEntries: () => void;
     /** What a copy that is complete up to `since` lacks; undefined if the changes kept don't reach back so far. */
     readonly changesSince: (since: number) => MissingChanges<Item> | undefined;
 }
@@ -73,9 +73,9 @@
 /** What a copy needs to go through a restore of the store; without it such a store's word counts at once. */
 export interface RestoreOptions<Item> {
     readonly clock: Clock;
-    readonly policy: RestorePolicy<Item>;
+    readonly policy: RetentionPolicy<Item>;
     /** The store has come back from an older copy; names of the entries that are held. */
-    readonly onRestored: (revision: number, previous: number, held: readonly string[]) => void;
+    readonly onStoreRestored: (revision: number, previous: number, held: readonly string[]) => void;
 }
 
 /** Milliseconds for which the copy remembers that an entry is gone: a store comes back from a copy of some seconds before. */
@@ -84,7 +84,12 @@
 const mostGone = 1024;
 
 /** Policy of a copy that holds nothing. */
-const holdNothing: RestorePolicy<unknown> = { missingFor: 0, goneFor: 0, olderFor: 0, isOlder: () => false };
+const holdNothing: RetentionPolicy<unknown> = {
+    missingRetention: 0,
+    deletedRetention: 0,
+    outdatedRetention: 0,
+    isOlder: () => false,
+};
 
 /** Creates an empty copy. */
 export function createReplica<Item>(
@@ -93,7 +98,7 @@
     restore?: RestoreOptions<Item>,
 ): Replica<Item> {
     const clock = restore?.clock ?? (() => milliseconds(0));
-    const held = createRestoredEntries<Item>(restore?.policy ?? holdNothing);
+    const held = createHeldEntries<Item>(restore?.policy ?? holdNothing);
     /** Entries that are gone, and when this copy learned of it. */
     const goneAt = new Map<string, Milliseconds>();
     /** What the store has. */
@@ -106,7 +111,7 @@
 
     return {
         revision: () => revision,
-        changedRevision: () => changedRevision,
+        lastChangeRevision: () => changedRevision,
         applySnapshot(snapshot) {
             if (revision !== undefined && snapshot.revision <= revision) {
                 return false;
@@ -142,7 +147,7 @@
             return true;
         },
         snapshot: () => revision === undefined ? undefined : { revision, items: [...items.values()], ...heldPart() },
-        expireHeld() {
+        expireHeldEntries() {
             if (held.expire(clock())) {
                 publish();
             }
@@ -189,8 +194,8 @@
     function onRestored(next: ReadonlyMap<string, Item>, at: number, previous: number): void {
         const since = clock() - goneRemembered;
         const gone = [...goneAt].filter(([, wentAt]) => wentAt >= since).map(([name]) => name);
-        held.onRestored({ items: held.overlay(items), gone }, next, clock());
-        restore?.onRestored(at, previous, [...held.all().keys()]);
+        held.onStoreRestored({ items: held.overlay(items), gone }, next, clock());
+        restore?.onStoreRestored(at, previous, [...held.all().keys()]);
     }
 
     /** A whole list of the epoch that goes on: what it has of the held entries was written again. */
@@ -207,7 +212,7 @@
 
     function takeHeld(changes: readonly ItemChange<Item>[]): void {
         changes.forEach(change =>
-            held.take(change.name, change.kind === "put" ? change.item : undefined, items, clock())
+            held.addIfAbsent(change.name, change.kind === "put" ? change.item : undefined, items, clock())
         );
     }
 
--- a/packages/decisions/src/shared-state/restore-policies.ts
+++ b/packages/decisions/src/shared-state/restore-policies.ts
@@ -7,17 +7,17 @@
 
 import type { AvailabilityZoneId } from "@chalkdale/kernel";
 import type { RolloutOrder } from "../rollouts/rollout-order.js";
-import { lifeOfRecord } from "../servers/server-life.js";
+import { compareIncarnations } from "../servers/server-life.js";
 import type { BackendServerRecord } from "../servers/server-record.js";
 import type { Configuration } from "./configuration.js";
 import type { SharedItems, SharedKind } from "./kinds.js";
-import type { RestorePolicy } from "./restored-entries.js";
+import type { RetentionPolicy } from "./restored-entries.js";
 
 /** A version that was in force never gives way to an older one. */
-const configuration: RestorePolicy<Configuration> = {
-    missingFor: Infinity,
-    goneFor: 0,
-    olderFor: Infinity,
+const configuration: RetentionPolicy<Configuration> = {
+    missingRetention: Infinity,
+    deletedRetention: 0,
+    outdatedRetention: Infinity,
     isOlder: (told, known) => told.version < known.version,
 };
 
@@ -25,31 +25,31 @@
  * A server that lives writes its record again within 2 s; one that doesn't must not get requests for long. One that was leaving or
  * had gone may have an old record until that lapses, after three heartbeats.
  */
-const servers: RestorePolicy<BackendServerRecord> = {
-    missingFor: 2500,
-    goneFor: 6000,
-    olderFor: 6000,
+const servers: RetentionPolicy<BackendServerRecord> = {
+    missingRetention: 2500,
+    deletedRetention: 6000,
+    outdatedRetention: 6000,
     isOlder: isOlderRecord,
 };
 
 /** A zone stays closed for as long as operators may take to write again. One that is listed as closed is closed. */
-const closedZones: RestorePolicy<AvailabilityZoneId> = {
-    missingFor: 10_000,
-    goneFor: 0,
-    olderFor: 0,
+const closedZones: RetentionPolicy<AvailabilityZoneId> = {
+    missingRetention: 10_000,
+    deletedRetention: 0,
+    outdatedRetention: 0,
     isOlder: () => false,
 };
 
 /** The state of an order is the boxes' own word, which they write again (`restored-orders`). */
-const rollouts: RestorePolicy<RolloutOrder> = {
-    missingFor: 10_000,
-    goneFor: 10_000,
-    olderFor: 0,
+const rollouts: RetentionPolicy<RolloutOrder> = {
+    missingRetention: 10_000,
+    deletedRetention: 10_000,
+    outdatedRetention: 0,
     isOlder: () => false,
 };
 
 /** The policies by kind. */
-export const restorePolicies: { readonly [Kind in SharedKind]: RestorePolicy<SharedItems[Kind]>; } = {
+export const retentionPolicies: { readonly [Kind in SharedKind]: RetentionPolicy<SharedItems[Kind]>; } = {
     configuration,
     servers,
     closedZones,
@@ -58,7 +58,7 @@
 
 /** Of one life the record before it was leaving is the older one. */
 function isOlderRecord(told: BackendServerRecord, known: BackendServerRecord): boolean {
-    switch (lifeOfRecord(told, known)) {
+    switch (compareIncarnations(told, known)) {
         case "earlier":
             return true;
         case "later":
--- a/packages/decisions/src/shared-state/restored-entries.ts
+++ b/packages/decisions/src/shared-state/restored-entries.ts
@@ -9,13 +9,13 @@
 import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
 
 /** How long each sort of lost entry is believed in, in milliseconds; 0 for not at all. */
-export interface RestorePolicy<Item> {
+export interface RetentionPolicy<Item> {
     /** The store no longer has the entry. */
-    readonly missingFor: number;
+    readonly missingRetention: number;
     /** The store has an entry again that was gone. */
-    readonly goneFor: number;
+    readonly deletedRetention: number;
     /** The store has an older state of the entry. */
-    readonly olderFor: number;
+    readonly outdatedRetention: number;
     /** True if `told` was written before `known`, whatever their revisions. */
     readonly isOlder: (told: Item, known: Item) => boolean;
 }
@@ -34,13 +34,18 @@
 }
 
 /** The entries that a copy holds against the store's word. */
-export interface RestoredEntries<Item> {
+export interface HeldEntries<Item> {
     /** The store has come back, and has these. Everything that was known and is lost is held from now on. */
-    readonly onRestored: (known: KnownEntries<Item>, stored: ReadonlyMap<string, Item>, at: Milliseconds) => void;
+    readonly onStoreRestored: (known: KnownEntries<Item>, stored: ReadonlyMap<string, Item>, at: Milliseconds) => void;
     /** The store has the entry so, as it was written since it came back; undefined: gone. */
     readonly onWritten: (name: string, item: Item | undefined) => void;
     /** Takes what another box holds, where this copy knows nothing of the entry. */
-    readonly take: (name: string, item: Item | undefined, stored: ReadonlyMap<string, Item>, at: Milliseconds) => void;
+    readonly addIfAbsent: (
+        name: string,
+        item: Item | undefined,
+        stored: ReadonlyMap<string, Item>,
+        at: Milliseconds,
+    ) => void;
     /** Ends what has had its time; true if anything has. */
     readonly expire: (at: Milliseconds) => boolean;
     /** The entries that are in force beside what the store has. */
@@ -50,11 +55,11 @@
 }
 
 /** Creates it without entries. */
-export function createRestoredEntries<Item>(policy: RestorePolicy<Item>): RestoredEntries<Item> {
+export function createHeldEntries<Item>(policy: RetentionPolicy<Item>): HeldEntries<Item> {
     let held = new Map<string, HeldEntry<Item>>();
 
     return {
-        onRestored({ gone, items }, stored, at) {
+        onStoreRestored({ gone, items }, stored, at) {
             held = new Map();
             items.forEach((item, name) => holdItem(name, item, stored, at));
             for (const name of gone) {
@@ -68,7 +73,7 @@
                 held.delete(name);
             }
         },
-        take(name, item, stored, at) {
+        addIfAbsent(name, item, stored, at) {
             if (held.has(name)) {
                 return;
             }
@@ -95,16 +100,16 @@
     function holdItem(name: string, item: Item, stored: ReadonlyMap<string, Item>, at: Milliseconds): void {
         const told = stored.get(name);
         if (told === undefined) {
-            hold(name, item, policy.missingFor, at);
+            hold(name, item, policy.missingRetention, at);
         }
         else if (policy.isOlder(told, item)) {
-            hold(name, item, policy.olderFor, at);
+            hold(name, item, policy.outdatedRetention, at);
         }
     }
 
     function holdGone(name: string, stored: ReadonlyMap<string, Item>, at: Milliseconds): void {
         if (stored.has(name)) {
-            hold(name, undefined, policy.goneFor, at);
+            hold(name, undefined, policy.deletedRetention, at);
         }
     }
 
--- a/packages/decisions/src/shared-state/store-position.ts
+++ b/packages/decisions/src/shared-state/store-position.ts
@@ -26,14 +26,14 @@
 }
 
 /** Returns the store's own revision within the epoch. */
-export function revisionWithin(position: number): number {
+export function revisionInEpoch(position: number): number {
     return position % revisionsOfEpoch;
 }
 
 /** Returns a position as lines show it: the revision, after the epoch where the store tells one. */
 export function describePosition(position: number): string {
     const epoch = epochOf(position);
-    const revision = String(revisionWithin(position));
+    const revision = String(revisionInEpoch(position));
     return epoch === 0 ? revision : `${epoch}/${revision}`;
 }
 
