--- a/packages/decisions/test/admission.test.ts
+++ b/packages/decisions/test/admission.test.ts
@@ -4,11 +4,11 @@
 import {
     type AdmissionInputs,
     admit,
+    allowedRegionsOf,
     type Configuration,
-    createKeyTable,
+    createCustomerTable,
     createRouteTable,
     type Customer,
-    homesOf,
     type Route,
 } from "../src/index.js";
 
@@ -46,15 +46,15 @@
     },
     access: { kind: "anyone" },
 };
-const bounds = { changeInForce: milliseconds(3000), revocation: undefined };
+const bounds = { maxPropagationDelay: milliseconds(3000), maxKeyCopyAge: undefined };
 
 describe("admission", () => {
     const routes = createRouteTable(configuration);
     const ask = (changes: Partial<AdmissionInputs> = {}) =>
         admit({
             routes,
-            keys: createKeyTable(configuration.access),
-            isComplete: true,
+            keys: createCustomerTable(configuration.access),
+            isStateComplete: true,
             phase: "running",
             host: "app.example:80",
             path: "/climbs/3",
@@ -75,7 +75,7 @@
 
     it("says that there is no route only with a configuration in force [P10]", () => {
         expect(ask({ host: "other.example" })).to.deep.equal({ kind: "refused", refusal: "noRoute" });
-        for (const incomplete of [{ routes: undefined }, { isComplete: false }]) {
+        for (const incomplete of [{ routes: undefined }, { isStateComplete: false }]) {
             expect(ask({ ...incomplete, host: "other.example" })).to.deep.equal({
                 kind: "refused",
                 refusal: "notReady",
@@ -89,7 +89,7 @@
     });
 
     describe("with customers", () => {
-        const keys = createKeyTable({ kind: "customers", customers: [customer] });
+        const keys = createCustomerTable({ kind: "customers", customers: [customer] });
         const outcome = (changes: Partial<AdmissionInputs>) => {
             const admission = ask({ keys, ...changes });
             return admission.kind === "refused" ? admission.refusal : admission.customer?.id ?? "nobody";
@@ -134,7 +134,10 @@
             it(`by a copy that is ${copy}: known ${whenKnown}, unknown ${whenUnknown} [P21]`, () => {
                 const inputs = {
                     configurationAge: milliseconds(age),
-                    bounds: { ...bounds, revocation: revocation === undefined ? undefined : milliseconds(revocation) },
+                    bounds: {
+                        ...bounds,
+                        maxKeyCopyAge: revocation === undefined ? undefined : milliseconds(revocation),
+                    },
                 };
                 expect(outcome({ ...inputs, key: known })).to.equal(whenKnown);
                 expect(outcome({ ...inputs, key: unknown })).to.equal(whenUnknown);
@@ -144,7 +147,7 @@
 
         it("says that it isn't ready before any copy, whatever the key", () => {
             expect(outcome({ keys: undefined, key: known })).to.equal("notReady");
-            expect(outcome({ isComplete: false, key: unknown })).to.equal("notReady");
+            expect(outcome({ isStateComplete: false, key: unknown })).to.equal("notReady");
         });
 
         it("lets no one in by a text that is no key [P21]", () => {
@@ -158,7 +161,7 @@
 
 describe("homes of a request [P15]", () => {
     const homes = (ofRoute: readonly string[], ofCustomer: readonly string[] | undefined) => {
-        const found = homesOf(
+        const found = allowedRegionsOf(
             route("r", "/", { homeRegions: ofRoute.map(regionId) }),
             ofCustomer && { ...customer, homeRegions: ofCustomer.map(regionId) },
         );
--- a/packages/decisions/test/advertised-boxes.test.ts
+++ b/packages/decisions/test/advertised-boxes.test.ts
@@ -1,6 +1,6 @@
 import { regionId } from "@chalkdale/kernel";
 import { expect } from "chai";
-import { advertisedBoxes, advertisedBoxesOfRegion, boxesNear, type MemberRecord } from "../src/index.js";
+import { advertisedBoxes, advertisedBoxesOfRegion, eligibleSenders, type MemberRecord } from "../src/index.js";
 import { createMember } from "./member.js";
 
 describe("advertised boxes", () => {
@@ -43,7 +43,7 @@
 
     it("send to cold servers of their region, and to others only where there are none [P14]", () => {
         const south = createMember("x", { region: regionId("south") });
-        expect(boxesNear([...strong, south], regionId("south"))).to.deep.equal(["x"]);
-        expect(boxesNear(strong, regionId("south"))).to.have.length(3);
+        expect(eligibleSenders([...strong, south], regionId("south"))).to.deep.equal(["x"]);
+        expect(eligibleSenders(strong, regionId("south"))).to.have.length(3);
     });
 });
--- a/packages/decisions/test/choice-setup.ts
+++ b/packages/decisions/test/choice-setup.ts
@@ -15,12 +15,12 @@
     type BackendServerRecord,
     type ChoiceRequest,
     createLimitShare,
-    createMovedBytes,
     createRecentKeys,
     createServerCatalog,
     createServerChoice,
     createServerState,
     createSlowStart,
+    createTransferSizes,
     createWorkEstimate,
     hashKey,
     type Route,
@@ -30,7 +30,7 @@
 const service = serviceId("profiles");
 /** The box is the only one. */
 const onlyBox = [boxId("box-1")];
-const sharing = { self: onlyBox[0], boxes: () => onlyBox, allBoxes: () => onlyBox };
+const sharing = { self: onlyBox[0], boxes: () => onlyBox, advertisedBoxIds: () => onlyBox };
 /** The time of all choices. */
 export const at = milliseconds(1000);
 
@@ -80,22 +80,22 @@
 ) {
     const catalog = createServerCatalog((record, now) =>
         createServerState(record, now, {
-            recordDelay: milliseconds(0),
+            recordPropagationDelay: milliseconds(0),
             slowStart: createSlowStart({ ...sharing, server: record.id, rate: () => 10 }),
-            shareLimit: known => createLimitShare({ ...sharing, server: record.id }, known),
+            createLimitShare: known => createLimitShare({ ...sharing, server: record.id }, known),
         })
     );
     catalog.applyList(records, at);
     const recentKeys = createRecentKeys();
     const work = createWorkEstimate();
-    const movedBytes = createMovedBytes();
+    const movedBytes = createTransferSizes();
     const choose = createServerChoice({
         region: regionId("north"),
         zone: availabilityZoneId("north-a"),
         catalog,
         recentKeys,
-        work,
-        movedBytes,
+        workEstimate: work,
+        transferSizes: movedBytes,
         roundTrip: region => milliseconds(region === "north" ? 1 : 70),
         loadPerSlot: () => loadPerSlot,
         severity: (server, now) => server.state.severity(now),
@@ -107,10 +107,10 @@
         route: createRoute(),
         service,
         keyHash: hashKey(service, "key-1"),
-        homes: undefined,
+        allowedRegions: undefined,
         tried: new Set(),
         timeLeft: milliseconds(1500),
-        isReturning: false,
+        isCallerRetry: false,
         isTrial: false,
         at,
         ...changes,
--- a/packages/decisions/test/come-back.test.ts
+++ b/packages/decisions/test/come-back.test.ts
@@ -1,19 +1,19 @@
 import { milliseconds } from "@chalkdale/kernel";
 import { expect } from "chai";
-import { comeBackAfter, comeBackAfterBackoff } from "../src/index.js";
+import { retryAfterBackoff, retryAfterRefusal } from "../src/index.js";
 
 describe("the time to come back after servers' back-off", () => {
     it("is when the first one is back, spread, and never far off", () => {
-        expect(comeBackAfterBackoff(milliseconds(800), 0)).to.equal(800);
-        expect(comeBackAfterBackoff(milliseconds(800), 1)).to.equal(1300);
-        expect(comeBackAfterBackoff(milliseconds(0), 0)).to.equal(50);
-        expect(comeBackAfterBackoff(milliseconds(60_000), 1)).to.equal(2000);
+        expect(retryAfterBackoff(milliseconds(800), 0)).to.equal(800);
+        expect(retryAfterBackoff(milliseconds(800), 1)).to.equal(1300);
+        expect(retryAfterBackoff(milliseconds(0), 0)).to.equal(50);
+        expect(retryAfterBackoff(milliseconds(60_000), 1)).to.equal(2000);
     });
 });
 
 describe("the time to come back", () => {
-    const after = (refusal: Parameters<typeof comeBackAfter>[0], loadPerSlot: number) =>
-        comeBackAfter(refusal, { loadPerSlot, queuedWork: milliseconds(300) });
+    const after = (refusal: Parameters<typeof retryAfterRefusal>[0], loadPerSlot: number) =>
+        retryAfterRefusal(refusal, { loadPerSlot, queuedWork: milliseconds(300) });
 
     it("is at once where servers turned requests away with slots free", () => {
         expect(after("serversFull", 0.3)).to.equal(50);
--- a/packages/decisions/test/deadly-requests.test.ts
+++ b/packages/decisions/test/deadly-requests.test.ts
@@ -3,33 +3,33 @@
  * join, which ends count, what acquits, and when a trial is made.
  */
 
-import { answerId, milliseconds, requestFingerprint, serverLife } from "@chalkdale/kernel";
+import { answerId, milliseconds, requestFingerprint, serverIncarnationId } from "@chalkdale/kernel";
 import { expect } from "chai";
 import * as fc from "fast-check";
 import {
-    createDeadlyRecord,
-    deadlyLifetime,
-    type DeadlyRecord,
-    endsThatCount,
-    mergeDeadlyRecords,
-    standingOf,
+    createPoisonRequestRecord,
+    endsSinceLastAnswer,
+    mergePoisonRequestRecords,
+    poisonRecordLifetime,
+    type PoisonRequestRecord,
+    restrictionOf,
     trialDueAt,
 } from "../src/deadly/deadly-record.js";
-import { collectorsOf, createDeadlyRequests, type DeadlyRequests } from "../src/deadly/deadly-requests.js";
+import { collectorsOf, createPoisonRequests, type PoisonRequests } from "../src/deadly/deadly-requests.js";
 
 const fingerprint = requestFingerprint("0011223344");
-const life = (index: number) => serverLife(`i-${index}@1`);
+const life = (index: number) => serverIncarnationId(`i-${index}@1`);
 const at = (time: number) => milliseconds(time);
 
-function recordOf(endTimes: readonly number[], answerTimes: readonly number[] = []): DeadlyRecord {
+function recordOf(endTimes: readonly number[], answerTimes: readonly number[] = []): PoisonRequestRecord {
     const ends = endTimes.map((time, index) => ({ id: life(index), at: at(time) }));
     const answers = answerTimes.map((time, index) => ({ id: answerId(`b#${index}`), at: at(time) }));
-    return { ...createDeadlyRecord(fingerprint, at(0)), ends, answers };
+    return { ...createPoisonRequestRecord(fingerprint, at(0)), ends, answers };
 }
 
 describe("the record of a request under which servers end [P26]", () => {
     describe("its standing", () => {
-        const cases: readonly (readonly [string, readonly number[], ReturnType<typeof standingOf>])[] = [
+        const cases: readonly (readonly [string, readonly number[], ReturnType<typeof restrictionOf>])[] = [
             ["no end", [], "unsuspected"],
             ["one end", [1000], "watched"],
             ["two ends", [1000, 1200], "oneAtATime"],
@@ -39,7 +39,7 @@
         ];
         for (const [what, times, standing] of cases) {
             it(`is ${standing} after ${what}`, () => {
-                expect(standingOf(recordOf(times))).to.equal(standing);
+                expect(restrictionOf(recordOf(times))).to.equal(standing);
             });
         }
     });
@@ -47,27 +47,27 @@
     describe("joined with another box's", () => {
         it("counts a server once that two boxes saw end", () => {
             const other = { ...recordOf([]), ends: [{ id: life(0), at: at(1130) }, { id: life(7), at: at(1400) }] };
-            const joined = mergeDeadlyRecords(recordOf([1000]), other);
+            const joined = mergePoisonRequestRecords(recordOf([1000]), other);
             expect(joined.ends.map(end => end.at)).to.deep.equal([1000, 1400]);
-            expect(standingOf(joined)).to.equal("oneAtATime");
+            expect(restrictionOf(joined)).to.equal("oneAtATime");
         });
 
         it("counts nothing that ended before the request was answered elsewhere", () => {
-            const joined = mergeDeadlyRecords(recordOf([1000, 1200, 1900]), recordOf([], [1500]));
-            expect(endsThatCount(joined).map(end => end.at)).to.deep.equal([1900]);
+            const joined = mergePoisonRequestRecords(recordOf([1000, 1200, 1900]), recordOf([], [1500]));
+            expect(endsSinceLastAnswer(joined).map(end => end.at)).to.deep.equal([1900]);
         });
 
         it("counts as before however often it comes again on ways that take time", () => {
-            const known = mergeDeadlyRecords(recordOf([1000, 1200, 1900]), recordOf([], [1500]));
-            const late = mergeDeadlyRecords(known, recordOf([1600, 1700, 2400], [2000]));
+            const known = mergePoisonRequestRecords(recordOf([1000, 1200, 1900]), recordOf([], [1500]));
+            const late = mergePoisonRequestRecords(known, recordOf([1600, 1700, 2400], [2000]));
             expect(late).to.deep.equal(known);
         });
 
         it("keeps the earliest and the latest of many ends", () => {
             const many = Array.from({ length: 30 }, (_, index) => 1000 + index * 200);
-            const joined = mergeDeadlyRecords(recordOf(many), recordOf([]));
+            const joined = mergePoisonRequestRecords(recordOf(many), recordOf([]));
             expect([joined.ends.length, joined.ends[0].at, joined.ends.at(-1)?.at]).to.deep.equal([8, 1000, 6800]);
-            expect(standingOf(joined)).to.equal("held");
+            expect(restrictionOf(joined)).to.equal("held");
         });
 
         const anyEvent = fc.record({ index: fc.nat(5), time: fc.nat(4000) });
@@ -75,8 +75,8 @@
             ends: fc.array(anyEvent, { maxLength: 4 }),
             answers: fc.array(anyEvent.filter(({ index }) => index < 3), { maxLength: 3 }),
             seenAt: fc.nat(4000),
-        }).map(({ answers, ends, seenAt }): DeadlyRecord =>
-            mergeDeadlyRecords(recordOf([]), {
+        }).map(({ answers, ends, seenAt }): PoisonRequestRecord =>
+            mergePoisonRequestRecords(recordOf([]), {
                 fingerprint,
                 ends: ends.map(({ index, time }) => ({ id: life(index), at: at(time) })),
                 answers: answers.map(({ index, time }) => ({ id: answerId(`b#${index}`), at: at(time) })),
@@ -87,10 +87,10 @@
         it("is the same in whatever order and however often", () => {
             fc.assert(
                 fc.property(anyRecord, anyRecord, (first, second) => {
-                    const joined = mergeDeadlyRecords(first, second);
-                    expect(mergeDeadlyRecords(second, first)).to.deep.equal(joined);
-                    expect(mergeDeadlyRecords(joined, second)).to.deep.equal(joined);
-                    expect(mergeDeadlyRecords(joined, joined)).to.deep.equal(joined);
+                    const joined = mergePoisonRequestRecords(first, second);
+                    expect(mergePoisonRequestRecords(second, first)).to.deep.equal(joined);
+                    expect(mergePoisonRequestRecords(joined, second)).to.deep.equal(joined);
+                    expect(mergePoisonRequestRecords(joined, joined)).to.deep.equal(joined);
                 }),
                 { seed: 1, numRuns: 500 },
             );
@@ -100,13 +100,15 @@
 
 describe("the requests of a box under which servers end [P26]", () => {
     const free = { isUnderWay: false, makesTrials: false };
-    let deadly: DeadlyRequests;
+    let deadly: PoisonRequests;
     const endAt = (...times: readonly number[]) =>
-        times.forEach((time, index) => deadly.onEnd(fingerprint, serverLife(`${time}-${index}`), at(time)));
+        times.forEach((time, index) =>
+            deadly.onServerEnded(fingerprint, serverIncarnationId(`${time}-${index}`), at(time))
+        );
     const decideAt = (time: number, inputs = free) => deadly.decide(fingerprint, { ...inputs, at: at(time) }).kind;
 
     beforeEach(() => {
-        deadly = createDeadlyRequests();
+        deadly = createPoisonRequests();
     });
 
     it("go on after one end, one at a time after two, and not at all after three", () => {
@@ -133,7 +135,7 @@
         });
         expect(decideAt(1501)).to.equal("go");
         endAt(2000);
-        expect(deadly.standing(fingerprint)).to.equal("watched");
+        expect(deadly.restriction(fingerprint)).to.equal("watched");
     });
 
     it("know nothing of an answer to a request that nothing spoke against", () => {
@@ -151,25 +153,25 @@
         expect([decideAt(336_499, trial), decideAt(336_500, trial)]).to.deep.equal(["refuse", "go"]);
         endAt(336_600);
         const last = deadly.find(fingerprint)!;
-        expect(trialDueAt(last) - 336_600).to.be.greaterThan(deadlyLifetime);
+        expect(trialDueAt(last) - 336_600).to.be.greaterThan(poisonRecordLifetime);
     });
 
     it("are forgotten once nobody sends them", () => {
         endAt(1000, 1200, 1400);
         deadly.onSeen(fingerprint, at(60_000));
-        deadly.sweep(at(60_000 + deadlyLifetime));
-        expect(deadly.standing(fingerprint)).to.equal("held");
-        deadly.sweep(at(60_001 + deadlyLifetime));
+        deadly.sweep(at(60_000 + poisonRecordLifetime));
+        expect(deadly.restriction(fingerprint)).to.equal("held");
+        deadly.sweep(at(60_001 + poisonRecordLifetime));
         expect(deadly.isEmpty()).to.equal(true);
     });
 
     it("are bounded: what is held stays when hundreds of others come", () => {
         endAt(1000, 1200, 1400);
         for (let index = 0; index < 1000; index++) {
-            deadly.onEnd(requestFingerprint(`f-${index}`), life(1), at(2000 + index));
+            deadly.onServerEnded(requestFingerprint(`f-${index}`), life(1), at(2000 + index));
         }
         expect(deadly.records().length).to.be.at.most(256);
-        expect(deadly.standing(fingerprint)).to.equal("held");
+        expect(deadly.restriction(fingerprint)).to.equal("held");
     });
 
     it("are collected by the same two boxes, whoever asks", () => {
--- a/packages/decisions/test/emulated-members.ts
+++ b/packages/decisions/test/emulated-members.ts
@@ -5,8 +5,8 @@
     gossipInterval,
     type MemberRecord,
     type Membership,
+    type MemberStatus,
     type Probing,
-    type Sighting,
 } from "../src/index.js";
 import { createMember } from "./member.js";
 
@@ -15,7 +15,7 @@
     readonly arrivesAt: number;
     readonly to: string;
     readonly from: MemberRecord;
-    readonly news: readonly Sighting[];
+    readonly news: readonly MemberStatus[];
     readonly ages: ReturnType<Membership["regionAges"]>;
     readonly asks: boolean;
 }
@@ -95,7 +95,7 @@
         /** The same for stopped boxes that callers of the running box's region are named. */
         falselyNamed: () =>
             running().reduce((sum, box) => {
-                const { region } = box.membership.own();
+                const { region } = box.membership.ownRecord();
                 return sum
                     + stoppedAlive(box).filter(member => member.region === region && member.capacity === strong).length;
             }, 0),
@@ -118,10 +118,10 @@
     }
 
     function beginRound({ membership, probing }: EmulatedMember, at: number): void {
-        membership.beat();
+        membership.incrementHeartbeat();
         probing.nextRound(milliseconds(at)).forEach(member => send(membership, member, at, true));
-        if (membership.takeOwnSuspicion()) {
-            const others = membership.reachable(milliseconds(at));
+        if (membership.consumeOwnSuspicion()) {
+            const others = membership.recentMembers(milliseconds(at));
             for (let index = 0; index < 4; index++) {
                 send(membership, others[Math.floor(random() * others.length)], at, false);
             }
@@ -129,8 +129,8 @@
     }
 
     function send(membership: Membership, to: MemberRecord, at: number, asks: boolean): void {
-        const from = membership.own();
-        const news = membership.takeNews(mostNews, milliseconds(at));
+        const from = membership.ownRecord();
+        const news = membership.nextUpdates(mostNews, milliseconds(at));
         const ages = membership.regionAges(milliseconds(at));
         sent += 1;
         if (random() >= loss) {
@@ -158,7 +158,7 @@
         const at = milliseconds(arrivesAt);
         box.membership.onHeard(from, at);
         box.membership.merge(news, at);
-        box.membership.onRegionAges(ages, at);
+        box.membership.mergeRegionAges(ages, at);
         if (asks) {
             send(box.membership, from, arrivesAt, false);
         }
--- a/packages/decisions/test/emulated-quota.ts
+++ b/packages/decisions/test/emulated-quota.ts
@@ -6,11 +6,11 @@
 
 import { boxId, createSeededRandom, customerId, type Milliseconds, milliseconds } from "@chalkdale/kernel";
 import {
-    createQuotaCounter,
+    createQuotaAllocator,
     createQuotaShare,
     type CustomerQuota,
+    effectiveQuota,
     type QuotaLease,
-    usableQuota,
 } from "../src/index.js";
 
 /** How boxes share a quota. */
@@ -188,10 +188,10 @@
     const customer = customerId("c");
     const startedAt = milliseconds(second() * 1000);
     const shares = Array.from({ length: day.boxCount }, () => createQuotaShare(customer, startedAt));
-    let counter = createQuotaCounter(startedAt);
+    let counter = createQuotaAllocator(startedAt);
     let counterLostAt = day.counterLostAt ?? Infinity;
     const answers: { readonly box: number; readonly lease: QuotaLease; readonly due: number; }[] = [];
-    const quota = () => usableQuota(day.quota(), { over: 0.1, slack: 20 });
+    const quota = () => effectiveQuota(day.quota(), { over: 0.1, slack: 20 });
     const deliver = (at: Milliseconds) => {
         while (answers.length > 0 && answers[0].due <= at) {
             const { box, lease } = answers.shift()!;
@@ -204,7 +204,8 @@
         admit(box, at) {
             deliver(at);
             const isAdmitted =
-                shares[box].take({ quota: quota(), boxCount: day.boxCount, startingFor: undefined, at }) === undefined;
+                shares[box].consume({ quota: quota(), boxCount: day.boxCount, startingFor: undefined, at })
+                    === undefined;
             if (shares[box].needsLease(at)) {
                 report(box, at);
             }
@@ -214,7 +215,7 @@
             deliver(at);
             if (at / 1000 >= counterLostAt + 3) {
                 counterLostAt = Infinity;
-                counter = createQuotaCounter(at);
+                counter = createQuotaAllocator(at);
             }
             shares.forEach((_, box) => report(box, at));
         },
--- a/packages/decisions/test/emulated-rollout.ts
+++ b/packages/decisions/test/emulated-rollout.ts
@@ -22,22 +22,22 @@
     createSlowStart,
     createTrialTraffic,
     createWorkEstimate,
+    earlyReportSlowness,
     type RolloutDecider,
     type RolloutGrant,
     type RolloutOrder,
     type ServedVersions,
-    toldSlowness,
     type TrialTraffic,
 } from "../src/index.js";
 import { createRoute } from "./choice-setup.js";
 
 /** How the new version behaves; shares and factors hold from a part of the duration on. */
-export interface VersionKind {
-    readonly failShare?: number;
-    readonly slowFactor?: number;
+export interface VersionBehavior {
+    readonly failureShare?: number;
+    readonly slowdownFactor?: number;
     readonly from?: number;
     /** Only where a server gets more than this part of a full day's rate. */
-    readonly underLoad?: number;
+    readonly minimumLoad?: number;
     readonly route?: number;
     /** Servers are cold for so many milliseconds. */
     readonly coldFor?: number;
@@ -48,7 +48,7 @@
 export type Fault = "none" | "lostMessages" | "deciderLost" | "burst" | "badServers" | "lostAnswers";
 
 export interface EmulatedRolloutOptions {
-    readonly kind: VersionKind;
+    readonly kind: VersionBehavior;
     readonly fault: Fault;
     readonly seed: number;
     readonly duration: number;
@@ -65,9 +65,9 @@
     /** Requests to the new version before `completed`, over what the bound allows for the requests until then: the greatest. */
     readonly exposure: number;
     /** Milliseconds from the 50th bad answer to the last request sent to the new version; 0 if none was sent. */
-    readonly sentAfterBad: number;
+    readonly stopDelay: number;
     /** Requests in progress at servers of the old version when `completed` was written. */
-    readonly cutOff: number;
+    readonly interruptedRequests: number;
     readonly tried: number;
 }
 
@@ -91,7 +91,7 @@
 }
 
 /** Plays one order to its end. */
-export function playRollout(options: EmulatedRolloutOptions): RolloutOutcome {
+export function emulateRollout(options: EmulatedRolloutOptions): RolloutOutcome {
     const { duration, fault, kind, rate } = options;
     const random = createRandom(options.seed);
     const due = new Map<number, (() => void)[]>();
@@ -149,8 +149,8 @@
         decidedAt,
         reason,
         exposure,
-        sentAfterBad: fiftiethBadAt === undefined ? 0 : Math.max(0, lastTrialAt - fiftiethBadAt),
-        cutOff,
+        stopDelay: fiftiethBadAt === undefined ? 0 : Math.max(0, lastTrialAt - fiftiethBadAt),
+        interruptedRequests: cutOff,
         tried: exposed,
     };
 
@@ -166,7 +166,7 @@
             now: () => now,
             orderOf: () => order,
             decisionOf: () => traffic.decision(),
-            sampledCount: () => traffic.sampledServers(),
+            sampledServerCount: () => traffic.sampledServerCount(),
         });
         const traffic = createTrialTraffic({
             order,
@@ -252,15 +252,17 @@
         const known = !isNew && random() < 0.7;
         const { duration: time, isBad, isFailure } = draw(server, isNew, routeIndex, known);
         const route = routes[routeIndex];
-        const slowness = work.compare(route, known, milliseconds(time), milliseconds(0));
-        const toldAfter = slowness < toldSlowness ? time : work.durationOf(route, known, toldSlowness, milliseconds(0));
+        const slowness = work.slownessOf(route, known, milliseconds(time), milliseconds(0));
+        const toldAfter = slowness < earlyReportSlowness
+            ? time
+            : work.durationAtSlowness(route, known, earlyReportSlowness, milliseconds(0));
         after(toldAfter, () => {
             const isSeen = toldAfter >= time;
             box.traffic.onAnswer({
                 server,
                 routeName: route.name,
                 isFailure: isFailure && isSeen,
-                slowness: Math.min(slowness, toldSlowness),
+                slowness: Math.min(slowness, earlyReportSlowness),
                 wasCold,
             });
         });
@@ -275,9 +277,9 @@
     function draw(server: BackendServer, isNew: boolean, routeIndex: number, known: boolean) {
         const applies = isNew && now >= (kind.from ?? 0) * duration
             && (kind.route === undefined || kind.route === routeIndex)
-            && loadOf(server) >= (kind.underLoad ?? 0);
-        const fails = applies && random() < (kind.failShare ?? 0);
-        const slow = applies ? kind.slowFactor ?? 1 : 1;
+            && loadOf(server) >= (kind.minimumLoad ?? 0);
+        const fails = applies && random() < (kind.failureShare ?? 0);
+        const slow = applies ? kind.slowdownFactor ?? 1 : 1;
         const isCold = !known && random() < (isNew ? kind.unknownShare ?? 0.85 : 0.2);
         const struck = isStruck.has(server);
         const isLost = fault === "lostAnswers" && struck && random() < 0.15;
@@ -325,12 +327,12 @@
 
     function decide(): void {
         const action = decider.step(now, { order, isStoreReachable: true, isTargetProven: false });
-        for (const { box: id, grant } of decider.changedGrants()) {
+        for (const { box: id, grant } of decider.grantsToPush()) {
             sendGrant(boxes.find(box => box.id === id)!, grant);
         }
         const news = decider.news();
         if (news !== undefined) {
-            boxes.filter(() => !isLostMessage()).forEach(box => after(messageTime, () => box.traffic.onNews(news)));
+            boxes.filter(() => !isLostMessage()).forEach(box => after(messageTime, () => box.traffic.onDecision(news)));
         }
         if (action.kind === "none" || isWriting) {
             return;
@@ -360,9 +362,9 @@
 function createCatalog({ kind, servers }: EmulatedRolloutOptions) {
     const catalog = createServerCatalog((record, at) =>
         createServerState(record, at, {
-            recordDelay: milliseconds(0),
+            recordPropagationDelay: milliseconds(0),
             slowStart: createSlowStart({ self: boxId("b"), server: record.id, boxes: () => [], rate: () => 0 }),
-            shareLimit: () => ({ allows: () => true, onSent: () => undefined, onNotSent: () => undefined }),
+            createLimitShare: () => ({ allows: () => true, onSent: () => undefined, onNotSent: () => undefined }),
         })
     );
     const records = Array.from({ length: servers * 2 }, (_, index) => ({
@@ -405,19 +407,19 @@
 }
 
 /** Kinds of versions by name; the first two are good. */
-export const versionKinds: Readonly<Record<string, VersionKind>> = {
+export const versionBehaviors: Readonly<Record<string, VersionBehavior>> = {
     "good": {},
     "good, cold, unknown keys": { coldFor: 3000, unknownShare: 1 },
-    "fails 5 %": { failShare: 0.05 },
-    "fails 10 %": { failShare: 0.1 },
-    "fails 30 %": { failShare: 0.3 },
-    "fails 100 %": { failShare: 1 },
-    "fails 50 % late": { failShare: 0.5, from: 0.6 },
-    "fails 50 % under load": { failShare: 0.5, underLoad: 0.5 },
-    "fails 100 % on a rare route": { failShare: 1, route: 2 },
-    "slow 3x": { slowFactor: 3 },
-    "slow 3x late": { slowFactor: 3, from: 0.6 },
-    "slow 3x on one route": { slowFactor: 3, route: 1 },
+    "fails 5 %": { failureShare: 0.05 },
+    "fails 10 %": { failureShare: 0.1 },
+    "fails 30 %": { failureShare: 0.3 },
+    "fails 100 %": { failureShare: 1 },
+    "fails 50 % late": { failureShare: 0.5, from: 0.6 },
+    "fails 50 % under load": { failureShare: 0.5, minimumLoad: 0.5 },
+    "fails 100 % on a rare route": { failureShare: 1, route: 2 },
+    "slow 3x": { slowdownFactor: 3 },
+    "slow 3x late": { slowdownFactor: 3, from: 0.6 },
+    "slow 3x on one route": { slowdownFactor: 3, route: 1 },
 };
 
 export const faults: readonly Fault[] = ["none", "lostMessages", "deciderLost", "burst", "badServers", "lostAnswers"];
--- a/packages/decisions/test/hedge-decision.test.ts
+++ b/packages/decisions/test/hedge-decision.test.ts
@@ -13,7 +13,7 @@
             timeLeft: milliseconds(1000),
             loadPerSlot: 0.5,
             chooseSecond: () => setup.choose(setup.request()),
-            takeRetry: () => true,
+            consumeRetry: () => true,
             ...changes,
         });
 
@@ -28,7 +28,7 @@
             ["while slots are short", { loadPerSlot: 1 }],
             ["if no server may take it", { chooseSecond: () => ({ kind: "noServer" }) }],
             ["if the second could not answer in time", { timeLeft: milliseconds(5) }],
-            ["if the budget is spent", { takeRetry: () => false }],
+            ["if the budget is spent", { consumeRetry: () => false }],
         ];
         for (const [name, changes] of cases) {
             it(name, () => expect(decide(changes)).to.equal(undefined));
@@ -45,7 +45,7 @@
         let taken = 0;
         decide({
             chooseSecond: () => ({ kind: "noServer" }),
-            takeRetry: () => {
+            consumeRetry: () => {
                 taken += 1;
                 return true;
             },
--- a/packages/decisions/test/idle-life.test.ts
+++ b/packages/decisions/test/idle-life.test.ts
@@ -1,16 +1,16 @@
 import { milliseconds, serviceId } from "@chalkdale/kernel";
 import { expect } from "chai";
-import { createIdleLife } from "../src/index.js";
+import { createIdleTimeoutEstimate } from "../src/index.js";
 
 describe("the life of idle connections", () => {
     const service = serviceId("profiles");
     const longest = milliseconds(2000);
     const rests = (...resets: readonly (readonly [rest: number, after: number])[]) => {
-        const life = createIdleLife();
+        const life = createIdleTimeoutEstimate();
         resets.forEach(([rest, after]) =>
             life.onReset(service, milliseconds(rest), milliseconds(after), milliseconds(0))
         );
-        return (at: number) => life.longestRest(service, longest, milliseconds(at));
+        return (at: number) => life.maxIdleTime(service, longest, milliseconds(at));
     };
 
     it("is what the deployment's rules say until one was too long", () => {
@@ -28,8 +28,8 @@
     });
 
     it("is learned for each service by itself", () => {
-        const life = createIdleLife();
+        const life = createIdleTimeoutEstimate();
         life.onReset(service, milliseconds(300), milliseconds(1), milliseconds(0));
-        expect(life.longestRest(serviceId("packs"), longest, milliseconds(0))).to.equal(2000);
+        expect(life.maxIdleTime(serviceId("packs"), longest, milliseconds(0))).to.equal(2000);
     });
 });
--- a/packages/decisions/test/limit-share.test.ts
+++ b/packages/decisions/test/limit-share.test.ts
@@ -47,8 +47,8 @@
             boxes,
             learnsAt: Infinity,
             share: createLimitShare(
-                { self: id, server, boxes: () => box.boxes, allBoxes: () => box.boxes },
-                () => ({ rate, heardAt }),
+                { self: id, server, boxes: () => box.boxes, advertisedBoxIds: () => box.boxes },
+                () => ({ rate, updatedAt: heardAt }),
             ),
         };
         return box;
@@ -123,7 +123,10 @@
         for (const rate of [0, 0.4, 12]) {
             heardAt = milliseconds(0);
             const far = all.slice(2).map(self =>
-                createLimitShare({ self, server, boxes: () => near, allBoxes: () => all }, () => ({ rate, heardAt }))
+                createLimitShare(
+                    { self, server, boxes: () => near, advertisedBoxIds: () => all },
+                    () => ({ rate, updatedAt: heardAt }),
+                )
             );
             const asked: number[] = [];
             const heard: number[] = [];
@@ -146,7 +149,10 @@
     it("stay one in each turn while the server answers nobody", () => {
         const all = Array.from({ length: 60 }, (_, index) => boxId(`far-${index}`));
         const far = all.map(self =>
-            createLimitShare({ self, server, boxes: () => [], allBoxes: () => all }, () => ({ rate: 1, heardAt }))
+            createLimitShare(
+                { self, server, boxes: () => [], advertisedBoxIds: () => all },
+                () => ({ rate: 1, updatedAt: heardAt }),
+            )
         );
         const asked: number[] = [];
         for (let time = 0; time < 120_000; time += step) {
--- a/packages/decisions/test/moved-bytes.test.ts
+++ b/packages/decisions/test/moved-bytes.test.ts
@@ -1,39 +1,39 @@
 import { availabilityZoneId, createSeededRandom, hashText, milliseconds, regionId } from "@chalkdale/kernel";
 import { expect } from "chai";
-import { firstOfRanking } from "../src/choose/compared-servers.js";
+import { topRankedServers } from "../src/choose/compared-servers.js";
 import {
-    createMovedBytes,
-    type MovedBytes,
-    movingPenalty,
-    type Reach,
+    createTransferSizes,
+    type Proximity,
     type Route,
     type RouteKind,
-    type SizeStep,
+    type SizeClass,
+    transferPenalty,
+    type TransferSizes,
 } from "../src/index.js";
 import { createRecord, createRoute, createSetup } from "./choice-setup.js";
 
-const reaches: readonly Reach[] = ["sameZone", "sameRegion", "otherRegion"];
+const reaches: readonly Proximity[] = ["sameZone", "sameRegion", "otherRegion"];
 
 const southern = { region: regionId("south"), zone: availabilityZoneId("south-a") };
 
-function learn(sizes: MovedBytes, route: Route, bytes: number, times = 400): void {
+function learn(sizes: TransferSizes, route: Route, bytes: number, times = 400): void {
     for (let count = 0; count < times; count++) {
-        sizes.onMoved(route, bytes);
+        sizes.onTransferred(route, bytes);
     }
 }
 
 describe("the bytes that a route moves", () => {
     it("are taken from its kind until requests were seen", () => {
-        const sizes = createMovedBytes();
+        const sizes = createTransferSizes();
         const kinds: readonly RouteKind[] = ["safe", "unsafe", "upload", "download"];
         const routes = kinds.map(kind => createRoute({ kind, name: kind }));
         expect(routes.map(sizes.expected)).to.deep.equal([500, 500, 60_000, 90_000]);
-        expect(routes.map(sizes.step)).to.deep.equal(["small", "small", "large", "bulk"]);
+        expect(routes.map(sizes.sizeClass)).to.deep.equal(["small", "small", "large", "bulk"]);
     });
 
     it("are learned whatever the kind is called", () => {
-        const sizes = createMovedBytes();
-        const cases: readonly (readonly [RouteKind, number, SizeStep])[] = [
+        const sizes = createTransferSizes();
+        const cases: readonly (readonly [RouteKind, number, SizeClass])[] = [
             ["safe", 5300, "small"],
             ["safe", 60_000, "large"],
             ["unsafe", 300_000, "bulk"],
@@ -44,7 +44,7 @@
             const route = createRoute({ kind, name: `${kind} ${bytes}` });
             learn(sizes, route, bytes);
             expect(sizes.expected(route)).to.be.closeTo(bytes, bytes * 0.1);
-            expect(sizes.step(route)).to.equal(step);
+            expect(sizes.sizeClass(route)).to.equal(step);
         }
     });
 
@@ -52,12 +52,12 @@
         for (const mean of [400, 5300, 15_000, 20_000, 25_000, 60_000, 90_000, 110_000]) {
             const stepsOf = Array.from({ length: 20 }, (_, seed) => {
                 const random = createSeededRandom(seed + 1);
-                const sizes = createMovedBytes();
+                const sizes = createTransferSizes();
                 const route = createRoute({ kind: mean > 70_000 ? "download" : mean > 20_000 ? "upload" : "safe" });
                 for (let count = 0; count < 1000; count++) {
-                    sizes.onMoved(route, mean * (0.2 + 1.6 * random()));
+                    sizes.onTransferred(route, mean * (0.2 + 1.6 * random()));
                 }
-                return sizes.step(route);
+                return sizes.sizeClass(route);
             });
             expect(new Set(stepsOf).size, String(mean)).to.equal(1);
         }
@@ -66,11 +66,13 @@
 
 describe("what moving them costs", () => {
     it("is nothing for small ones, a tenth and six tenths of a second for 90 KB, and never less for more", () => {
-        expect(reaches.map(reach => movingPenalty(1500, reach))).to.deep.equal([0, 0, 0]);
-        expect(movingPenalty(90_000, "sameRegion")).to.be.closeTo(100, 5);
-        expect(movingPenalty(90_000, "otherRegion")).to.be.closeTo(600, 10);
+        expect(reaches.map(reach => transferPenalty(1500, reach))).to.deep.equal([0, 0, 0]);
+        expect(transferPenalty(90_000, "sameRegion")).to.be.closeTo(100, 5);
+        expect(transferPenalty(90_000, "otherRegion")).to.be.closeTo(600, 10);
         for (const reach of reaches) {
-            const costs = [0, 1000, 5000, 20_000, 60_000, 90_000, 1_000_000].map(bytes => movingPenalty(bytes, reach));
+            const costs = [0, 1000, 5000, 20_000, 60_000, 90_000, 1_000_000].map(bytes =>
+                transferPenalty(bytes, reach)
+            );
             expect(costs).to.deep.equal([...costs].sort((a, b) => a - b));
         }
     });
@@ -105,7 +107,12 @@
         const servers = catalog.ofService(request().service);
         const place = { region: few.region, zone: few.zone };
         const firsts = Array.from({ length: 2000 }, (_, key) => {
-            const [first] = firstOfRanking(servers, { keyHash: hashText(`key-${key}`), step: "large" }, place, 1);
+            const [first] = topRankedServers(
+                servers,
+                { keyHash: hashText(`key-${key}`), sizeClass: "large" },
+                place,
+                1,
+            );
             return first.id;
         });
         // A third of the callers are in its zone, and it is one of twelve.
--- a/packages/decisions/test/relay-role.test.ts
+++ b/packages/decisions/test/relay-role.test.ts
@@ -1,6 +1,6 @@
 import { boxId, milliseconds, regionId } from "@chalkdale/kernel";
 import { expect } from "chai";
-import { createRelayRole, type MemberRecord, sortStrongestFirst } from "../src/index.js";
+import { createRelayRole, type MemberRecord, sortByCapacity } from "../src/index.js";
 import { createMember } from "./member.js";
 
 describe("the relay role [P8]", () => {
@@ -15,19 +15,19 @@
         self: boxId(self),
         region: regionId("north"),
         alive: () => alive,
-        changeBound,
+        maxPropagationDelay: changeBound,
         turnedAway: { has: box => turnedAway.includes(box) },
         clock: () => milliseconds(0),
         uptime: () => milliseconds(uptime),
     });
     const followAges = (alive: readonly MemberRecord[]) =>
-        alive.map(record => roleOf(record.box, alive).followAfterAge("configuration") as number);
+        alive.map(record => roleOf(record.box, alive).followStoreAfterAge("configuration") as number);
 
     it("falls to every box of a small region, with watches of the store's own length", () => {
         const alive = names.slice(0, 5).map(name => createMember(name));
         expect(followAges(alive)).to.deep.equal([0, 0, 0, 0, 0]);
-        expect(roleOf("a", alive).isRelayed()).to.equal(false);
-        const [first, ...others] = sortStrongestFirst(alive).map(({ box }) => roleOf(box, alive));
+        expect(roleOf("a", alive).hasRelay()).to.equal(false);
+        const [first, ...others] = sortByCapacity(alive).map(({ box }) => roleOf(box, alive));
         others.forEach(role => expect(role.watchWait("configuration")).to.equal(undefined));
         expect(first.watchWait("configuration")).to.be.lessThan(changeBound);
     });
@@ -35,9 +35,9 @@
     it("lets one box of a small region confirm the copies, and each one ask anew within the bound if it hears nothing", () => {
         for (const count of [1, 2, 3, 5]) {
             const alive = names.slice(0, count).map(name => createMember(name));
-            const roles = sortStrongestFirst(alive).map(({ box }) => roleOf(box, alive));
+            const roles = sortByCapacity(alive).map(({ box }) => roleOf(box, alive));
             expect(roles.map(role => role.confirmsForRegion())).to.deep.equal(roles.map((_, rank) => rank === 0));
-            const ages = roles.map(role => role.askAnewAfterAge("servers") as number);
+            const ages = roles.map(role => role.reconnectAfterAge("servers") as number);
             expect(ages[0]).to.be.greaterThan(roles[0].watchWait("servers")! + 100);
             expect(ages).to.deep.equal([...ages].sort((a, b) => a - b));
             expect(new Set(ages).size).to.equal(count);
@@ -52,9 +52,9 @@
 
     it("falls to the strongest box, and not to one that leaves", () => {
         const alive = names.map(name => createMember(name, { capacity: name === "c" ? 4 : name === "d" ? 3 : 1 }));
-        expect(roleOf("c", alive).alwaysFollows()).to.equal(true);
+        expect(roleOf("c", alive).alwaysFollowsStore()).to.equal(true);
         const leaving = alive.map(record => ({ ...record, leaving: record.box === "c" }));
-        expect(roleOf("d", leaving).alwaysFollows()).to.equal(true);
+        expect(roleOf("d", leaving).alwaysFollowsStore()).to.equal(true);
     });
 
     it("leaves the next four boxes the time to ask the store themselves within the bound on changes", () => {
@@ -78,27 +78,27 @@
 
     it("watches orders of roll-outs at a third of the rate, and the next box waits as much longer for them", () => {
         const alive = names.map(name => createMember(name));
-        const followers = alive.map(({ box }) => roleOf(box, alive)).filter(role => !role.alwaysFollows());
+        const followers = alive.map(({ box }) => roleOf(box, alive)).filter(role => !role.alwaysFollowsStore());
         for (const role of followers) {
             const [watch, rolloutWatch] = [role.watchWait("servers")!, role.watchWait("rollouts")!];
             expect(rolloutWatch).to.be.closeTo(3 * watch, 1);
-            const patience = (kind: "servers" | "rollouts") => role.followAfterAge(kind) - role.watchWait(kind)!;
+            const patience = (kind: "servers" | "rollouts") => role.followStoreAfterAge(kind) - role.watchWait(kind)!;
             expect(patience("rollouts")).to.be.closeTo(patience("servers"), 1);
         }
     });
 
     it("falls to no box in its first moments, when it knows nobody", () => {
         const role = roleOf("a", [createMember("a")], 100);
-        expect(role.alwaysFollows()).to.equal(false);
-        expect(role.followAfterAge("configuration")).to.equal(role.settleTime);
+        expect(role.alwaysFollowsStore()).to.equal(false);
+        expect(role.followStoreAfterAge("configuration")).to.equal(role.settleTime);
         expect(role.settleTime).to.be.lessThan(changeBound / 2);
     });
 
     describe("while the store turns boxes away", () => {
         const alive = Array.from({ length: 247 }, (_, index) => createMember(`box-${index}`));
-        const ranked = sortStrongestFirst(alive).map(record => record.box as string);
+        const ranked = sortByCapacity(alive).map(record => record.box as string);
         const ageOf = (rank: number, turnedAway: readonly string[]) =>
-            roleOf(ranked[rank], alive, 60_000, turnedAway).followAfterAge("configuration") as number;
+            roleOf(ranked[rank], alive, 60_000, turnedAway).followStoreAfterAge("configuration") as number;
 
         it("falls to the next box at once, and no more to the relay", () => {
             expect(ageOf(1, ranked.slice(0, 1))).to.equal(0);
@@ -116,13 +116,13 @@
         });
 
         it("is told to the region by the first of it only", () => {
-            expect(roleOf(ranked[3], alive, 60_000, ranked.slice(0, 4)).tellsTurnedAway()).to.equal(true);
-            expect(roleOf(ranked[4], alive, 60_000, ranked.slice(0, 5)).tellsTurnedAway()).to.equal(false);
+            expect(roleOf(ranked[3], alive, 60_000, ranked.slice(0, 4)).shouldBroadcastUnserved()).to.equal(true);
+            expect(roleOf(ranked[4], alive, 60_000, ranked.slice(0, 5)).shouldBroadcastUnserved()).to.equal(false);
         });
     });
 
     it("counts the boxes of its own region only", () => {
         const south = names.map(name => createMember(`s-${name}`, { region: regionId("south") }));
-        expect(roleOf("a", [createMember("a"), ...south]).isRelayed()).to.equal(false);
+        expect(roleOf("a", [createMember("a"), ...south]).hasRelay()).to.equal(false);
     });
 });
--- a/packages/decisions/test/replica.test.ts
+++ b/packages/decisions/test/replica.test.ts
@@ -85,9 +85,9 @@
         replica.applySnapshot({ revision: 5, items: [{ name: "a" }] });
         replica.applyChanges(5, [], 9);
         expect(replica.revision()).to.equal(9);
-        expect(replica.changedRevision()).to.equal(5);
+        expect(replica.lastChangeRevision()).to.equal(5);
         replica.applyChanges(9, [{ kind: "gone", name: "a" }], 12);
         expect(replica.snapshot()).to.deep.equal({ revision: 12, items: [] });
-        expect(replica.changedRevision()).to.equal(12);
+        expect(replica.lastChangeRevision()).to.equal(12);
     });
 });
--- a/packages/decisions/test/restored-orders.test.ts
+++ b/packages/decisions/test/restored-orders.test.ts
@@ -1,13 +1,13 @@
 import { milliseconds, serverVersion, serviceId } from "@chalkdale/kernel";
 import { expect } from "chai";
-import { createRestoredOrders, type RestoredOrders, type RolloutOrder, storePosition } from "../src/index.js";
+import { createOrderHistory, type OrderHistory, type RolloutOrder, storePosition } from "../src/index.js";
 
 describe("orders of roll-outs through returns of the store", () => {
     const service = serviceId("profiles");
-    let orders: RestoredOrders;
+    let orders: OrderHistory;
 
     beforeEach(() => {
-        orders = createRestoredOrders();
+        orders = createOrderHistory();
     });
 
     const order = (epoch: number, changes: Partial<RolloutOrder> = {}): RolloutOrder => ({
@@ -23,8 +23,8 @@
     const at = (time: number) => milliseconds(time);
     /** Takes an order as the store has it, and returns it as boxes know it. */
     const take = (next: RolloutOrder, time = 0) => {
-        orders.note(next, at(time));
-        return orders.identify(next);
+        orders.onStoredOrder(next, at(time));
+        return orders.withKnownIdentity(next);
     };
 
     it("are known to have run, and to have ended, though the store no longer says so", () => {
@@ -48,20 +48,22 @@
 
         it("get the identity by which others know them, and the smaller one of two", () => {
             take(order(2, { createdAt: 77 }));
-            expect(orders.adopt(toldAs(60), at(100))).to.equal(true);
-            expect(orders.identify(order(2, { createdAt: 77 })).createdAt).to.equal(60);
-            expect(orders.adopt(toldAs(77), at(200))).to.equal(false);
-            expect(orders.adopt(toldAs(9), at(300))).to.equal(true);
-            expect(orders.adopt(toldAs(60), at(400))).to.equal(false);
+            expect(orders.adoptIdentity(toldAs(60), at(100))).to.equal(true);
+            expect(orders.withKnownIdentity(order(2, { createdAt: 77 })).createdAt).to.equal(60);
+            expect(orders.adoptIdentity(toldAs(77), at(200))).to.equal(false);
+            expect(orders.adoptIdentity(toldAs(9), at(300))).to.equal(true);
+            expect(orders.adoptIdentity(toldAs(60), at(400))).to.equal(false);
             expect(take(order(2, { createdAt: 77, state: "running" })).createdAt).to.equal(9);
         });
 
         it("keep their own where the store has never come back, later on, and for another target", () => {
             take(order(0, { createdAt: 77 }));
-            expect(orders.adopt(toldAs(9), at(100))).to.equal(false);
+            expect(orders.adoptIdentity(toldAs(9), at(100))).to.equal(false);
             take(order(1, { createdAt: 88 }), 20_000);
-            expect(orders.adopt(toldAs(9), at(40_000))).to.equal(false);
-            expect(orders.adopt({ ...toldAs(9), targetVersion: serverVersion("v3") }, at(21_000))).to.equal(false);
+            expect(orders.adoptIdentity(toldAs(9), at(40_000))).to.equal(false);
+            expect(orders.adoptIdentity({ ...toldAs(9), targetVersion: serverVersion("v3") }, at(21_000))).to.equal(
+                false,
+            );
         });
     });
 
--- a/packages/decisions/test/restored-store.test.ts
+++ b/packages/decisions/test/restored-store.test.ts
@@ -11,7 +11,7 @@
     createReplica,
     type ItemChange,
     type Replica,
-    restorePolicies,
+    retentionPolicies,
     type Snapshot,
     storePosition,
 } from "../src/index.js";
@@ -40,8 +40,8 @@
             },
             {
                 clock: () => milliseconds(now),
-                policy: restorePolicies.servers,
-                onRestored: (_at, _previous, held) => restored.push([...held]),
+                policy: retentionPolicies.servers,
+                onStoreRestored: (_at, _previous, held) => restored.push([...held]),
             },
         );
     }
@@ -82,20 +82,20 @@
             const changes = [put(server("added")), put(server("leaving", true))];
             replica.applyChanges(position(2, 50), [...changes, { kind: "gone", name: "left" }], position(2, 54));
             now = 60_000;
-            replica.expireHeld();
+            replica.expireHeldEntries();
             expect(shown()).to.deep.equal(["added", "leaving draining", "stays"]);
             expect(replica.snapshot()?.held).to.equal(undefined);
         });
 
         it("as long as a server that lives may take to write again, and no longer", () => {
             now = 2499;
-            replica.expireHeld();
+            replica.expireHeldEntries();
             expect(shown()).to.deep.equal(["added", "leaving draining", "stays"]);
             now = 2500;
-            replica.expireHeld();
+            replica.expireHeldEntries();
             expect(shown()).to.deep.equal(["leaving draining", "stays"]);
             now = 6000;
-            replica.expireHeld();
+            replica.expireHeldEntries();
             expect(shown()).to.deep.equal(["leaving", "left", "stays"]);
         });
 
@@ -116,7 +116,7 @@
                 items: [server("added"), server("leaving", true), server("stays")],
             });
             now = 60_000;
-            replica.expireHeld();
+            replica.expireHeldEntries();
             expect(shown()).to.deep.equal(["added", "leaving draining", "stays"]);
         });
 
@@ -127,7 +127,7 @@
             other.applySnapshot(told);
             expect(shown()).to.deep.equal(["added", "leaving draining", "stays"]);
             now = 60_000;
-            other.expireHeld();
+            other.expireHeldEntries();
             expect(shown()).to.deep.equal(["leaving", "left", "stays"]);
         });
     });
@@ -154,8 +154,8 @@
                 ([item]) => inForce.push(item.version),
                 {
                     clock: () => milliseconds(now),
-                    policy: restorePolicies.configuration,
-                    onRestored: () => undefined,
+                    policy: retentionPolicies.configuration,
+                    onStoreRestored: () => undefined,
                 },
             );
         });
@@ -165,7 +165,7 @@
             copy.applySnapshot({ revision: position(1, 50), items: [version(22)] });
             copy.applyChanges(position(1, 50), [{ kind: "put", name: "main", item: version(23) }], position(1, 51));
             now = 3_600_000;
-            copy.expireHeld();
+            copy.expireHeldEntries();
             copy.applyChanges(position(1, 51), [{ kind: "put", name: "main", item: version(24) }], position(1, 52));
             copy.applyChanges(position(1, 52), [{ kind: "put", name: "main", item: version(26) }], position(1, 53));
             expect(inForce).to.deep.equal([24, 24, 24, 24, 26]);
@@ -206,8 +206,8 @@
                     const copies = inForce.map(versions =>
                         createReplica<Configuration>(() => "main", ([item]) => versions.push(item.version), {
                             clock: () => milliseconds(0),
-                            policy: restorePolicies.configuration,
-                            onRestored: () => undefined,
+                            policy: retentionPolicies.configuration,
+                            onStoreRestored: () => undefined,
                         })
                     );
                     let acknowledged = 1;
--- a/packages/decisions/test/retry-budget.test.ts
+++ b/packages/decisions/test/retry-budget.test.ts
@@ -1,6 +1,6 @@
 import { createSeededRandom, customerId, milliseconds } from "@chalkdale/kernel";
 import { expect } from "chai";
-import { createRetryBudget, createSlidingCount, urgencyOf } from "../src/index.js";
+import { combinedPriority, createRetryBudget, createSlidingWindowCounter } from "../src/index.js";
 import { createRoute } from "./choice-setup.js";
 
 describe("retry budget [P11]", () => {
@@ -21,7 +21,7 @@
             const at = milliseconds(time);
             const box = boxes[time / 10 % boxCount];
             box.onRequest(at);
-            if (box.tryTake(at, 0)) {
+            if (box.tryConsume(at, 0)) {
                 taken.push(time);
             }
         }
@@ -44,7 +44,7 @@
             const at = milliseconds(time);
             budget.onRequest(at);
             const isUrgent = random() < 0.57;
-            if (random() < turnedAway && budget.tryTake(at, isUrgent ? 1 : 2)) {
+            if (random() < turnedAway && budget.tryConsume(at, isUrgent ? 1 : 2)) {
                 retries[isUrgent ? "urgent" : "other"] += 1;
             }
         }
@@ -74,12 +74,12 @@
 
     it("goes by the customer's priority, among equals by the route's", () => {
         const inOrder = [
-            urgencyOf(route(2), customer(0)),
-            urgencyOf(route(1), undefined),
-            urgencyOf(route(1), customer(1)),
-            urgencyOf(route(2), customer(1)),
-            urgencyOf(route(2), customer(undefined)),
-            urgencyOf(route(0), customer(3)),
+            combinedPriority(route(2), customer(0)),
+            combinedPriority(route(1), undefined),
+            combinedPriority(route(1), customer(1)),
+            combinedPriority(route(2), customer(1)),
+            combinedPriority(route(2), customer(undefined)),
+            combinedPriority(route(0), customer(3)),
         ];
         expect([...inOrder].sort((a, b) => a - b)).to.deep.equal(inOrder);
     });
@@ -87,7 +87,7 @@
 
 describe("sliding count", () => {
     it("forgets what is older than the window", () => {
-        const count = createSlidingCount(milliseconds(1000));
+        const count = createSlidingWindowCounter(milliseconds(1000));
         count.add(milliseconds(0));
         count.add(milliseconds(900));
         expect(count.total(milliseconds(950))).to.equal(2);
--- a/packages/decisions/test/retry.test.ts
+++ b/packages/decisions/test/retry.test.ts
@@ -1,6 +1,12 @@
 import { milliseconds } from "@chalkdale/kernel";
 import { expect } from "chai";
-import { type AnswerInputs, type AttemptEnd, decideRetry, judgeAnswer, type RetryInputs } from "../src/index.js";
+import {
+    type AnswerClassInputs,
+    type AttemptEnd,
+    classifyAnswer,
+    decideRetry,
+    type RetryInputs,
+} from "../src/index.js";
 
 describe("a retry", () => {
     const inputs = (changes: Partial<RetryInputs> = {}): RetryInputs => ({
@@ -9,7 +15,7 @@
         sent: 1,
         notSent: 0,
         timeLeft: milliseconds(1000),
-        takeRetry: () => true,
+        consumeRetry: () => true,
         ...changes,
     });
     const unsafe = (changes: Partial<RetryInputs> = {}) => inputs({ isIdempotent: false, ...changes });
@@ -58,10 +64,14 @@
                 taken += 1;
                 return false;
             };
-            expect(decideRetry({ kind: "broken" }, inputs({ sent: 2, takeRetry })).kind).to.equal("giveUp");
-            expect(decideRetry({ kind: "notSent" }, inputs({ takeRetry })).kind).to.equal("tryNext");
+            expect(decideRetry({ kind: "broken" }, inputs({ sent: 2, consumeRetry: takeRetry })).kind).to.equal(
+                "giveUp",
+            );
+            expect(decideRetry({ kind: "notSent" }, inputs({ consumeRetry: takeRetry })).kind).to.equal("tryNext");
             expect(taken).to.equal(0);
-            expect(decideRetry({ kind: "broken" }, inputs({ takeRetry }))).to.deep.equal(giveUp("budgetSpent"));
+            expect(decideRetry({ kind: "broken" }, inputs({ consumeRetry: takeRetry }))).to.deep.equal(
+                giveUp("budgetSpent"),
+            );
             expect(taken).to.equal(1);
         });
 
@@ -75,11 +85,11 @@
 describe("an answer", () => {
     const free = { running: 1, waiting: 0, slots: 4 };
     const full = { running: 4, waiting: 2, slots: 4 };
-    const judge = (changes: Partial<AnswerInputs>) =>
-        judgeAnswer({
+    const judge = (changes: Partial<AnswerClassInputs>) =>
+        classifyAnswer({
             status: 200,
             saysNotRun: false,
-            asksBackoff: false,
+            requestsBackoff: false,
             load: free,
             isCold: false,
             isOverdue: false,
@@ -99,7 +109,7 @@
     });
 
     it("that asks for back-off is no failure, also where the server has free slots or does not say that it has not run the request", () => {
-        const asksBackoff = { status: 503, asksBackoff: true };
+        const asksBackoff = { status: 503, requestsBackoff: true };
         expect(judge({ ...asksBackoff, saysNotRun: true })).to.deep.equal({ kind: "backedOff", mayHaveRun: false });
         expect(judge(asksBackoff)).to.deep.equal({ kind: "backedOff", mayHaveRun: true });
     });
--- a/packages/decisions/test/returning-keys.test.ts
+++ b/packages/decisions/test/returning-keys.test.ts
@@ -12,7 +12,7 @@
 
 import { availabilityZoneId, backendServerId, milliseconds, serviceId } from "@chalkdale/kernel";
 import { expect } from "chai";
-import { createReturningKeys } from "../src/choose/returning-keys.js";
+import { createKeyRebalancing } from "../src/choose/returning-keys.js";
 import { hashKey } from "../src/index.js";
 import { at, createRecord, createRoute, createSetup } from "./choice-setup.js";
 
@@ -87,9 +87,9 @@
     });
 
     it("come back to a server that has started again, though it was away long before as well", () => {
-        const returning = createReturningKeys();
+        const returning = createKeyRebalancing();
         const server = { ...setup.catalog.get(backendServerId("i-5"))!, addedAt: milliseconds(now) };
-        returning.noteAway(server, milliseconds(now - 30_000));
+        returning.onUnavailable(server, milliseconds(now - 30_000));
         const due = keys.filter(key => returning.isDue(server, key, milliseconds(now + 10_000)));
         expect(due).to.have.length(keys.length);
     });
--- a/packages/decisions/test/rollout-decider.test.ts
+++ b/packages/decisions/test/rollout-decider.test.ts
@@ -61,9 +61,9 @@
                                 sent: at / 100,
                                 sentToTrial,
                                 cap: known?.cap ?? 0,
-                                knownTotal: options.knows === false ? undefined : known?.total,
+                                knownGrantedTotal: options.knows === false ? undefined : known?.grantedTotal,
                                 age: milliseconds(at),
-                                inProgressElsewhere: known?.stage === "moving" ? 0 : 5,
+                                inProgressOnOtherVersions: known?.stage === "moving" ? 0 : 5,
                                 cells: index === 0 ? options.cells ?? [] : [],
                             }),
                             milliseconds(at),
@@ -77,7 +77,7 @@
                     isStoreReachable: options.isStoreReachable ?? true,
                     order: options.order ?? orderIn("running"),
                 });
-                decider.changedGrants().forEach(({ box, grant }) => grants.set(box, grant));
+                decider.grantsToPush().forEach(({ box, grant }) => grants.set(box, grant));
                 if (last.kind === "writeCompleted" || last.kind === "writeRolledBack") {
                     return { action: last, at, exposure, grants };
                 }
@@ -112,7 +112,7 @@
             expect(action.kind).to.equal("writeRolledBack");
             expect(at).to.equal(4250);
             expect(decider.news()?.decision).to.equal("rolledBack");
-            const [{ grant }] = decider.changedGrants();
+            const [{ grant }] = decider.grantsToPush();
             expect(grant).to.deep.include({ stage: "rolledBack", share: 0 });
             const later = play(decider, { from: 4500, until: 9000, cells: good });
             expect(later.action.kind).to.equal("writeRolledBack");
@@ -157,14 +157,14 @@
             const told = (sent: number, at: number) =>
                 decider.onReport(
                     boxId("a"),
-                    reportOf({ sent, cap: 7, knownTotal: 60, age: milliseconds(9000) }),
+                    reportOf({ sent, cap: 7, knownGrantedTotal: 60, age: milliseconds(9000) }),
                     milliseconds(at),
                 );
             expect(told(500, 100).cap).to.equal(7);
             decider.step(milliseconds(500), { ...inputs, order: orderIn("running") });
             expect(told(501, 600).cap).to.equal(7);
             decider.step(milliseconds(1200), { ...inputs, order: orderIn("running") });
-            expect(told(600, 1300).total).to.be.at.least(60);
+            expect(told(600, 1300).grantedTotal).to.be.at.least(60);
             expect(decider.status(milliseconds(1300)).age).to.be.closeTo(10_200, 1);
         });
 
--- a/packages/decisions/test/rollout-outcomes.test.ts
+++ b/packages/decisions/test/rollout-outcomes.test.ts
@@ -1,10 +1,10 @@
 import { expect } from "chai";
-import { type EmulatedRolloutOptions, faults, playRollout, versionKinds } from "./emulated-rollout.js";
+import { type EmulatedRolloutOptions, emulateRollout, faults, versionBehaviors } from "./emulated-rollout.js";
 
 const fleet = { duration: 30_000, servers: 24, rate: 90, boxes: 12, seed: 1 };
 
 function play(name: string, changes: Partial<EmulatedRolloutOptions> = {}) {
-    return playRollout({ ...fleet, kind: versionKinds[name], fault: "none", ...changes });
+    return emulateRollout({ ...fleet, kind: versionBehaviors[name], fault: "none", ...changes });
 }
 
 describe("outcomes of roll-outs", function() {
@@ -37,14 +37,14 @@
                     expect(outcome.state, outcome.reason).to.equal("rolledBack");
                     expect(outcome.decidedAt).to.be.below(fleet.duration);
                     expect(outcome.exposure).to.be.at.most(1);
-                    expect(outcome.sentAfterBad).to.be.at.most(5000);
+                    expect(outcome.stopDelay).to.be.at.most(5000);
                 });
             }
         });
     }
 
     it("stay within the bounds with many boxes that each have little traffic, and for short orders", () => {
-        for (const name of Object.keys(versionKinds)) {
+        for (const name of Object.keys(versionBehaviors)) {
             const outcome = play(name, { boxes: 60, duration: 12_000, seed: 2 });
             expect(outcome.exposure, name).to.be.at.most(1);
             expect(outcome.state, name).to.be.oneOf(["completed", "rolledBack"]);
--- a/packages/decisions/test/rollout-samples.ts
+++ b/packages/decisions/test/rollout-samples.ts
@@ -32,9 +32,9 @@
         incarnation: incarnationId("life-1"),
         sent: 0,
         sentToTrial: 0,
-        inProgressElsewhere: 0,
+        inProgressOnOtherVersions: 0,
         cap: 0,
-        knownTotal: undefined,
+        knownGrantedTotal: undefined,
         age: milliseconds(0),
         cells: [],
         ...changes,
@@ -66,9 +66,9 @@
 export function createServers(count: number): readonly BackendServer[] {
     const catalog = createServerCatalog((record, at) =>
         createServerState(record, at, {
-            recordDelay: milliseconds(0),
+            recordPropagationDelay: milliseconds(0),
             slowStart: createSlowStart({ self: boxId("box-1"), server: record.id, boxes: () => [], rate: () => 0 }),
-            shareLimit: () => ({ allows: () => true, onSent: () => undefined, onNotSent: () => undefined }),
+            createLimitShare: () => ({ allows: () => true, onSent: () => undefined, onNotSent: () => undefined }),
         })
     );
     const records = Array.from(
--- a/packages/decisions/test/rollouts.test.ts
+++ b/packages/decisions/test/rollouts.test.ts
@@ -6,18 +6,18 @@
 import { expect } from "chai";
 import fc from "fast-check";
 import {
-    createExposureAccount,
+    createExposureBudget,
     createRouteSampling,
     createTrialTraffic,
     createWorkEstimate,
     groupOf,
     judgeTrial,
+    rankForSampling,
     rankSumScore,
     type RolloutGrant,
     type RolloutReport,
-    sampledServers,
-    sampleOrder,
-    type TrialPlace,
+    selectSampledServers,
+    type TrialCohort,
 } from "../src/index.js";
 import { addCells } from "../src/rollouts/evidence.js";
 import { createRecord, createRoute } from "./choice-setup.js";
@@ -35,12 +35,12 @@
                 takesOver: fc.integer({ min: 0, max: 9 }).map(draw => draw === 0),
             });
             fc.assert(fc.property(fc.array(step, { maxLength: 60 }), steps => {
-                let account = createExposureAccount(bounds);
+                let account = createExposureBudget(bounds);
                 const boxes = new Map<string, RolloutReport>();
                 for (const { box, isStale, life, requests, takesOver, wanted } of steps) {
                     if (takesOver) {
                         // The decider that takes over grants nothing before it has heard of the boxes.
-                        account = createExposureAccount(bounds);
+                        account = createExposureBudget(bounds);
                         boxes.forEach((told, name) => account.onReport(boxId(name.split(" ")[0]), told));
                     }
                     const incarnation = incarnationId(`life-${life}`);
@@ -48,8 +48,8 @@
                     const known = boxes.get(name) ?? reportOf({ incarnation });
                     const report = { ...known, sent: known.sent + requests };
                     account.onReport(boxId(`${box}`), isStale ? known : report);
-                    const cap = account.raise(boxId(`${box}`), incarnation, wanted);
-                    boxes.set(name, { ...report, cap, knownTotal: account.total() });
+                    const cap = account.raiseCap(boxId(`${box}`), incarnation, wanted);
+                    boxes.set(name, { ...report, cap, knownGrantedTotal: account.grantedTotal() });
                     const sent = [...boxes.values()].reduce((sum, told) => sum + told.sent, 0);
                     const caps = [...boxes.values()].reduce((sum, told) => sum + told.cap, 0);
                     expect(caps).to.be.at.most(0.1 * sent + 50);
@@ -59,26 +59,26 @@
         });
 
         it("takes the allowance as spent once all memory of a trial is lost", () => {
-            const account = createExposureAccount(bounds);
-            account.onMemoryLost();
+            const account = createExposureBudget(bounds);
+            account.onGrantHistoryLost();
             const { incarnation } = reportOf();
-            expect(account.raise(boxId("a"), incarnation, 40)).to.equal(0);
+            expect(account.raiseCap(boxId("a"), incarnation, 40)).to.equal(0);
             account.onReport(boxId("a"), reportOf({ sent: 100 }));
-            expect(account.raise(boxId("a"), incarnation, 40)).to.equal(9);
+            expect(account.raiseCap(boxId("a"), incarnation, 40)).to.equal(9);
         });
     });
 
     describe("sample", () => {
         it("has one server of each region first, is the same for any order of the list, and balanced in groups", () => {
             const servers = createServers(24);
-            const inOrder = sampleOrder(servers, rollout);
-            expect(sampleOrder(servers.toReversed(), rollout)).to.deep.equal(inOrder);
+            const inOrder = rankForSampling(servers, rollout);
+            expect(rankForSampling(servers.toReversed(), rollout)).to.deep.equal(inOrder);
             const regions = new Set(inOrder.slice(0, 3).map(server => server.state.record().region));
             expect(regions.size).to.equal(3);
             const sizes = new Map<number, number>();
             inOrder.forEach((_, place) => sizes.set(groupOf(place), (sizes.get(groupOf(place)) ?? 0) + 1));
             expect([...sizes.values()]).to.deep.equal(new Array(8).fill(3));
-            expect(sampleOrder(servers, { ...rollout, createdAt: 200 })).not.to.deep.equal(inOrder);
+            expect(rankForSampling(servers, { ...rollout, createdAt: 200 })).not.to.deep.equal(inOrder);
         });
 
         it("leaves out cold, draining and unlisted servers, but not ejected ones", () => {
@@ -88,7 +88,7 @@
             second.state.applyRecord({ ...second.state.record(), draining: true }, start);
             third.state.onUnlisted();
             fourth.state.onFailure(start, "unreachable");
-            expect(sampledServers(servers, 8, start)).to.deep.equal([fourth, fifth]);
+            expect(selectSampledServers(servers, 8, start)).to.deep.equal([fourth, fifth]);
         });
     });
 
@@ -138,11 +138,11 @@
 
         it("is undecided for few answers, and for a difference that may be chance", () => {
             const few = judge(cellsOf(() => ({ answers: 1 }), none));
-            expect(few.kind === "undecided" && few.why).to.equal("fewAnswers");
+            expect(few.kind === "undecided" && few.cause).to.equal("fewAnswers");
             const unclear = judge(
                 cellsOf(group => ({ failures: group < 6 ? 2 : 0 }), group => ({ failures: group % 2 * 5 })),
             );
-            expect(unclear.kind === "undecided" && unclear.why).to.equal("unclear");
+            expect(unclear.kind === "undecided" && unclear.cause).to.equal("unclear");
         });
 
         it("is bad by a late part of the trial though the whole looks good", () => {
@@ -190,16 +190,16 @@
             stage: "moving",
             cap: 3,
             share: 1,
-            sampledServers: 8,
-            total: 30,
+            sampledServerCount: 8,
+            grantedTotal: 30,
             age: milliseconds(700),
         };
 
-        function createTraffic(place: () => TrialPlace | undefined = () => undefined) {
+        function createTraffic(place: () => TrialCohort | undefined = () => undefined) {
             return createTrialTraffic({
                 order: orderIn("running"),
                 incarnation: incarnationId("life-1"),
-                versions: { placeOf: place, trialVersion: () => rollout.targetVersion },
+                versions: { cohortOf: place, trialVersion: () => rollout.targetVersion },
                 age: milliseconds(0),
                 at: start,
             });
@@ -225,9 +225,9 @@
             expect(traffic.report(milliseconds(300))).to.deep.include({
                 sent: 3,
                 sentToTrial: 1,
-                inProgressElsewhere: 1,
+                inProgressOnOtherVersions: 1,
                 cap: 3,
-                knownTotal: 30,
+                knownGrantedTotal: 30,
                 age: 900,
             });
         });
@@ -235,11 +235,11 @@
         it("keeps the greatest cap and total, and sends nothing more once it hears a decision", () => {
             const traffic = createTraffic();
             traffic.onGrant(grant, start);
-            traffic.onGrant({ ...grant, cap: 1, total: 10 }, start);
-            expect(traffic.report(start)).to.deep.include({ cap: 3, knownTotal: 30 });
-            traffic.onNews({ rollout: { ...rollout, createdAt: 99 }, decision: "rolledBack", reason: "" });
+            traffic.onGrant({ ...grant, cap: 1, grantedTotal: 10 }, start);
+            expect(traffic.report(start)).to.deep.include({ cap: 3, knownGrantedTotal: 30 });
+            traffic.onDecision({ rollout: { ...rollout, createdAt: 99 }, decision: "rolledBack", reason: "" });
             expect(traffic.assign("lookup")).to.equal(true);
-            traffic.onNews({ rollout, decision: "rolledBack", reason: "" });
+            traffic.onDecision({ rollout, decision: "rolledBack", reason: "" });
             expect(traffic.assign("lookup")).to.equal(false);
             expect(traffic.report(start)).to.equal(undefined);
         });
@@ -253,7 +253,7 @@
         });
 
         it("stops by its own evidence, and counts no answers of cold servers", () => {
-            let place: TrialPlace = { isTrial: false, group: 0 };
+            let place: TrialCohort = { isTrial: false, group: 0 };
             const traffic = createTraffic(() => place);
             traffic.onGrant({ ...grant, cap: 1000 }, start);
             const answer = (isFailure: boolean, wasCold = false) =>
@@ -278,12 +278,12 @@
             const work = createWorkEstimate();
             const route = createRoute({ goal: milliseconds(1000) });
             const compare = (known: boolean, duration: number, wait = 0) =>
-                work.compare(route, known, milliseconds(duration), milliseconds(wait));
+                work.slownessOf(route, known, milliseconds(duration), milliseconds(wait));
             expect(compare(true, 1050)).to.be.closeTo(3, 1e-9);
             expect(compare(true, 1050, 350)).to.be.closeTo(1.5, 1e-9);
             expect(compare(false, 1050)).to.equal(1);
             expect(compare(false, 3600)).to.be.closeTo(3, 1e-9);
-            expect(work.durationOf(route, false, 3, milliseconds(0))).to.be.closeTo(3600, 1e-9);
+            expect(work.durationAtSlowness(route, false, 3, milliseconds(0))).to.be.closeTo(3600, 1e-9);
             expect(work.expected(route, true)).to.equal(350);
         });
     });
--- a/packages/decisions/test/served-versions.test.ts
+++ b/packages/decisions/test/served-versions.test.ts
@@ -5,7 +5,7 @@
     createServerCatalog,
     createServerState,
     createSlowStart,
-    type RolloutNews,
+    type RolloutDecision,
     type RolloutOrder,
     type RolloutState,
 } from "../src/index.js";
@@ -28,12 +28,12 @@
 function setUp() {
     let now = milliseconds(0);
     let order: RolloutOrder | undefined;
-    let news: RolloutNews["decision"] | undefined;
+    let news: RolloutDecision["decision"] | undefined;
     const catalog = createServerCatalog((record, at) =>
         createServerState(record, at, {
-            recordDelay: milliseconds(0),
+            recordPropagationDelay: milliseconds(0),
             slowStart: createSlowStart({ self: boxId("box-1"), server: record.id, boxes: () => [], rate: () => 0 }),
-            shareLimit: () => ({ allows: () => true, onSent: () => undefined, onNotSent: () => undefined }),
+            createLimitShare: () => ({ allows: () => true, onSent: () => undefined, onNotSent: () => undefined }),
         })
     );
     const versions = createServedVersions({
@@ -41,7 +41,7 @@
         now: () => now,
         orderOf: () => order,
         decisionOf: () => news,
-        sampledCount: () => 2,
+        sampledServerCount: () => 2,
     });
     return {
         versions,
@@ -63,7 +63,7 @@
         order(next: RolloutOrder | undefined) {
             order = next;
         },
-        news(next: RolloutNews["decision"] | undefined) {
+        news(next: RolloutDecision["decision"] | undefined) {
             news = next;
         },
         at(time: number) {
--- a/packages/decisions/test/server-choice.test.ts
+++ b/packages/decisions/test/server-choice.test.ts
@@ -133,7 +133,7 @@
             const setup = createSetup(fourServers, [], 0.9);
             const seen = new Set<unknown>();
             for (let load = 0; load < 40; load++) {
-                const choice = setup.choose(setup.request({ isReturning: true }));
+                const choice = setup.choose(setup.request({ isCallerRetry: true }));
                 if (choice.kind === "chosen") {
                     seen.add(choice.server.id);
                     choice.server.state.onSent();
@@ -221,7 +221,7 @@
         it("takes a caller that comes back where another one would be refused", () => {
             const setup = createSetup(fourServers);
             fill(setup);
-            expect(setup.choose(setup.request({ isReturning: true })).kind).to.equal("chosen");
+            expect(setup.choose(setup.request({ isCallerRetry: true })).kind).to.equal("chosen");
         });
     });
 
@@ -246,7 +246,9 @@
             const { chosen } = createSetup(records, ["north-a"]);
             const homes = new Set([regionId("north")]);
             for (let key = 0; key < 50; key++) {
-                expect(chosen({ homes, keyHash: hashText(`key-${key}`) })).to.equal(backendServerId("s-2"));
+                expect(chosen({ allowedRegions: homes, keyHash: hashText(`key-${key}`) })).to.equal(
+                    backendServerId("s-2"),
+                );
             }
         });
 
@@ -347,7 +349,7 @@
         const limited = (...servers: readonly string[]) => {
             const setup = createSetup(names.map(name => createRecord(name)));
             servers.forEach(name =>
-                setup.catalog.get(backendServerId(name))!.state.onLimit({ kind: "named", rate: 2, at })
+                setup.catalog.get(backendServerId(name))!.state.onLimitUpdate({ kind: "named", rate: 2, at })
             );
             return setup;
         };
--- a/packages/decisions/test/server-life.test.ts
+++ b/packages/decisions/test/server-life.test.ts
@@ -18,10 +18,10 @@
 import fc from "fast-check";
 import {
     type BackendServerRecord,
+    createOutlierReports,
     createServerCatalog,
     createServerState,
-    createSharedEvidence,
-    lateWriteTime,
+    lateWriteGracePeriod,
     type ServerCatalog,
 } from "../src/index.js";
 
@@ -41,9 +41,9 @@
         revision = 0;
         catalog = createServerCatalog((record, at) =>
             createServerState(record, at, {
-                recordDelay: milliseconds(0),
+                recordPropagationDelay: milliseconds(0),
                 slowStart: unbounded,
-                shareLimit: () => unbounded,
+                createLimitShare: () => unbounded,
             })
         );
     });
@@ -64,7 +64,7 @@
         recordOf({ bornAt: unixMilliseconds(bornAt), ...changes });
     const apply = (...records: BackendServerRecord[]) => catalog.applyList(records, now);
     const state = () => catalog.get(id)!.state;
-    const exclusion = () => state().exclusion(now);
+    const exclusion = () => state().exclusionReason(now);
 
     describe("a later one", () => {
         it("inherits nothing, whatever was learned of the one before", () => {
@@ -117,7 +117,7 @@
             const server = catalog.get(id)!;
             const stranger = { ...born(firstBirth), id: backendServerId("i-stranger") };
             apply(server.state.record(), stranger);
-            expect([catalog.hasNewLife(server), catalog.hasSuccessor(server)]).to.deep.equal([false, true]);
+            expect([catalog.hasNewIncarnation(server), catalog.hasSuccessor(server)]).to.deep.equal([false, true]);
             expect(exclusion()).to.equal(undefined);
         });
 
@@ -175,7 +175,7 @@
             apply(born(firstBirth));
             expect(exclusion()).to.equal("draining");
             apply(born(firstBirth + 1, { draining: true }));
-            now = milliseconds(now + 2 * lateWriteTime);
+            now = milliseconds(now + 2 * lateWriteGracePeriod);
             expect(catalog.sweep(now).restarted).to.deep.equal([]);
             expect(exclusion()).to.equal("draining");
         });
@@ -194,7 +194,7 @@
         it("is a new life of a server whose clock was set back, once it stands for long", () => {
             apply(born(firstBirth + 60_000));
             apply(born(firstBirth));
-            now = milliseconds(now + lateWriteTime - 1);
+            now = milliseconds(now + lateWriteGracePeriod - 1);
             expect(catalog.sweep(now).restarted).to.deep.equal([]);
             now = milliseconds(now + 1);
             expect(catalog.sweep(now).restarted).to.have.length(1);
@@ -205,7 +205,7 @@
             apply(born(firstBirth + 1));
             apply(born(firstBirth));
             apply();
-            now = milliseconds(now + 2 * lateWriteTime);
+            now = milliseconds(now + 2 * lateWriteGracePeriod);
             expect(catalog.sweep(now).restarted).to.deep.equal([]);
             expect(exclusion()).to.equal("unlisted");
         });
@@ -221,9 +221,9 @@
             fc.property(fc.array(told, { minLength: 1, maxLength: 12 }), history => {
                 catalog = createServerCatalog((record, at) =>
                     createServerState(record, at, {
-                        recordDelay: milliseconds(0),
+                        recordPropagationDelay: milliseconds(0),
                         slowStart: unbounded,
-                        shareLimit: () => unbounded,
+                        createLimitShare: () => unbounded,
                     })
                 );
                 for (const { birth, draining, isListed } of history) {
@@ -238,7 +238,7 @@
     });
 
     it("are not judged by what other boxes saw of the one before", () => {
-        const evidence = createSharedEvidence(boxId("box-1"));
+        const evidence = createOutlierReports(boxId("box-1"));
         const report = (origin: string, at: Milliseconds) =>
             evidence.onReport({ server: id, origin: boxId(origin), severity: 3, at }, now);
         report("box-2", now);
--- a/packages/decisions/test/server-state.test.ts
+++ b/packages/decisions/test/server-state.test.ts
@@ -27,7 +27,7 @@
                 revision: 1,
             },
             at(0),
-            { recordDelay: at(0), slowStart: never, shareLimit: () => never },
+            { recordPropagationDelay: at(0), slowStart: never, createLimitShare: () => never },
         );
 
     describe("ejection", () => {
@@ -35,12 +35,12 @@
             const state = create();
             state.onFailure(at(0), "brokeOff");
             state.onFailure(at(1), "brokeOff");
-            expect(state.exclusion(at(1))).to.equal(undefined);
+            expect(state.exclusionReason(at(1))).to.equal(undefined);
             state.onFailure(at(2), "brokeOff");
-            expect(state.exclusion(at(2))).to.equal("ejected");
+            expect(state.exclusionReason(at(2))).to.equal("ejected");
             const other = create();
             other.onFailure(at(0), "unreachable");
-            expect(other.exclusion(at(0))).to.equal("ejected");
+            expect(other.exclusionReason(at(0))).to.equal("ejected");
         });
 
         it("ends with a good health check, each that fails is followed by a longer pause", () => {
@@ -52,7 +52,7 @@
             state.onHealthCheck(at(500), false);
             expect(state.healthCheckDueAt()).to.equal(1500);
             state.onHealthCheck(at(1500), true);
-            expect(state.exclusion(at(1500))).to.equal(undefined);
+            expect(state.exclusionReason(at(1500))).to.equal(undefined);
             expect(state.healthCheckDueAt()).to.equal(undefined);
         });
 
@@ -90,8 +90,8 @@
             state.onLeaving();
             state.applyRecord({ ...state.record(), revision: 2 }, at(5000));
             state.onFailure(at(5001), "unreachable");
-            expect(state.exclusion(at(60_000))).to.equal("leaving");
-            expect(state.hasLeft()).to.equal(true);
+            expect(state.exclusionReason(at(60_000))).to.equal("leaving");
+            expect(state.isOutOfService()).to.equal(true);
             expect(state.healthCheckDueAt()).to.equal(undefined);
         });
     });
@@ -101,9 +101,9 @@
             const state = create();
             state.onFailure(at(0), "unreachable");
             state.onBackoff(at(100), milliseconds(3000));
-            expect(state.exclusion(at(3099))).to.equal("backedOff");
+            expect(state.exclusionReason(at(3099))).to.equal("backedOff");
             expect(state.healthCheckDueAt()).to.equal(3100);
-            expect(state.exclusion(at(3100))).to.equal("ejected");
+            expect(state.exclusionReason(at(3100))).to.equal("ejected");
         });
 
         it("has the longer of two back-offs, and a bounded one by a figure beyond all reason", () => {
@@ -112,17 +112,17 @@
             state.onBackoff(at(100), milliseconds(1000));
             expect(state.backoffUntil()).to.equal(3000);
             state.onBackoff(at(200), milliseconds(1e12));
-            expect(state.exclusion(at(400_000))).to.equal(undefined);
+            expect(state.exclusionReason(at(400_000))).to.equal(undefined);
         });
     });
 
     describe("cold time", () => {
         it("goes by what the server says, and bounds what it gets [P14]", () => {
             const state = create();
-            expect(state.exclusion(at(0))).to.equal(undefined);
+            expect(state.exclusionReason(at(0))).to.equal(undefined);
             state.onCold(at(0), at(1000));
-            expect(state.exclusion(at(999))).to.equal("cold");
-            expect(state.exclusion(at(1000))).to.equal(undefined);
+            expect(state.exclusionReason(at(999))).to.equal("cold");
+            expect(state.exclusionReason(at(1000))).to.equal(undefined);
         });
     });
 
@@ -137,14 +137,14 @@
                 rate: () => 2,
             });
             const state = createServerState({ ...create().record(), coldFor }, at(0), {
-                recordDelay: at(0),
+                recordPropagationDelay: at(0),
                 slowStart,
-                shareLimit: () => never,
+                createLimitShare: () => never,
             });
-            expect(state.exclusion(at(10))).to.equal(undefined);
+            expect(state.exclusionReason(at(10))).to.equal(undefined);
             state.onChosen(at(10));
-            expect(state.exclusion(at(10))).to.equal("cold");
-            expect(state.exclusion(at(300))).to.equal("cold");
+            expect(state.exclusionReason(at(10))).to.equal("cold");
+            expect(state.exclusionReason(at(300))).to.equal("cold");
         });
     });
 });
--- a/packages/decisions/test/shared-evidence.test.ts
+++ b/packages/decisions/test/shared-evidence.test.ts
@@ -1,6 +1,6 @@
 import { backendServerId, boxId, milliseconds } from "@chalkdale/kernel";
 import { expect } from "chai";
-import { createSharedEvidence } from "../src/index.js";
+import { createOutlierReports } from "../src/index.js";
 
 const self = boxId("box-1");
 const server = backendServerId("s-1");
@@ -12,40 +12,40 @@
 
 describe("shared evidence", () => {
     it("takes nothing from one other box alone [P7]", () => {
-        const evidence = createSharedEvidence(self);
+        const evidence = createOutlierReports(self);
         evidence.onReport(report("box-2", 5), at);
         expect(evidence.severity(server, 0, at)).to.equal(0);
     });
 
     it("goes by the lower view of two other boxes [P7]", () => {
-        const evidence = createSharedEvidence(self);
+        const evidence = createOutlierReports(self);
         evidence.onReport(report("box-2", 5), at);
         evidence.onReport(report("box-3", 2), at);
         expect(evidence.severity(server, 0, at)).to.equal(2);
     });
 
     it("counts the own view as one of the two", () => {
-        const evidence = createSharedEvidence(self);
+        const evidence = createOutlierReports(self);
         evidence.onReport(report("box-2", 5), at);
         expect(evidence.severity(server, 0.7, at)).to.equal(0.7);
     });
 
     it("does not take two reports of one box for two boxes", () => {
-        const evidence = createSharedEvidence(self);
+        const evidence = createOutlierReports(self);
         evidence.onReport(report("box-2", 5), at);
         evidence.onReport(report("box-2", 4), milliseconds(at + 300));
         expect(evidence.severity(server, 0, milliseconds(at + 300))).to.equal(0);
     });
 
     it("does not hear itself", () => {
-        const evidence = createSharedEvidence(self);
+        const evidence = createOutlierReports(self);
         evidence.onReport(report("box-1", 5), at);
         evidence.onReport(report("box-2", 5), at);
         expect(evidence.severity(server, 0, at)).to.equal(0);
     });
 
     it("forgets within seconds", () => {
-        const evidence = createSharedEvidence(self);
+        const evidence = createOutlierReports(self);
         evidence.onReport(report("box-2", 5), at);
         evidence.onReport(report("box-3", 5), at);
         expect(evidence.severity(server, 0, milliseconds(at + 3000))).to.equal(0);
@@ -53,7 +53,7 @@
     });
 
     it("passes on the latest reports of two boxes", () => {
-        const evidence = createSharedEvidence(self);
+        const evidence = createOutlierReports(self);
         evidence.onReport(report("box-2", 5), at);
         evidence.onReport(report("box-3", 4, milliseconds(at + 300)), milliseconds(at + 300));
         evidence.onReport(report("box-4", 3, milliseconds(at + 600)), milliseconds(at + 600));
--- a/packages/decisions/test/store-position.test.ts
+++ b/packages/decisions/test/store-position.test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import fc from "fast-check";
-import { describePosition, epochOf, revisionWithin, storePosition } from "../src/index.js";
+import { describePosition, epochOf, revisionInEpoch, storePosition } from "../src/index.js";
 
 describe("a position in the store's history", () => {
     const epochs = fc.integer({ min: 0, max: 2 ** 13 - 1 });
@@ -11,7 +11,7 @@
             const position = storePosition(epoch, revision)!;
             const other = storePosition(otherEpoch, otherRevision)!;
             expect(Number.isSafeInteger(position)).to.equal(true);
-            expect([epochOf(position), revisionWithin(position)]).to.deep.equal([epoch, revision]);
+            expect([epochOf(position), revisionInEpoch(position)]).to.deep.equal([epoch, revision]);
             const isBefore = epoch < otherEpoch || epoch === otherEpoch && revision < otherRevision;
             expect(position < other).to.equal(isBefore);
         }));
--- a/packages/decisions/test/time-limits.test.ts
+++ b/packages/decisions/test/time-limits.test.ts
@@ -2,23 +2,23 @@
 import { expect } from "chai";
 import {
     connectTimeoutOfRequest,
-    createStopSchedule,
-    longestRestBefore,
+    createShutdownSchedule,
+    idleTimeoutAfterAnswer,
+    jitteredBackoff,
+    maxIdleTimeBefore,
     nextBackoff,
-    overdueTime,
-    requestLimit,
-    restAfterAnswer,
-    snapshotHeadStart,
-    spreadBackoff,
+    overdueThreshold,
+    requestTimeout,
+    snapshotDelay,
 } from "../src/index.js";
 
 describe("time limits", () => {
     it("hold a request as long as both its caller and its route allow [P13]", () => {
         const timeout = milliseconds(1500);
-        expect(requestLimit(900, timeout)).to.equal(900);
-        expect(requestLimit(9000, timeout)).to.equal(1500);
+        expect(requestTimeout(900, timeout)).to.equal(900);
+        expect(requestTimeout(9000, timeout)).to.equal(1500);
         for (const none of [Number.NaN, 0, -5]) {
-            expect(requestLimit(none, timeout)).to.equal(1500);
+            expect(requestTimeout(none, timeout)).to.equal(1500);
         }
     });
 
@@ -28,25 +28,25 @@
     });
 
     it("call no request overdue before the least time", () => {
-        expect(overdueTime(milliseconds(10))).to.equal(400);
-        expect(overdueTime(milliseconds(300))).to.equal(900);
+        expect(overdueThreshold(milliseconds(10))).to.equal(400);
+        expect(overdueThreshold(milliseconds(300))).to.equal(900);
     });
 
     it("use rested connections sooner for requests that may not run twice [P5]", () => {
-        expect(longestRestBefore(false)).to.be.lessThan(longestRestBefore(true));
-        expect(restAfterAnswer(milliseconds(2000))).to.equal(1000);
-        expect(restAfterAnswer(undefined)).to.be.at.most(longestRestBefore(true));
+        expect(maxIdleTimeBefore(false)).to.be.lessThan(maxIdleTimeBefore(true));
+        expect(idleTimeoutAfterAnswer(milliseconds(2000))).to.equal(1000);
+        expect(idleTimeoutAfterAnswer(undefined)).to.be.at.most(maxIdleTimeBefore(true));
     });
 });
 
 describe("the schedule of a planned stop [P7]", () => {
-    const schedule = createStopSchedule(milliseconds(6000));
+    const schedule = createShutdownSchedule(milliseconds(6000));
 
     it("takes new work at first, then waits for work in flight, and ends before the kill", () => {
-        expect(schedule.takeWorkFor).to.equal(2400);
-        expect(schedule.isWaitOver(milliseconds(2400), 1)).to.equal(false);
-        expect(schedule.isWaitOver(milliseconds(2400), 0)).to.equal(true);
-        expect(schedule.isWaitOver(milliseconds(5700), 1)).to.equal(true);
+        expect(schedule.acceptRequestsFor).to.equal(2400);
+        expect(schedule.isDrainOver(milliseconds(2400), 1)).to.equal(false);
+        expect(schedule.isDrainOver(milliseconds(2400), 0)).to.equal(true);
+        expect(schedule.isDrainOver(milliseconds(5700), 1)).to.equal(true);
     });
 
     it("lets callers read the last answer as far as the grace allows", () => {
@@ -57,28 +57,34 @@
 });
 
 describe("the refresh of a copy [P8]", () => {
-    const inputs = { hasCopy: true, alwaysFollows: false, isStoreLost: false, isOverdue: false, isSameRegion: true };
+    const inputs = {
+        hasCopy: true,
+        alwaysFollowsStore: false,
+        isStoreUnavailable: false,
+        isStale: false,
+        isSameRegion: true,
+    };
 
     it("waits for nothing without a copy [P17]", () => {
-        expect(snapshotHeadStart({ ...inputs, hasCopy: false })).to.equal(0);
+        expect(snapshotDelay({ ...inputs, hasCopy: false })).to.equal(0);
     });
 
     it("leaves the ordinary way a head start, the shortest where it is nearest", () => {
-        const relay = snapshotHeadStart(inputs);
-        const watch = snapshotHeadStart({ ...inputs, alwaysFollows: true });
-        const otherRegion = snapshotHeadStart({ ...inputs, isSameRegion: false });
+        const relay = snapshotDelay(inputs);
+        const watch = snapshotDelay({ ...inputs, alwaysFollowsStore: true });
+        const otherRegion = snapshotDelay({ ...inputs, isSameRegion: false });
         expect(relay).to.be.lessThan(watch);
         expect(watch).to.be.lessThan(otherRegion);
-        expect(snapshotHeadStart({ ...inputs, isSameRegion: false, isStoreLost: true })).to.equal(watch);
-        expect(snapshotHeadStart({ ...inputs, isSameRegion: false, isOverdue: true })).to.equal(relay);
-        expect(snapshotHeadStart({ ...inputs, alwaysFollows: true, isStoreLost: true })).to.equal(relay);
+        expect(snapshotDelay({ ...inputs, isSameRegion: false, isStoreUnavailable: true })).to.equal(watch);
+        expect(snapshotDelay({ ...inputs, isSameRegion: false, isStale: true })).to.equal(relay);
+        expect(snapshotDelay({ ...inputs, alwaysFollowsStore: true, isStoreUnavailable: true })).to.equal(relay);
     });
 
     it("doubles the pauses between failed calls up to a bound, and spreads them", () => {
         expect(nextBackoff(milliseconds(150), true)).to.equal(300);
         expect(nextBackoff(milliseconds(1000), true)).to.equal(1200);
         expect(nextBackoff(milliseconds(2000), false)).to.equal(2500);
-        expect(spreadBackoff(milliseconds(1000), 0)).to.equal(700);
-        expect(spreadBackoff(milliseconds(1000), 1)).to.be.closeTo(1300, 1e-6);
+        expect(jitteredBackoff(milliseconds(1000), 0)).to.equal(700);
+        expect(jitteredBackoff(milliseconds(1000), 1)).to.be.closeTo(1300, 1e-6);
     });
 });
--- a/packages/kernel/src/ids.ts
+++ b/packages/kernel/src/ids.ts
@@ -27,7 +27,7 @@
 /** What a request asks for, whatever its id: see the box's `fingerprintOf`. */
 export type RequestFingerprint = Branded<string, "RequestFingerprint">;
 /** One life of a backend server, from a start to its end. */
-export type ServerLife = Branded<string, "ServerLife">;
+export type ServerIncarnationId = Branded<string, "ServerLife">;
 /** Version of the software that a backend server runs. */
 export type ServerVersion = Branded<string, "ServerVersion">;
 /** Version of an object in the store of the settings tree; only ever goes up. */
@@ -52,7 +52,7 @@
 /** Takes a text as a backend server's name. */
 export const backendServerId = (text: string) => text as BackendServerId;
 /** Takes a text as a life of a backend server. */
-export const serverLife = (text: string) => text as ServerLife;
+export const serverIncarnationId = (text: string) => text as ServerIncarnationId;
 /** Takes a text as the name of an answer. */
 export const answerId = (text: string) => text as AnswerId;
 /** Takes a text as a request's fingerprint. */
--- a/packages/runtime/src/clock.ts
+++ b/packages/runtime/src/clock.ts
@@ -6,7 +6,7 @@
 import { randomBytes } from "node:crypto";
 
 /** Monotonic milliseconds since the process started. Goes on while the process is stopped. */
-export const systemClock: Clock = () => milliseconds(performance.now());
+export const monotonicClock: Clock = () => milliseconds(performance.now());
 
 /**
  * Milliseconds by which the time of day must get ahead of the steady clock at once to stand for a suspension: far more than the clocks'
@@ -22,7 +22,7 @@
  * @param steady the clock that goes on while the process is stopped, and not while the machine is suspended.
  * @param timeOfDay Unix milliseconds.
  */
-export function createAgeClock(steady: Clock = systemClock, timeOfDay: () => number = Date.now): Clock {
+export function createSuspendAwareClock(steady: Clock = monotonicClock, timeOfDay: () => number = Date.now): Clock {
     let suspendedFor = 0;
     let lead = timeOfDay() - steady();
 
--- a/packages/runtime/src/log-budget.ts
+++ b/packages/runtime/src/log-budget.ts
@@ -8,12 +8,12 @@
 import type { Log, LogFields, LogLevel } from "./log.js";
 
 /** A log whose frequent events are bounded. */
-export interface BudgetedLog extends Log {
+export interface RateLimitedLog extends Log {
     /** Writes the counts of lines left out; due about once a second. */
     readonly report: () => void;
 }
 
-export interface LogBudgetOptions {
+export interface LogRateLimitOptions {
     /** Lines a second for each event at most. */
     readonly linesPerSecond: number;
     /** Other bounds for some events. */
@@ -21,7 +21,7 @@
 }
 
 /** Wraps a log. The seconds are those between calls of `report`. */
-export function createBudgetedLog(log: Log, options: LogBudgetOptions): BudgetedLog {
+export function createRateLimitedLog(log: Log, options: LogRateLimitOptions): RateLimitedLog {
     const written = new Map<string, number>();
     const at = (level: LogLevel) => (event: string, fields?: LogFields) => {
         const count = (written.get(event) ?? 0) + 1;
--- a/packages/runtime/src/output.ts
+++ b/packages/runtime/src/output.ts
@@ -17,7 +17,7 @@
 export interface LineOutput {
     readonly write: (line: string) => void;
     /** Lines left out so far. */
-    readonly leftOut: () => number;
+    readonly droppedLines: () => number;
 }
 
 /** Bytes kept for a reader that does not read. */
@@ -41,6 +41,6 @@
             }
             target.write(`${line}\n`);
         },
-        leftOut: () => leftOut,
+        droppedLines: () => leftOut,
     };
 }
--- a/packages/runtime/src/streams.ts
+++ b/packages/runtime/src/streams.ts
@@ -5,7 +5,7 @@
 import { fromPromise, periodic, type Stream } from "most";
 
 /** Returns a stream with an event every so many milliseconds until the signal aborts. */
-export function every(interval: number, signal: AbortSignal): Stream<undefined> {
+export function intervalStream(interval: number, signal: AbortSignal): Stream<undefined> {
     const aborted = new Promise<void>(resolve => {
         signal.addEventListener("abort", () => resolve(), { once: true });
     });
--- a/packages/runtime/test/clock.test.ts
+++ b/packages/runtime/test/clock.test.ts
@@ -4,7 +4,7 @@
 
 import { type Clock, milliseconds } from "@chalkdale/kernel";
 import { expect } from "chai";
-import { createAgeClock } from "../src/clock.js";
+import { createSuspendAwareClock } from "../src/clock.js";
 
 describe("the clock for ages [P8]", () => {
     let steady: number;
@@ -14,7 +14,7 @@
     beforeEach(() => {
         steady = 1000;
         day = 1_700_000_000_000;
-        clock = createAgeClock(() => milliseconds(steady), () => day);
+        clock = createSuspendAwareClock(() => milliseconds(steady), () => day);
     });
 
     function pass(duration: number): void {
--- a/packages/runtime/test/output.test.ts
+++ b/packages/runtime/test/output.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { createBudgetedLog, createLineOutput, createLog } from "../src/index.js";
+import { createLineOutput, createLog, createRateLimitedLog } from "../src/index.js";
 
 describe("log output", () => {
     it("leaves lines out while its reader does not read, and then says how many", () => {
@@ -19,14 +19,14 @@
         target.writableLength = 0;
         output.write("d");
         expect(written).to.deep.equal(["a\n", "level=warn event=log.leftOut reason=reader lines=2\n", "d\n"]);
-        expect(output.leftOut()).to.equal(2);
+        expect(output.droppedLines()).to.equal(2);
     });
 });
 
 describe("log budget", () => {
     it("bounds the lines of each event, and counts what it leaves out", () => {
         const written: string[] = [];
-        const log = createBudgetedLog(createLog({ write: line => written.push(line.replace(/^time=\S+ /, "")) }), {
+        const log = createRateLimitedLog(createLog({ write: line => written.push(line.replace(/^time=\S+ /, "")) }), {
             linesPerSecond: 2,
             byEvent: { rare: 1 },
         });
--- a/packages/settings-store/src/bounded-call.ts
+++ b/packages/settings-store/src/bounded-call.ts
@@ -10,7 +10,7 @@
  * Runs a task under a signal that aborts with any of the owners or after so
  * many milliseconds. Whatever the task returns or throws is passed on.
  */
-export async function boundedCall<Value>(
+export async function callWithTimeout<Value>(
     owners: readonly AbortSignal[],
     timeout: number,
     task: (signal: AbortSignal) => Promise<Value>,
--- a/packages/settings-store/src/change-object.ts
+++ b/packages/settings-store/src/change-object.ts
@@ -8,7 +8,7 @@
 import type { CallOptions, SettingsStore, StoredObject, StoreOutcome } from "./settings-store.js";
 
 /** What a change makes of an object's value: the next value, or a reason to stop. */
-export type ValueStep<Value, Reason> =
+export type ChangeDecision<Value, Reason> =
     | { readonly kind: "write"; readonly value: Value; }
     /** The value already is as wanted. */
     | { readonly kind: "keep"; }
@@ -25,7 +25,7 @@
 /** Bounds of a change. */
 export interface ChangeOptions extends CallOptions {
     /** Writes that are tried when others write at the same time. */
-    readonly attempts: number;
+    readonly maxAttempts: number;
 }
 
 /**
@@ -36,11 +36,11 @@
 export async function changeObject<Value, Reason>(
     store: SettingsStore,
     key: string,
-    step: (current: Value | undefined) => ValueStep<Value, Reason>,
+    step: (current: Value | undefined) => ChangeDecision<Value, Reason>,
     options: ChangeOptions,
 ): Promise<ChangeOutcome<Value, Reason>> {
     let lostAnswer: string | undefined;
-    for (let attempt = 0; attempt < options.attempts; attempt++) {
+    for (let attempt = 0; attempt < options.maxAttempts; attempt++) {
         const read = await store.get(key, options);
         if (read.kind !== "done" && read.kind !== "absent") {
             return failure(read, lostAnswer);
--- a/packages/settings-store/src/http-store.ts
+++ b/packages/settings-store/src/http-store.ts
@@ -7,7 +7,7 @@
  */
 
 import { Agent, errors, request } from "undici";
-import { boundedCall } from "./bounded-call.js";
+import { callWithTimeout } from "./bounded-call.js";
 import type { SettingsStore, StoredObject, StoreOutcome } from "./settings-store.js";
 
 /** Milliseconds until a connection must be up; an operator waits for it. */
@@ -45,7 +45,7 @@
 
     async function call<Value>({ method, path, headers, body, timeout, signal: caller }: Call) {
         try {
-            return await boundedCall([caller], timeout, async bounded => {
+            return await callWithTimeout([caller], timeout, async bounded => {
                 const response = await request(`${url}${path}`, {
                     method,
                     headers: { "content-type": "application/json", ...headers },
--- a/packages/settings/src/edits.ts
+++ b/packages/settings/src/edits.ts
@@ -35,7 +35,7 @@
 }
 
 /** A value that two operators changed differently. */
-export interface EditClash {
+export interface EditConflict {
     readonly node: NodePath;
     readonly key: string;
     /** What the second operator started from. */
@@ -56,7 +56,7 @@
 }
 
 /** Stands as the key of a change that adds or removes a node itself. */
-export const nodeItself = "";
+export const nodeExistenceKey = "";
 
 function changesAtNode(node: NodePath, from: SettingsDocument, to: SettingsDocument): ValueChange[] {
     const before = from.nodes[node] as Record<string, unknown> | undefined;
@@ -68,7 +68,7 @@
     if ((before === undefined) === (after === undefined)) {
         return values;
     }
-    const existence = { node, key: nodeItself, from: before !== undefined, to: after !== undefined };
+    const existence = { node, key: nodeExistenceKey, from: before !== undefined, to: after !== undefined };
     return after === undefined ? [...values, existence] : [existence, ...values];
 }
 
@@ -78,7 +78,7 @@
  * a clash, and nothing of the edit is applied. An edit already in the list
  * changes nothing.
  */
-export function applyEdit(stored: StoredSettings, edit: SettingsEdit): Result<StoredSettings, readonly EditClash[]> {
+export function applyEdit(stored: StoredSettings, edit: SettingsEdit): Result<StoredSettings, readonly EditConflict[]> {
     if (stored.edits.some(known => known.id === edit.id)) {
         return Ok(stored);
     }
@@ -90,7 +90,7 @@
     return Ok({ document, edits: [...stored.edits, edit].slice(-editsKept) });
 }
 
-function clashOf(document: SettingsDocument, change: ValueChange): EditClash[] {
+function clashOf(document: SettingsDocument, change: ValueChange): EditConflict[] {
     const theirs = valueAt(document, change);
     const settled = isDeepStrictEqual(theirs, change.from) || isDeepStrictEqual(theirs, change.to);
     return settled ? [] : [{ node: change.node, key: change.key, from: change.from, theirs, ours: change.to }];
@@ -98,12 +98,12 @@
 
 function valueAt(document: SettingsDocument, { node, key }: ValueChange): unknown {
     const values = document.nodes[node] as Record<string, unknown> | undefined;
-    return key === nodeItself ? values !== undefined : values?.[key];
+    return key === nodeExistenceKey ? values !== undefined : values?.[key];
 }
 
 function applyChange(document: SettingsDocument, change: ValueChange): SettingsDocument {
     const nodes: Record<string, Record<string, unknown>> = { ...document.nodes };
-    if (change.key === nodeItself) {
+    if (change.key === nodeExistenceKey) {
         if (change.to === false) {
             delete nodes[change.node];
         }
--- a/packages/settings/src/faults.ts
+++ b/packages/settings/src/faults.ts
@@ -23,8 +23,8 @@
 }
 
 /** Makes a fault at a path of a file. */
-export function faultAt(source: YamlSource, path: readonly PropertyKey[], expected: string): SettingsFault {
-    const { line, column } = source.placeOf(path);
+export function createFaultAt(source: YamlSource, path: readonly PropertyKey[], expected: string): SettingsFault {
+    const { line, column } = source.locationOf(path);
     return { file: source.file, line, column, path: path.map(String).join("."), expected };
 }
 
@@ -34,12 +34,14 @@
 }
 
 /** Turns all issues of a schema into faults; an unknown key becomes a fault of its own at its place. */
-export function faultsOfIssues(source: YamlSource, issues: readonly z.core.$ZodIssue[]): SettingsFault[] {
+export function faultsFromSchemaIssues(source: YamlSource, issues: readonly z.core.$ZodIssue[]): SettingsFault[] {
     return issues.flatMap(issue => {
         if (issue.code === "unrecognized_keys") {
-            return issue.keys.map(key => faultAt(source, [...issue.path, key], "not a setting of this kind of node"));
+            return issue.keys.map(key =>
+                createFaultAt(source, [...issue.path, key], "not a setting of this kind of node")
+            );
         }
-        return [faultAt(source, issue.path, `expected ${expectationOf(issue)}`)];
+        return [createFaultAt(source, issue.path, `expected ${expectationOf(issue)}`)];
     });
 }
 
--- a/packages/settings/src/tree-file.ts
+++ b/packages/settings/src/tree-file.ts
@@ -4,7 +4,7 @@
 
 import { Err, Ok, type Result } from "@chalkdale/kernel";
 import { checkDocument, type DocumentFault } from "./checks.js";
-import { faultAt, faultsOfIssues, type SettingsFault, syntaxFaultsOf } from "./faults.js";
+import { createFaultAt, faultsFromSchemaIssues, type SettingsFault, syntaxFaultsOf } from "./faults.js";
 import { fileSchema, type SettingsFile } from "./schema.js";
 import type { NodePath, SettingsDocument } from "./tree.js";
 import type { NodeValues } from "./values.js";
@@ -18,7 +18,7 @@
     }
     const parsed = fileSchema.safeParse(source.value);
     if (!parsed.success) {
-        return Err(inOrder(faultsOfIssues(source, parsed.error.issues)));
+        return Err(inOrder(faultsFromSchemaIssues(source, parsed.error.issues)));
     }
     const document = flatten(parsed.data);
     const faults = checkDocument(document).map(fault => locate(source, fault));
@@ -31,7 +31,7 @@
 
 function locate(source: YamlSource, { node, key, expected }: DocumentFault): SettingsFault {
     const steps = pathInFile(node);
-    return faultAt(source, key === undefined ? steps : [...steps, "settings", key], expected);
+    return createFaultAt(source, key === undefined ? steps : [...steps, "settings", key], expected);
 }
 
 function pathInFile(node: NodePath): string[] {
--- a/packages/settings/src/yaml-source.ts
+++ b/packages/settings/src/yaml-source.ts
@@ -17,7 +17,7 @@
     readonly value: unknown;
     readonly syntaxFaults: readonly (Place & { readonly message: string; })[];
     /** Returns the place of the node at a path, or of the nearest node above it that exists. */
-    readonly placeOf: (path: readonly PropertyKey[]) => Place;
+    readonly locationOf: (path: readonly PropertyKey[]) => Place;
 }
 
 /** Longest settings text that is read, in bytes. */
@@ -37,7 +37,7 @@
     if (tooLong) {
         syntaxFaults.push({ line: 1, column: 1, message: `longer than ${longestText} bytes` });
     }
-    return { file, value: valueOf(), syntaxFaults, placeOf };
+    return { file, value: valueOf(), syntaxFaults, locationOf: placeOf };
 
     function valueOf(): unknown {
         if (syntaxFaults.length > 0) {
--- a/packages/testing/src/command-line.ts
+++ b/packages/testing/src/command-line.ts
@@ -4,18 +4,18 @@
 
 import { spawn } from "node:child_process";
 import { resolve } from "node:path";
-import { workspace } from "./workspace.js";
+import { workspaceRoot } from "./workspace.js";
 
 /** How a run ended. */
 export interface CommandLineRun {
-    readonly code: number | undefined;
-    readonly output: string;
-    readonly errors: string;
+    readonly exitCode: number | undefined;
+    readonly stdout: string;
+    readonly stderr: string;
 }
 
 /** Runs the built program with the given arguments until it ends. */
 export async function runCommandLine(...args: readonly string[]): Promise<CommandLineRun> {
-    const program = resolve(workspace, "packages/cli/bin/chalkdale.js");
+    const program = resolve(workspaceRoot, "packages/cli/bin/chalkdale.js");
     const child = spawn(process.execPath, [program, ...args], { stdio: ["ignore", "pipe", "pipe"] });
     let output = "";
     let errors = "";
@@ -26,5 +26,5 @@
         errors += String(chunk);
     });
     const code = await new Promise<number | undefined>(done => child.once("close", ended => done(ended ?? undefined)));
-    return { code, output, errors };
+    return { exitCode: code, stdout: output, stderr: errors };
 }
--- a/packages/testing/src/demo/demo.ts
+++ b/packages/testing/src/demo/demo.ts
@@ -13,13 +13,13 @@
 import type { Interval } from "../soak/observations.js";
 import { inForceWithin } from "../soak/soak-bounds.js";
 import { customerNames } from "../soak/soak-customers.js";
-import { createSoakWorld, host, type SoakWorld } from "../soak/soak-world.js";
+import { type SoakEnvironment, soakHost, startSoakEnvironment } from "../soak/soak-world.js";
 import { sendRequest } from "../standins/client.js";
-import { eventually, pause } from "../standins/deployment.js";
+import { pause, waitUntil } from "../standins/deployment.js";
 
 const seed = 1;
 /** Boxes of the demo. */
-export const boxes = 6;
+export const boxCount = 6;
 /** Callers of the demo. */
 export const callerCount = 6;
 /** Milliseconds for which each step is watched once it must be in force. */
@@ -32,7 +32,7 @@
 
 /** One thing that must come out right, and whether it did. */
 export interface DemoCheck {
-    readonly isRight: boolean;
+    readonly passed: boolean;
     readonly text: string;
     /** What was seen instead, a line each. */
     readonly details: readonly string[];
@@ -44,7 +44,7 @@
 /** Plays the demo; resolves once all is stopped. */
 export async function runDemo(onCheck: OnDemoCheck): Promise<void> {
     const random = createSeededRandom(seed);
-    const world = await createSoakWorld({ seed, random, boxes, mostServers: 24, onEvent: undefined });
+    const world = await startSoakEnvironment({ seed, random, boxes: boxCount, mostServers: 24, onEvent: undefined });
     try {
         await play(world, onCheck);
     }
@@ -53,10 +53,10 @@
     }
 }
 
-async function play(world: SoakWorld, onCheck: OnDemoCheck): Promise<void> {
+async function play(world: SoakEnvironment, onCheck: OnDemoCheck): Promise<void> {
     const check = (isRight: boolean, text: string, details: readonly string[] = []) =>
-        onCheck({ isRight, text, details: isRight ? [] : details });
-    const callers = await startCallers(world, { count: callerCount, prefix: "demo", leavingShare: 0 });
+        onCheck({ passed: isRight, text, details: isRight ? [] : details });
+    const callers = await startCallers(world, { count: callerCount, prefix: "demo", disconnectShare: 0 });
     await pause(watched);
 
     const drained = await drainServer(world, check);
@@ -81,12 +81,12 @@
         attempts,
         runs,
         // No caller of the demo pipelines.
-        boxEnds: [],
-        surplus: [],
+        boxTerminations: [],
+        unsolicitedBytes: [],
         drained,
-        evacuated,
+        zoneClosures: evacuated,
         destinations,
-        keyEndsAt: world.customers.endOf,
+        keyInvalidFrom: world.customers.keyInvalidFrom,
         rollouts: [],
         recoveredFrom: 0,
     });
@@ -99,10 +99,10 @@
 
 type Check = (isRight: boolean, text: string) => void;
 
-async function drainServer(world: SoakWorld, check: Check): Promise<ReadonlyMap<string, Interval>> {
+async function drainServer(world: SoakEnvironment, check: Check): Promise<ReadonlyMap<string, Interval>> {
     const [server] = world.servers;
     const { id } = server.backend;
-    world.record(server, "draining");
+    world.writeRecord(server, "draining");
     const from = world.now() + inForceWithin;
     await pause(milliseconds(inForceWithin + watched));
     check(runsSince(world, from, run => run.server === id) === 0, `nothing more runs on ${id}, which drains`);
@@ -110,7 +110,7 @@
     return new Map([[id, { from, to: Infinity }]]);
 }
 
-async function emptyZone(world: SoakWorld, check: Check): Promise<ReadonlyMap<string, readonly Interval[]>> {
+async function emptyZone(world: SoakEnvironment, check: Check): Promise<ReadonlyMap<string, readonly Interval[]>> {
     world.store.put("evacuations", zone, {});
     const from = world.now() + inForceWithin;
     await pause(milliseconds(inForceWithin + watched));
@@ -122,26 +122,30 @@
     return new Map([[zone, [{ from, to }]]]);
 }
 
-async function stopBox(world: SoakWorld, check: Check): Promise<void> {
+async function stopBox(world: SoakEnvironment, check: Check): Promise<void> {
     const box = world.boxes[0];
     world.servers.forEach(server => server.backend.setWork(longDownload));
-    const credential = world.customers.keyOf(customerNames[0]).key;
+    const credential = world.customers.callerKeyOf(customerNames[0]).key;
     const download = sendRequest({
-        address: box.callers,
-        host,
+        address: box.callerAddress,
+        host: soakHost,
         path: "/pack/",
         requestId: "demo-download",
         credential,
     });
     const isRunning = () => world.runs.some(run => run.requestId === "demo-download");
-    await eventually(isRunning, "the download runs");
+    await waitUntil(isRunning, "the download runs");
     box.signal("SIGTERM");
-    const code = await box.ended();
+    const code = await box.waitForExit();
     const answer = await download;
     const isWhole = answer.status === 200 && answer.body.endsWith(" to demo-download");
     check(isWhole && code === 0, `${box.name} ended with ${code} after its running download was whole`);
 }
 
-function runsSince(world: SoakWorld, from: number, isMeant: (run: SoakWorld["runs"][number]) => boolean): number {
+function runsSince(
+    world: SoakEnvironment,
+    from: number,
+    isMeant: (run: SoakEnvironment["runs"][number]) => boolean,
+): number {
     return world.runs.filter(run => run.at >= from && isMeant(run)).length;
 }
--- a/packages/testing/src/emulator/day.ts
+++ b/packages/testing/src/emulator/day.ts
@@ -13,7 +13,7 @@
     serviceId,
 } from "@chalkdale/kernel";
 import type { EmulatedDeployment, RequestClass } from "./deployment.js";
-import type { RequestEnding } from "./emulated-attempts.js";
+import type { EmulatedRequestOutcome } from "./emulated-attempts.js";
 import type { EmulatedServer } from "./emulated-server.js";
 import { createEventQueue } from "./event-queue.js";
 import { createFleet } from "./fleet.js";
@@ -21,7 +21,7 @@
 import { createTally, type TallySummary } from "./tally.js";
 
 /** What goes wrong. */
-export type EmulatedTrouble =
+export type EmulatedFault =
     | {
         readonly kind: "slowServers";
         readonly at: number;
@@ -33,21 +33,21 @@
     | { readonly kind: "lostServers"; readonly at: number; readonly share: number; }
     | { readonly kind: "burst"; readonly at: number; readonly lasts: number; readonly factor: number; };
 
-export interface DayOptions {
+export interface EmulationOptions {
     readonly deployment: EmulatedDeployment;
     readonly policy: PolicyName;
     readonly seed: number;
-    readonly length: Milliseconds;
+    readonly duration: Milliseconds;
     /** Whether callers are named the boxes of their zone or of their region. */
-    readonly named?: "zone" | "region";
+    readonly lookupScope?: "zone" | "region";
     /** 1 for the deployment's own rates. */
     readonly load: number;
-    readonly troubles?: readonly EmulatedTrouble[];
+    readonly faults?: readonly EmulatedFault[];
     readonly onDecision?: (line: string) => void;
 }
 
 /** What came of a day. */
-export interface DayResult extends TallySummary {
+export interface EmulationResult extends TallySummary {
     readonly warmShare: number;
     /** Part of the requests at servers that found every slot and every place in the queue taken. */
     readonly turnedAwayShare: number;
@@ -56,7 +56,7 @@
 }
 
 /** Plays a day. The same options give the same result. */
-export function playDay(options: DayOptions): DayResult {
+export function runEmulation(options: EmulationOptions): EmulationResult {
     const { deployment } = options;
     const events = createEventQueue();
     const random = createSeededRandom(options.seed);
@@ -73,24 +73,24 @@
         policy: options.policy,
         random: policyRandom,
         events,
-        onMoved,
+        onTransferred: onMoved,
         onArrival: count => {
             retries += count > 1 ? 1 : 0;
         },
         onDecision: line => options.onDecision?.(`${events.now().toFixed(1)} ${line}`),
     });
 
-    options.troubles?.forEach(scheduleTrouble);
+    options.faults?.forEach(scheduleTrouble);
     for (const zone of Object.keys(deployment.zones)) {
         for (const requestClass of deployment.classes) {
             scheduleNext(zone, requestClass);
         }
     }
-    events.runUntil(options.length);
+    events.runUntil(options.duration);
     return { ...tally.summarize(), ...summarizeServers(fleet.servers), retries };
 
     function scheduleNext(zone: string, requestClass: RequestClass): void {
-        const rate = requestClass.perSecond * options.load * burst * waveOf(zone);
+        const rate = requestClass.requestsPerSecond * options.load * burst * waveOf(zone);
         events.after(-Math.log(1 - random()) / rate * 1000, () => {
             send(zone, requestClass);
             scheduleNext(zone, requestClass);
@@ -101,21 +101,21 @@
     function waveOf(zone: string): number {
         const regions = [...new Set(Object.values(deployment.zones))];
         const phase = regions.indexOf(deployment.zones[zone]) / regions.length;
-        return 1 + deployment.swing * Math.sin(2 * Math.PI * (events.now() / deployment.period + phase));
+        return 1 + deployment.loadAmplitude * Math.sin(2 * Math.PI * (events.now() / deployment.loadPeriod + phase));
     }
 
     function onMoved(from: string, to: string, bytes: number): void {
         if (from !== to) {
-            tally.onMoved(deployment.zones[from] === deployment.zones[to] ? "zone" : "region", bytes);
+            tally.onTransferred(deployment.zones[from] === deployment.zones[to] ? "zone" : "region", bytes);
         }
     }
 
     function send(zone: string, requestClass: RequestClass): void {
         const near = fleet.boxes.filter(box =>
-            options.named === "zone" ? box.zone === zone : box.region === deployment.zones[zone]
+            options.lookupScope === "zone" ? box.zone === zone : box.region === deployment.zones[zone]
         );
         const startedAt = events.now();
-        tally.onAsked(zone, requestClass);
+        tally.onRequest(zone, requestClass);
         const request = {
             route: routeOf(requestClass),
             service: serviceId(requestClass.service),
@@ -131,7 +131,7 @@
             const box = near[Math.floor(drawn * near.length)];
             onMoved(zone, box.zone, requestClass.bytes ?? 0);
             const deadline = milliseconds(requestClass.deadline - (events.now() - startedAt));
-            const onEnding = (ending: RequestEnding) => {
+            const onEnding = (ending: EmulatedRequestOutcome) => {
                 if (ending === "answered") {
                     tally.onAnswered(zone, requestClass, milliseconds(events.now() - startedAt));
                     return;
@@ -143,22 +143,22 @@
                 }
                 tally.onRefused(zone);
             };
-            events.after(deployment.toCallers, () =>
+            events.after(deployment.callerLatency, () =>
                 box.serve(
-                    { ...request, deadline, isReturning },
-                    ending => events.after(deployment.toCallers, () => onEnding(ending)),
+                    { ...request, deadline, isCallerRetry: isReturning },
+                    ending => events.after(deployment.callerLatency, () => onEnding(ending)),
                 ));
         }
     }
 
-    function scheduleTrouble(trouble: EmulatedTrouble): void {
+    function scheduleTrouble(trouble: EmulatedFault): void {
         events.after(trouble.at, () => begin(trouble));
         if ("lasts" in trouble) {
             events.after(trouble.at + trouble.lasts, () => end(trouble));
         }
     }
 
-    function begin(trouble: EmulatedTrouble): void {
+    function begin(trouble: EmulatedFault): void {
         switch (trouble.kind) {
             case "slowServers":
                 pickPart(fleet.servers, trouble.share, troubleRandom).forEach(server =>
@@ -177,14 +177,14 @@
         }
     }
 
-    function end(trouble: EmulatedTrouble): void {
+    function end(trouble: EmulatedFault): void {
         fleet.servers.forEach(server => server.setSlowness(1));
         fleet.closeZones(new Set());
         burst = trouble.kind === "burst" ? 1 : burst;
     }
 }
 
-function summarizeServers(servers: readonly EmulatedServer[]): Pick<DayResult, "warmShare" | "turnedAwayShare"> {
+function summarizeServers(servers: readonly EmulatedServer[]): Pick<EmulationResult, "warmShare" | "turnedAwayShare"> {
     const sum = (count: (server: EmulatedServer) => number) =>
         servers.reduce((total, server) => total + count(server), 0);
     const arrivals = Math.max(1, sum(server => server.arrivals()));
--- a/packages/testing/src/emulator/deployment.ts
+++ b/packages/testing/src/emulator/deployment.ts
@@ -11,7 +11,7 @@
     readonly name: string;
     readonly service: string;
     readonly kind: RouteKind;
-    readonly perSecond: number;
+    readonly requestsPerSecond: number;
     readonly work: number;
     readonly goal: number;
     readonly deadline: number;
@@ -40,12 +40,12 @@
     readonly boxesPerZone: Readonly<Record<string, number>>;
     readonly services: readonly EmulatedService[];
     readonly classes: readonly RequestClass[];
-    readonly warmGain: number;
+    readonly warmSaving: number;
     /** Part by which a zone's load swings, and the time of a swing. */
-    readonly swing: number;
-    readonly period: Milliseconds;
+    readonly loadAmplitude: number;
+    readonly loadPeriod: Milliseconds;
     /** One way, in milliseconds. */
-    readonly betweenZones: number;
-    readonly betweenRegions: number;
-    readonly toCallers: number;
+    readonly crossZoneLatency: number;
+    readonly crossRegionLatency: number;
+    readonly callerLatency: number;
 }
--- a/packages/testing/src/emulator/emulated-attempts.ts
+++ b/packages/testing/src/emulator/emulated-attempts.ts
@@ -10,16 +10,16 @@
     type Choice,
     type ChoiceRequest,
     type ChosenServer,
+    combinedPriority,
     createRetryBudget,
     decideRetry,
     hashKey,
     isIdempotent,
-    type MovedBytes,
     type RecentKeys,
     type RetryBudget,
     type Route,
     type ServiceLoad,
-    urgencyOf,
+    type TransferSizes,
     type WorkEstimate,
 } from "@chalkdale/decisions";
 import {
@@ -30,11 +30,11 @@
     milliseconds,
     type ServiceId,
 } from "@chalkdale/kernel";
-import type { EmulatedServer, ServerEnding } from "./emulated-server.js";
+import type { EmulatedServer, ServerOutcome } from "./emulated-server.js";
 import type { EventQueue } from "./event-queue.js";
 
 /** How a request ended for its caller. */
-export type RequestEnding = "answered" | "refused" | "timedOut";
+export type EmulatedRequestOutcome = "answered" | "refused" | "timedOut";
 
 /** A request as a caller sends it. */
 export interface EmulatedRequest {
@@ -47,7 +47,7 @@
     /** Bytes that the request and its answer move, if the deployment tells. */
     readonly bytes: number | undefined;
     /** The caller was refused before. */
-    readonly isReturning: boolean;
+    readonly isCallerRetry: boolean;
 }
 
 export interface EmulatedAttemptsOptions {
@@ -59,7 +59,7 @@
     /** Called for each arrival at a server, with its number for the request. */
     readonly onArrival: (server: BackendServerId, count: number) => void;
     /** Called with the bytes that each attempt moves between the box and the server's zone. */
-    readonly onMoved: (zone: AvailabilityZoneId, bytes: number) => void;
+    readonly onTransferred: (zone: AvailabilityZoneId, bytes: number) => void;
     /** Called with each decision, for sessions that are kept as golden files. */
     readonly onDecision: (line: string) => void;
 }
@@ -69,8 +69,8 @@
     readonly choose: (request: ChoiceRequest) => Choice;
     readonly recentKeys: RecentKeys;
     readonly serviceLoad: ServiceLoad;
-    readonly work: WorkEstimate;
-    readonly movedBytes: MovedBytes;
+    readonly workEstimate: WorkEstimate;
+    readonly transferSizes: TransferSizes;
 }
 
 /** A request between its arrival and its end. */
@@ -78,7 +78,7 @@
     readonly keyHash: number;
     readonly endsAt: number;
     readonly tried: Set<BackendServerId>;
-    readonly done: (ending: RequestEnding) => void;
+    readonly done: (ending: EmulatedRequestOutcome) => void;
 }
 
 /** Retry bounds of the sites' sheets. */
@@ -87,8 +87,8 @@
 /** Returns the function that serves a request. */
 export function createEmulatedAttempts(
     options: EmulatedAttemptsOptions & EmulatedAttemptsContext,
-): (request: EmulatedRequest, done: (ending: RequestEnding) => void) => void {
-    const { events, movedBytes, recentKeys, work } = options;
+): (request: EmulatedRequest, done: (ending: EmulatedRequestOutcome) => void) => void {
+    const { events, transferSizes: movedBytes, recentKeys, workEstimate: work } = options;
     const budgets = new Map<ServiceId, RetryBudget>();
 
     return function serve(request, done) {
@@ -121,8 +121,8 @@
         server.state.onSent();
         work.onSent(request.service, request.route);
         options.onArrival(server.id, request.tried.size);
-        options.onMoved(server.state.record().zone, movedBytes.expected(request.route));
-        const onAnswer = (ending: ServerEnding) =>
+        options.onTransferred(server.state.record().zone, movedBytes.expected(request.route));
+        const onAnswer = (ending: ServerOutcome) =>
             events.after(oneWay, () => onEnding(request, choice, ending, sentAt));
         events.after(oneWay, () => options.server(server.id).receive(request.key, request.work, onAnswer));
     }
@@ -130,7 +130,7 @@
     function onEnding(
         request: RequestInProgress,
         choice: ChosenServer,
-        ending: ServerEnding,
+        ending: ServerOutcome,
         sentAt: Milliseconds,
     ): void {
         const { state } = choice.server;
@@ -158,7 +158,7 @@
             sent: request.tried.size,
             notSent: 0,
             timeLeft: milliseconds(request.endsAt - now),
-            takeRetry: () => budgetOf(request.service).tryTake(now, urgencyOf(request.route, undefined)),
+            consumeRetry: () => budgetOf(request.service).tryConsume(now, combinedPriority(request.route, undefined)),
         });
         if (decision.kind === "giveUp") {
             refuse(request, decision.refusal);
@@ -175,15 +175,25 @@
         server.state.onAnswerTime(now, work.onMeasured(request.route, choice.warm, duration));
         recentKeys.add(server.id, request.keyHash, now);
         if (request.bytes !== undefined) {
-            movedBytes.onMoved(request.route, request.bytes);
+            movedBytes.onTransferred(request.route, request.bytes);
         }
     }
 
     function choiceRequest(request: RequestInProgress): ChoiceRequest {
-        const { endsAt, isReturning, keyHash, route, service, tried } = request;
+        const { endsAt, isCallerRetry: isReturning, keyHash, route, service, tried } = request;
         const at = events.now();
         const timeLeft = milliseconds(endsAt - at);
-        return { route, service, keyHash, homes: undefined, tried, isReturning, isTrial: false, timeLeft, at };
+        return {
+            route,
+            service,
+            keyHash,
+            allowedRegions: undefined,
+            tried,
+            isCallerRetry: isReturning,
+            isTrial: false,
+            timeLeft,
+            at,
+        };
     }
 
     function refuse(request: RequestInProgress, reason: string): void {
--- a/packages/testing/src/emulator/emulated-box.ts
+++ b/packages/testing/src/emulator/emulated-box.ts
@@ -8,14 +8,14 @@
 import {
     type BackendServerRecord,
     createLimitShare,
-    createMovedBytes,
     createRecentKeys,
     createServerCatalog,
     createServerState,
     createServiceLoad,
     createSlowStart,
+    createTransferSizes,
     createWorkEstimate,
-    recordDelay,
+    recordPropagationDelay,
     type ServerCatalog,
 } from "@chalkdale/decisions";
 import { type AvailabilityZoneId, type BoxId, milliseconds, type RandomSource, type RegionId } from "@chalkdale/kernel";
@@ -23,7 +23,7 @@
     createEmulatedAttempts,
     type EmulatedAttemptsOptions,
     type EmulatedRequest,
-    type RequestEnding,
+    type EmulatedRequestOutcome,
 } from "./emulated-attempts.js";
 import { createPolicy, type PolicyName } from "./policies.js";
 
@@ -34,7 +34,7 @@
     readonly zone: AvailabilityZoneId;
     readonly applyServers: (records: readonly BackendServerRecord[]) => void;
     readonly closeZones: (zones: ReadonlySet<AvailabilityZoneId>) => void;
-    readonly serve: (request: EmulatedRequest, done: (ending: RequestEnding) => void) => void;
+    readonly serve: (request: EmulatedRequest, done: (ending: EmulatedRequestOutcome) => void) => void;
 }
 
 export interface EmulatedBoxOptions extends EmulatedAttemptsOptions {
@@ -53,15 +53,15 @@
     const recentKeys = createRecentKeys();
     const serviceLoad = createServiceLoad();
     const work = createWorkEstimate();
-    const movedBytes = createMovedBytes();
+    const movedBytes = createTransferSizes();
     let closed: ReadonlySet<AvailabilityZoneId> = new Set();
     const choose = createPolicy(options.policy, {
         region,
         zone,
         catalog,
         recentKeys,
-        work,
-        movedBytes,
+        workEstimate: work,
+        transferSizes: movedBytes,
         roundTrip: (_region, to) => milliseconds(options.roundTrip(to)),
         loadPerSlot: serviceLoad.perSlot,
         severity: (server, at) => server.state.severity(at),
@@ -80,7 +80,14 @@
         closeZones: zones => {
             closed = zones;
         },
-        serve: createEmulatedAttempts({ ...options, choose, recentKeys, serviceLoad, work, movedBytes }),
+        serve: createEmulatedAttempts({
+            ...options,
+            choose,
+            recentKeys,
+            serviceLoad,
+            workEstimate: work,
+            transferSizes: movedBytes,
+        }),
     };
 }
 
@@ -90,12 +97,12 @@
             self: options.id,
             server: record.id,
             boxes: () => options.boxes,
-            allBoxes: () => options.boxes,
+            advertisedBoxIds: () => options.boxes,
         };
         return createServerState(record, at, {
-            recordDelay,
+            recordPropagationDelay,
             slowStart: createSlowStart({ ...sharing, rate: () => options.coldRate }),
-            shareLimit: known => createLimitShare(sharing, known),
+            createLimitShare: known => createLimitShare(sharing, known),
         });
     });
 }
--- a/packages/testing/src/emulator/emulated-server.ts
+++ b/packages/testing/src/emulator/emulated-server.ts
@@ -7,7 +7,7 @@
 import type { EventQueue } from "./event-queue.js";
 
 /** How a request at a server ended. */
-export type ServerEnding =
+export type ServerOutcome =
     | { readonly kind: "answered"; readonly load: LoadReport; readonly warm: boolean; }
     | { readonly kind: "notRun"; readonly load: LoadReport; };
 
@@ -19,7 +19,7 @@
     /** Works times as long as others. */
     readonly setSlowness: (factor: number) => void;
     /** Takes a request; `done` is told when it ends. `work` is the time with a key that is not known. */
-    readonly receive: (key: string, work: number, done: (ending: ServerEnding) => void) => void;
+    readonly receive: (key: string, work: number, done: (ending: ServerOutcome) => void) => void;
     readonly arrivals: () => number;
     /** Requests that found every slot and every place in the queue taken. */
     readonly turnedAway: () => number;
@@ -31,7 +31,7 @@
     readonly queueLength: number;
     readonly rememberedKeys: number;
     /** Part of the work that a known key saves. */
-    readonly warmGain: number;
+    readonly warmSaving: number;
     readonly events: EventQueue;
 }
 
@@ -74,11 +74,11 @@
         warmRuns: () => warmRuns,
     };
 
-    function run(key: string, work: number, done: (ending: ServerEnding) => void): void {
+    function run(key: string, work: number, done: (ending: ServerOutcome) => void): void {
         running += 1;
         const warm = remember(key);
         warmRuns += warm ? 1 : 0;
-        events.after(work * slowness * (warm ? 1 - options.warmGain : 1), () => {
+        events.after(work * slowness * (warm ? 1 - options.warmSaving : 1), () => {
             running -= 1;
             waiting.shift()?.();
             done({ kind: "answered", load: loadReport(), warm });
--- a/packages/testing/src/emulator/fleet.ts
+++ b/packages/testing/src/emulator/fleet.ts
@@ -36,7 +36,7 @@
     readonly random: RandomSource;
     readonly events: EventQueue;
     /** Called with the bytes that move between two zones. */
-    readonly onMoved: (from: string, to: string, bytes: number) => void;
+    readonly onTransferred: (from: string, to: string, bytes: number) => void;
     /** Called for each arrival at a server, with its number for the request. */
     readonly onArrival: (count: number) => void;
     readonly onDecision: (line: string) => void;
@@ -82,7 +82,7 @@
                 record: recordOf(service, zone, index),
                 queueLength,
                 rememberedKeys,
-                warmGain: deployment.warmGain,
+                warmSaving: deployment.warmSaving,
                 events: options.events,
             })
         );
@@ -119,7 +119,7 @@
                 server: found => servers.get(found)!,
                 roundTrip: other => 2 * oneWay(zone, other),
                 coldRate,
-                onMoved: (other, bytes) => options.onMoved(zone, other, bytes),
+                onTransferred: (other, bytes) => options.onTransferred(zone, other, bytes),
                 onArrival: (_server, count) => options.onArrival(count),
                 onDecision: options.onDecision,
             })
@@ -130,6 +130,8 @@
         if (from === to) {
             return sameZone;
         }
-        return deployment.zones[from] === deployment.zones[to] ? deployment.betweenZones : deployment.betweenRegions;
+        return deployment.zones[from] === deployment.zones[to]
+            ? deployment.crossZoneLatency
+            : deployment.crossRegionLatency;
     }
 }
--- a/packages/testing/src/emulator/main.ts
+++ b/packages/testing/src/emulator/main.ts
@@ -5,7 +5,7 @@
 
 import { milliseconds } from "@chalkdale/kernel";
 import meow from "meow";
-import { type DayResult, type EmulatedTrouble, playDay } from "./day.js";
+import { type EmulatedFault, type EmulationResult, runEmulation } from "./day.js";
 import type { EmulatedDeployment } from "./deployment.js";
 import { kodeyard, pedala } from "./deployments.js";
 import { odyn } from "./odyn.js";
@@ -47,7 +47,7 @@
     odyn,
 };
 
-function troublesOf(name: string, deployment: EmulatedDeployment): EmulatedTrouble[] {
+function troublesOf(name: string, deployment: EmulatedDeployment): EmulatedFault[] {
     const [zone] = Object.keys(deployment.zones);
     switch (name) {
         case "none":
@@ -84,7 +84,16 @@
         for (const load of loads) {
             const days = Array.from(
                 { length: cli.flags.seeds },
-                (_, seed) => playDay({ deployment, policy, seed: seed + 1, length: dayLength, load, troubles, named }),
+                (_, seed) =>
+                    runEmulation({
+                        deployment,
+                        policy,
+                        seed: seed + 1,
+                        duration: dayLength,
+                        load,
+                        faults: troubles,
+                        lookupScope: named,
+                    }),
             );
             const worth = mean(days.map(day => day.worth));
             printRow(policy, load, worth, days);
@@ -92,17 +101,17 @@
     }
 }
 
-function printRow(policy: PolicyName, load: number, worth: number, days: readonly DayResult[]): void {
+function printRow(policy: PolicyName, load: number, worth: number, days: readonly EmulationResult[]): void {
     const columns = [
         policy.padEnd(14),
         load.toFixed(2).padStart(5),
         worth.toFixed(3).padStart(6),
-        mean(days.map(day => day.worstZone)).toFixed(3).padStart(11),
+        mean(days.map(day => day.worstZoneWorth)).toFixed(3).padStart(11),
         mean(days.map(day => day.warmShare)).toFixed(3).padStart(6),
-        mean(days.map(day => day.refused / day.asked)).toFixed(3).padStart(8),
+        mean(days.map(day => day.refused / day.requestCount)).toFixed(3).padStart(8),
         mean(days.map(day => day.retries)).toFixed(0).padStart(8),
-        mean(days.map(day => day.betweenZones)).toFixed(0).padStart(9),
-        mean(days.map(day => day.betweenRegions)).toFixed(0).padStart(11),
+        mean(days.map(day => day.crossZoneMegabytes)).toFixed(0).padStart(9),
+        mean(days.map(day => day.crossRegionMegabytes)).toFixed(0).padStart(11),
     ];
     process.stdout.write(`${columns.join(" ")}\n`);
 }
--- a/packages/testing/src/emulator/policies.ts
+++ b/packages/testing/src/emulator/policies.ts
@@ -47,21 +47,21 @@
             !request.tried.has(server.id)
             && options.admitsVersion(server, request.isTrial)
             && options.admitsZone(server.state.record().zone)
-            && server.state.exclusion(request.at) === undefined
+            && server.state.exclusionReason(request.at) === undefined
         );
         if (servers.length === 0) {
             return { kind: "noServer" };
         }
-        const expected = options.work.expected(request.route, true);
+        const expected = options.workEstimate.expected(request.route, true);
         return {
             kind: "chosen",
             server: choose(servers),
             rank: 0,
             warm: true,
             expected,
-            least: expected,
+            minExpected: expected,
             wait: milliseconds(0),
-            usual: expected,
+            expectedAtNormalSpeed: expected,
         };
     }
 
--- a/packages/testing/src/emulator/tally.ts
+++ b/packages/testing/src/emulator/tally.ts
@@ -17,24 +17,24 @@
 
 /** The sums over all zones, and the worst zone. */
 export interface TallySummary {
-    readonly asked: number;
-    readonly inGoal: number;
+    readonly requestCount: number;
+    readonly withinGoal: number;
     readonly late: number;
     readonly refused: number;
     /** Credit earned by credit owed. */
     readonly worth: number;
-    readonly worstZone: number;
+    readonly worstZoneWorth: number;
     /** Megabytes between boxes, callers and servers of two zones of a region, and of two regions. */
-    readonly betweenZones: number;
-    readonly betweenRegions: number;
+    readonly crossZoneMegabytes: number;
+    readonly crossRegionMegabytes: number;
 }
 
 /** The tally of a day. */
 export interface Tally {
-    readonly onAsked: (zone: string, requestClass: RequestClass) => void;
+    readonly onRequest: (zone: string, requestClass: RequestClass) => void;
     readonly onAnswered: (zone: string, requestClass: RequestClass, latency: Milliseconds) => void;
     readonly onRefused: (zone: string) => void;
-    readonly onMoved: (reach: "zone" | "region", bytes: number) => void;
+    readonly onTransferred: (reach: "zone" | "region", bytes: number) => void;
     readonly summarize: () => TallySummary;
 }
 
@@ -46,7 +46,7 @@
     const moved = { zone: 0, region: 0 };
 
     return {
-        onAsked(zone, requestClass) {
+        onRequest(zone, requestClass) {
             of(zone).asked += 1;
             of(zone).owed += requestClass.worth;
         },
@@ -60,21 +60,21 @@
         onRefused(zone) {
             of(zone).refused += 1;
         },
-        onMoved(reach, bytes) {
+        onTransferred(reach, bytes) {
             moved[reach] += bytes / bytesOfMegabyte;
         },
         summarize() {
             const all = [...byZone.values()];
             const sum = (key: keyof ZoneTally) => all.reduce((total, tally) => total + tally[key], 0);
             return {
-                asked: sum("asked"),
-                inGoal: sum("inGoal"),
+                requestCount: sum("asked"),
+                withinGoal: sum("inGoal"),
                 late: sum("late"),
                 refused: sum("refused"),
                 worth: sum("earned") / sum("owed"),
-                betweenZones: moved.zone,
-                betweenRegions: moved.region,
-                worstZone: Math.min(...all.map(tally => tally.earned / tally.owed)),
+                crossZoneMegabytes: moved.zone,
+                crossRegionMegabytes: moved.region,
+                worstZoneWorth: Math.min(...all.map(tally => tally.earned / tally.owed)),
             };
         },
     };
--- a/packages/testing/src/golden/golden-file.ts
+++ b/packages/testing/src/golden/golden-file.ts
@@ -7,9 +7,9 @@
 
 import { existsSync, mkdirSync, readFileSync, writeFileSync } from "node:fs";
 import { dirname, resolve } from "node:path";
-import { workspace } from "../workspace.js";
+import { workspaceRoot } from "../workspace.js";
 
-const folder = resolve(workspace, "packages/testing/test/golden");
+const folder = resolve(workspaceRoot, "packages/testing/test/golden");
 
 /** Throws when the lines differ from the golden file of a name, naming the first line that does. */
 export function compareWithGolden(name: string, lines: readonly string[]): void {
--- a/packages/testing/src/promises/main.ts
+++ b/packages/testing/src/promises/main.ts
@@ -6,8 +6,8 @@
 
 import { readFileSync, writeFileSync } from "node:fs";
 import { resolve } from "node:path";
-import { workspace } from "../workspace.js";
-import { mechanisms } from "./mechanisms.js";
+import { workspaceRoot } from "../workspace.js";
+import { mutations } from "./mechanisms.js";
 import { promiseTexts } from "./promise-texts.js";
 import { runProofs } from "./proofs.js";
 
@@ -39,8 +39,8 @@
 async function undoAll(): Promise<number> {
     write("");
     let survivors = 0;
-    for (const { promise, name, file, find, replace, specs } of mechanisms) {
-        const path = resolve(workspace, file);
+    for (const { promise, name, file, find, replace, testFiles: specs } of mutations) {
+        const path = resolve(workspaceRoot, file);
         const original = readFileSync(path, "utf8");
         if (!original.includes(find)) {
             write(`${promise} STALE     ${name}: its line is not in ${file}`);
--- a/packages/testing/src/promises/proofs.ts
+++ b/packages/testing/src/promises/proofs.ts
@@ -4,10 +4,10 @@
 
 import { spawn } from "node:child_process";
 import { resolve } from "node:path";
-import { workspace } from "../workspace.js";
+import { workspaceRoot } from "../workspace.js";
 
 /** How one test ended. */
-export interface ProofOutcome {
+export interface TestOutcome {
     /** Titles of the test and of all blocks around it. */
     readonly title: string;
     readonly passed: boolean;
@@ -27,8 +27,8 @@
 const promiseTitles = "\\[P\\d+\\]";
 
 /** Runs the tests of some files that prove a promise. */
-export async function runProofs(specs: readonly string[]): Promise<ProofOutcome[]> {
-    const mocha = resolve(workspace, "node_modules/mocha/bin/mocha.js");
+export async function runProofs(specs: readonly string[]): Promise<TestOutcome[]> {
+    const mocha = resolve(workspaceRoot, "node_modules/mocha/bin/mocha.js");
     const args = [
         mocha,
         "--no-config",
@@ -42,7 +42,7 @@
         ...specs,
     ];
     const child = spawn(process.execPath, args, {
-        cwd: workspace,
+        cwd: workspaceRoot,
         stdio: ["ignore", "pipe", "ignore"],
         timeout: longestRun,
     });
@@ -54,7 +54,7 @@
     return outcomesOf(text);
 }
 
-function outcomesOf(text: string): ProofOutcome[] {
+function outcomesOf(text: string): TestOutcome[] {
     const start = text.indexOf("{\n  \"stats\"");
     if (start < 0) {
         return [{ title: "the run", passed: false, message: "it gave no report" }];
--- a/packages/testing/src/soak/box-process.ts
+++ b/packages/testing/src/soak/box-process.ts
@@ -5,11 +5,11 @@
 import { type ChildProcess, spawn } from "node:child_process";
 import { createWriteStream, writeFileSync, type WriteStream } from "node:fs";
 import { join, resolve } from "node:path";
-import { workspace } from "../workspace.js";
+import { workspaceRoot } from "../workspace.js";
 import { exposedAllowance, exposedShare } from "./checks.js";
 
 /** Where a box listens, and where its settings and log lie. */
-export interface BoxPlace {
+export interface BoxProcessOptions {
     readonly name: string;
     readonly host: string;
     readonly firstPort: number;
@@ -28,20 +28,20 @@
     readonly name: string;
     /** Its address, without a port. */
     readonly host: string;
-    readonly callers: string;
-    readonly directory: string;
+    readonly callerAddress: string;
+    readonly directoryAddress: string;
     readonly start: () => void;
     readonly signal: (signal: NodeJS.Signals) => void;
     readonly isRunning: () => boolean;
     /** Resolves with its exit code once the process has ended, or undefined if a signal ended it. */
-    readonly ended: () => Promise<number | undefined>;
+    readonly waitForExit: () => Promise<number | undefined>;
 }
 
 const grace = "2s";
 const exposureBounds = `expose_share=${exposedShare},expose_slack=${exposedAllowance},rollback=5s`;
 
 /** Writes the settings of a box; it isn't started yet. */
-export function createBoxProcess(place: BoxPlace): BoxProcess {
+export function createBoxProcess(place: BoxProcessOptions): BoxProcess {
     const [callers, readiness, directory, peers] = [0, 1, 2, 3].map(index =>
         `${place.host}:${place.firstPort + index}`
     );
@@ -53,10 +53,10 @@
     return {
         name: place.name,
         host: place.host,
-        callers,
-        directory,
+        callerAddress: callers,
+        directoryAddress: directory,
         start() {
-            child = spawn(process.execPath, [resolve(workspace, "platform/dist/src/main.js")], {
+            child = spawn(process.execPath, [resolve(workspaceRoot, "platform/dist/src/main.js")], {
                 env: { ...process.env, CHALKDALE_SETTINGS: file },
                 stdio: ["ignore", "pipe", "pipe"],
             });
@@ -69,7 +69,7 @@
             child?.kill(name);
         },
         isRunning: () => child !== undefined && child.exitCode === null && child.signalCode === null,
-        ended() {
+        waitForExit() {
             const process = child;
             if (process === undefined || process.exitCode !== null || process.signalCode !== null) {
                 return Promise.resolve(process?.exitCode ?? undefined);
@@ -79,7 +79,7 @@
     };
 }
 
-function settingsOf(place: BoxPlace, listen: Readonly<Record<string, string>>): string {
+function settingsOf(place: BoxProcessOptions, listen: Readonly<Record<string, string>>): string {
     return [
         `node_name=${place.name}`,
         `region=${place.region}`,
--- a/packages/testing/src/soak/callers.ts
+++ b/packages/testing/src/soak/callers.ts
@@ -8,7 +8,7 @@
 import { pause } from "../standins/deployment.js";
 import type { ObservedAttempt } from "./observations.js";
 import { customerNames } from "./soak-customers.js";
-import { host, soakRequests, type SoakWorld } from "./soak-world.js";
+import { type SoakEnvironment, soakHost, soakRequests } from "./soak-world.js";
 
 /** Callers that run. */
 export interface Callers {
@@ -23,7 +23,7 @@
     /** Prefix of the callers' names, so that request ids of different runs differ. */
     readonly prefix: string;
     /** Part of the requests whose caller leaves long before the answer, from 0 to 1. */
-    readonly leavingShare: number;
+    readonly disconnectShare: number;
 }
 
 const longestFirstWait = 20_000;
@@ -34,7 +34,7 @@
 const lateLeave = 4000;
 
 /** Waits until some box serves, then starts the callers. Rejects when no box does. */
-export async function startCallers(world: SoakWorld, options: CallersOptions): Promise<Callers> {
+export async function startCallers(world: SoakEnvironment, options: CallersOptions): Promise<Callers> {
     const { now, random } = world;
     const attempts: ObservedAttempt[] = [];
     let isOver = false;
@@ -53,8 +53,8 @@
         const client = createCaller("wait", true);
         const end = now() + longestFirstWait;
         while (now() < end) {
-            const credential = world.customers.keyOf(customerNames[0]).key;
-            const answer = await client.call({ host, path: "/lookup/", credential }, { idempotent: true });
+            const credential = world.customers.callerKeyOf(customerNames[0]).key;
+            const answer = await client.call({ host: soakHost, path: "/lookup/", credential }, { idempotent: true });
             if (answer.status === 200) {
                 client.close();
                 return;
@@ -65,7 +65,7 @@
     }
 
     function createCaller(name: string, pooled: boolean): Client {
-        const directories = world.boxes.map(box => box.directory);
+        const directories = world.boxes.map(box => box.directoryAddress);
         const shift = Math.floor(random() * directories.length);
         return createClient({
             directories: [...directories.slice(shift), ...directories.slice(0, shift)],
@@ -85,9 +85,9 @@
             const idempotent = body === undefined;
             const before = client.attempts();
             const at = now();
-            const held = world.customers.keyOf(customerNames[index % customerNames.length]);
+            const held = world.customers.callerKeyOf(customerNames[index % customerNames.length]);
             const answer = await client.call({
-                host,
+                host: soakHost,
                 path,
                 method: idempotent ? "GET" : "POST",
                 body,
@@ -95,7 +95,7 @@
                 credential: held.key,
                 extraHeaders: { Tenant: "forged" },
                 deadlineMs: deadline,
-                leaveAfterMs: random() < options.leavingShare ? earlyLeave : lateLeave,
+                disconnectAfterMs: random() < options.disconnectShare ? earlyLeave : lateLeave,
             }, { idempotent });
             if (client.attempts() > before) {
                 const requestId = `${options.prefix}-c${index}-${client.attempts()}`;
--- a/packages/testing/src/soak/checks.ts
+++ b/packages/testing/src/soak/checks.ts
@@ -2,12 +2,12 @@
  * What the soak checks, from what callers and servers see.
  */
 
-import { inTouchBreaches } from "./in-touch-checks.js";
+import { connectedBoxBreaches } from "./in-touch-checks.js";
 import { limitBreaches } from "./limit-checks.js";
 import { noticeBreaches } from "./notice-checks.js";
 import type { Breach, Interval, Observations, ObservedRun } from "./observations.js";
 import { pipeliningBreaches } from "./pipelining-checks.js";
-import { returnBreaches } from "./return-checks.js";
+import { recoveryBreaches } from "./return-checks.js";
 
 /** Part of the requests that must be served once all faults are over. */
 const servedAfterRecovery = 0.9;
@@ -31,8 +31,8 @@
         ...rolledOut(seen),
         ...recovered(seen),
         ...pipeliningBreaches(seen),
-        ...inTouchBreaches(seen),
-        ...returnBreaches(seen),
+        ...connectedBoxBreaches(seen),
+        ...recoveryBreaches(seen),
         ...limitBreaches(seen),
         ...noticeBreaches(seen),
     ];
@@ -91,7 +91,7 @@
 }
 
 /** Each run is for the customer of the caller's key, while that stands, and the key itself does not reach the server. */
-function ofTheirCustomer({ attempts, keyEndsAt, runs }: Observations): Breach[] {
+function ofTheirCustomer({ attempts, keyInvalidFrom: keyEndsAt, runs }: Observations): Breach[] {
     const heldBy = new Map(attempts.map(({ held, requestId }) => [requestId, held]));
     return runs.flatMap((run): Breach[] => {
         const held = heldBy.get(run.requestId);
@@ -111,7 +111,7 @@
     });
 }
 
-function drained({ drained, evacuated, runs }: Observations): Breach[] {
+function drained({ drained, zoneClosures: evacuated, runs }: Observations): Breach[] {
     const isIn = (interval: Interval, at: number) => at >= interval.from && at <= interval.to;
     return runs.flatMap((run): Breach[] => {
         const gone = drained.get(run.server);
--- a/packages/testing/src/soak/fault-tools.ts
+++ b/packages/testing/src/soak/fault-tools.ts
@@ -5,7 +5,7 @@
 
 import { milliseconds, type RandomSource } from "@chalkdale/kernel";
 import { pause } from "../standins/deployment.js";
-import type { SoakWorld } from "./soak-world.js";
+import type { SoakEnvironment } from "./soak-world.js";
 
 /** One fault; resolves when it is over. */
 export type Fault = () => Promise<void>;
@@ -24,21 +24,21 @@
 const longestAddition = 2500;
 
 /** Picks one of several, each as likely as the others. */
-export function pick<Item>(items: readonly Item[], random: RandomSource): Item {
+export function pickRandom<Item>(items: readonly Item[], random: RandomSource): Item {
     return items[Math.floor(random() * items.length)];
 }
 
 /** Begins a fault, and ends it after a while drawn from the run's random source. `host`: the box that is struck, or undefined for all. */
-export async function lasting(
-    world: SoakWorld,
+export async function injectTemporaryFault(
+    world: SoakEnvironment,
     text: string,
     begin: () => void,
     end: () => void,
     host?: string,
 ): Promise<void> {
     const duration = shortestFault + world.random() * longestAddition;
-    world.say(`fault="${text}" for=${Math.round(duration)}`);
-    const over = world.contact.disturb(host);
+    world.logEvent(`fault="${text}" for=${Math.round(duration)}`);
+    const over = world.storeConnectivity.beginFault(host);
     begin();
     await pause(milliseconds(duration));
     end();
--- a/packages/testing/src/soak/foreign-entries.ts
+++ b/packages/testing/src/soak/foreign-entries.ts
@@ -9,8 +9,8 @@
 import type { ServerStandIn } from "../standins/backend-server.js";
 import { pause } from "../standins/deployment.js";
 import { serverObject } from "../standins/platform-objects.js";
-import { type Fault, pick } from "./fault-tools.js";
-import type { SoakWorld } from "./soak-world.js";
+import { type Fault, pickRandom } from "./fault-tools.js";
+import type { SoakEnvironment } from "./soak-world.js";
 
 type Fields = Readonly<Record<string, unknown>>;
 
@@ -38,17 +38,20 @@
 const longestHeartbeat = 1500;
 
 /** Another writer writes an entry; resolves once what it overwrote is restored. */
-export function createForeignEntry(world: SoakWorld, random: RandomSource): Fault {
-    const { say, servers, store } = world;
+export function createInvalidStoreEntry(world: SoakEnvironment, random: RandomSource): Fault {
+    const { logEvent: say, servers, store } = world;
     let trap: Promise<ServerStandIn> | undefined;
     let written = 0;
 
     return async function writeEntry() {
-        const { backend, service, zone } = pick(servers.filter(({ gone, isScripted }) => !gone && !isScripted), random);
-        trap ??= world.startTrap();
+        const { backend, service, zone } = pickRandom(
+            servers.filter(({ gone, isExcludedFromFaults: isScripted }) => !gone && !isScripted),
+            random,
+        );
+        trap ??= world.startUnlistedServer();
         const sound = serverObject((await trap).address(), { service, zone }) as Fields;
-        const broken = pick(breakings, random)(sound);
-        const [kind, oddName, spec] = pick(oddObjects, random);
+        const broken = pickRandom(breakings, random)(sound);
+        const [kind, oddName, spec] = pickRandom(oddObjects, random);
         store.put(kind, oddName, spec);
         if (random() >= runningShare) {
             say("fault=\"entry of another writer\"");
@@ -60,7 +63,7 @@
         await pause(milliseconds(random() * longestHeartbeat));
         const server = servers.find(candidate => candidate.backend.id === backend.id);
         if (server !== undefined && !server.gone) {
-            world.record(server, "ready");
+            world.writeRecord(server, "ready");
         }
     };
 }
--- a/packages/testing/src/soak/later-faults.ts
+++ b/packages/testing/src/soak/later-faults.ts
@@ -7,17 +7,17 @@
 
 import { createSeededRandom, milliseconds, type RandomSource } from "@chalkdale/kernel";
 import { pause } from "../standins/deployment.js";
-import { type Fault, type FaultSet, pick } from "./fault-tools.js";
+import { type Fault, type FaultSet, pickRandom } from "./fault-tools.js";
 
-import { createForeignEntry } from "./foreign-entries.js";
-import { createSilence } from "./link-faults.js";
+import { createInvalidStoreEntry } from "./foreign-entries.js";
+import { createConnectionBlackhole } from "./link-faults.js";
 import type { PlannedChanges } from "./planned-changes.js";
-import type { SoakWorld } from "./soak-world.js";
+import type { SoakEnvironment } from "./soak-world.js";
 
 type LaterFault = "silence" | "restart" | "entry";
 
 /** How many of each fault there were: a run that saw none of one says nothing of it. */
-export type LaterFaultCounts = Readonly<Record<LaterFault, number>>;
+export type ExtendedFaultCounts = Readonly<Record<LaterFault, number>>;
 
 /** Draws of seeds that follow on each other would begin alike. */
 const seedSpread = 104_729;
@@ -28,24 +28,29 @@
 const changedShare = 0.7;
 
 /** Injects the faults until a time of the run; resolves when all are over, with how many there were of each. */
-export async function injectLaterFaults(
-    world: SoakWorld,
+export async function injectExtendedFaults(
+    world: SoakEnvironment,
     changes: PlannedChanges,
     end: number,
     set: Exclude<FaultSet, "first">,
-): Promise<LaterFaultCounts> {
+): Promise<ExtendedFaultCounts> {
     const random = createSeededRandom(world.seed * seedSpread);
     const counts: Record<LaterFault, number> = { silence: 0, restart: 0, entry: 0 };
     const silences = silenceFaults(world, random);
     const faults = set === "silences" ? silences : [...silences, ...otherFaults(world, changes, random)];
-    const planned: readonly Fault[] = [changes.release, changes.release, changes.evacuate, changes.changeConfiguration];
+    const planned: readonly Fault[] = [
+        changes.replaceServer,
+        changes.replaceServer,
+        changes.closeZone,
+        changes.changeConfiguration,
+    ];
     const ends: Promise<void>[] = [];
     while (world.now() < end) {
-        const [kind, fault] = pick(faults, random);
+        const [kind, fault] = pickRandom(faults, random);
         counts[kind] += 1;
         ends.push(fault());
         if (random() < changedShare) {
-            ends.push(pick(planned, random)());
+            ends.push(pickRandom(planned, random)());
         }
         await pause(milliseconds(shortestPause + random() * longestAddition));
     }
@@ -55,18 +60,21 @@
 
 type NamedFault = readonly [LaterFault, Fault];
 
-function silenceFaults(world: SoakWorld, random: RandomSource): readonly NamedFault[] {
+function silenceFaults(world: SoakEnvironment, random: RandomSource): readonly NamedFault[] {
     return [
-        ["silence", createSilence(world, random, () => world.storeLinks, "links to the store")],
-        ["silence", createSilence(world, random, () => world.servers.map(({ proxy }) => proxy), "links to servers")],
+        ["silence", createConnectionBlackhole(world, random, () => world.storeLinks, "links to the store")],
+        [
+            "silence",
+            createConnectionBlackhole(world, random, () => world.servers.map(({ proxy }) => proxy), "links to servers"),
+        ],
     ];
 }
 
-function otherFaults(world: SoakWorld, changes: PlannedChanges, random: RandomSource): readonly NamedFault[] {
+function otherFaults(world: SoakEnvironment, changes: PlannedChanges, random: RandomSource): readonly NamedFault[] {
     const restart = () => changes.restart(random);
     return [
         ["restart", restart],
         ["restart", restart],
-        ["entry", createForeignEntry(world, random)],
+        ["entry", createInvalidStoreEntry(world, random)],
     ];
 }
--- a/packages/testing/src/soak/limit-checks.ts
+++ b/packages/testing/src/soak/limit-checks.ts
@@ -24,7 +24,7 @@
 }
 
 /** Limits under which boxes went on sending for long enough that there was something to see. */
-export function countLimits(seen: Observations): number {
+export function countCheckedLimits(seen: Observations): number {
     return (seen.limits ?? []).filter(limit => countedRuns(limit, seen).some(({ at }) => at >= limit.from + contact))
         .length;
 }
@@ -46,11 +46,14 @@
 }
 
 /** What came from boxes that had had an answer with the limit for a while and were not struck. */
-function countedRuns({ from, server, to }: ObservedLimit, { runs, wasStruck }: Observations): readonly ObservedRun[] {
+function countedRuns(
+    { from, server, to }: ObservedLimit,
+    { runs, hadBoxFault: wasStruck }: Observations,
+): readonly ObservedRun[] {
     const during = runs.filter(run => run.server === server && run.at >= from && run.at <= to);
     const firstOf = new Map<string | undefined, number>();
-    during.forEach(({ at, caller }) => firstOf.set(caller, Math.min(at, firstOf.get(caller) ?? Infinity)));
-    return during.filter(({ at, caller }) =>
+    during.forEach(({ at, boxAddress: caller }) => firstOf.set(caller, Math.min(at, firstOf.get(caller) ?? Infinity)));
+    return during.filter(({ at, boxAddress: caller }) =>
         at >= firstOf.get(caller)! + toldAfter && caller !== undefined && wasStruck?.(caller, at) !== true
     );
 }
--- a/packages/testing/src/soak/limit-faults.ts
+++ b/packages/testing/src/soak/limit-faults.ts
@@ -9,10 +9,10 @@
 
 import { createSeededRandom, milliseconds, type RandomSource } from "@chalkdale/kernel";
 import { pause } from "../standins/deployment.js";
-import { pick } from "./fault-tools.js";
+import { pickRandom } from "./fault-tools.js";
 import type { ObservedLimit } from "./observations.js";
 import type { SoakServer } from "./soak-servers.js";
-import type { SoakWorld } from "./soak-world.js";
+import type { SoakEnvironment } from "./soak-world.js";
 
 /** Draws of seeds that follow on each other would begin alike. */
 const seedSpread = 15_485_863;
@@ -31,7 +31,7 @@
 const watchInterval = 50;
 
 /** Servers name limits until a time of the run; resolves once none is named any more, with all that were. */
-export async function nameLimits(world: SoakWorld, end: number): Promise<readonly ObservedLimit[]> {
+export async function injectServerLimits(world: SoakEnvironment, end: number): Promise<readonly ObservedLimit[]> {
     const random = createSeededRandom(world.seed * seedSpread);
     const limits: ObservedLimit[] = [];
     const limited = new Set<SoakServer>();
@@ -51,18 +51,18 @@
         const observed: ObservedLimit = { server: backend.id, rate, from: world.now(), to: Infinity };
         limits.push(observed);
         limited.add(server);
-        world.say(`fault="limit of ${backend.id}" rate=${rate} for=${Math.round(until - world.now())}`);
-        backend.setLimit(String(rate));
+        world.logEvent(`fault="limit of ${backend.id}" rate=${rate} for=${Math.round(until - world.now())}`);
+        backend.setLimitHeader(String(rate));
         while (world.now() < until && server.backend === backend && !server.isDown) {
             await pause(milliseconds(watchInterval));
         }
-        backend.setLimit(undefined);
+        backend.setLimitHeader(undefined);
         limits[limits.indexOf(observed)] = { ...observed, to: world.now() };
         limited.delete(server);
     }
 }
 
-function pickServers({ servers }: SoakWorld, random: RandomSource): readonly SoakServer[] {
-    const one = pick(servers, random);
+function pickServers({ servers }: SoakEnvironment, random: RandomSource): readonly SoakServer[] {
+    const one = pickRandom(servers, random);
     return random() < wholeServiceShare ? servers.filter(({ service }) => service === one.service) : [one];
 }
--- a/packages/testing/src/soak/link-faults.ts
+++ b/packages/testing/src/soak/link-faults.ts
@@ -4,9 +4,9 @@
  */
 
 import type { RandomSource } from "@chalkdale/kernel";
-import { type Fault, lasting, pick } from "./fault-tools.js";
-import type { LinkState, Proxy } from "./proxy.js";
-import type { SoakWorld } from "./soak-world.js";
+import { type Fault, injectTemporaryFault, pickRandom } from "./fault-tools.js";
+import type { FaultProxy, LinkState } from "./proxy.js";
+import type { SoakEnvironment } from "./soak-world.js";
 
 /** Part of the links that a reset strikes. */
 const resetPart = 0.5;
@@ -14,39 +14,39 @@
 const allLinksShare = 0.6;
 
 /** One of the links is delayed or silent for a while. */
-export function createLinkHarm(world: SoakWorld, links: () => readonly Proxy[], text: string): Fault {
+export function createLinkImpairment(world: SoakEnvironment, links: () => readonly FaultProxy[], text: string): Fault {
     return async function harmLink() {
-        const link = pick(links(), world.random);
-        const state = pick<LinkState>(["delayed", "silent", "silentBack"], world.random);
-        await lasting(world, `${state} ${text}`, () => link.setState(state), () => link.setState("whole"));
+        const link = pickRandom(links(), world.random);
+        const state = pickRandom<LinkState>(["delayed", "silent", "silentBack"], world.random);
+        await injectTemporaryFault(world, `${state} ${text}`, () => link.setState(state), () => link.setState("whole"));
     };
 }
 
 /** Connections on some of all links are reset. */
-export function createLinkReset(world: SoakWorld): Fault {
+export function createLinkReset(world: SoakEnvironment): Fault {
     return async function resetLinks() {
-        world.say("fault=\"connections reset\"");
-        world.contact.disturb()();
-        allLinks(world).filter(() => world.random() < resetPart).forEach(link => link.reset());
+        world.logEvent("fault=\"connections reset\"");
+        world.storeConnectivity.beginFault()();
+        allLinks(world).filter(() => world.random() < resetPart).forEach(link => link.resetOpenConnections());
     };
 }
 
 /** The open connections of one link, or of all of them, fall silent for good; new ones work. */
-export function createSilence(
-    world: SoakWorld,
+export function createConnectionBlackhole(
+    world: SoakEnvironment,
     random: RandomSource,
-    links: () => readonly Proxy[],
+    links: () => readonly FaultProxy[],
     text: string,
 ): Fault {
     return async function silence() {
-        const struck = random() < allLinksShare ? links() : [pick(links(), random)];
-        world.say(`fault="silent for good: ${struck.length} ${text}"`);
-        world.contact.disturb()();
-        struck.forEach(link => link.silenceOpen());
+        const struck = random() < allLinksShare ? links() : [pickRandom(links(), random)];
+        world.logEvent(`fault="silent for good: ${struck.length} ${text}"`);
+        world.storeConnectivity.beginFault()();
+        struck.forEach(link => link.blackholeOpenConnections());
     };
 }
 
 /** All links of a run. */
-export function allLinks(world: SoakWorld): readonly Proxy[] {
+export function allLinks(world: SoakEnvironment): readonly FaultProxy[] {
     return [...world.storeLinks, ...world.servers.map(server => server.proxy)];
 }
--- a/packages/testing/src/soak/main.ts
+++ b/packages/testing/src/soak/main.ts
@@ -41,7 +41,7 @@
     for (let seed = first; seed <= last; seed++) {
         const result = await runSoak({
             seed,
-            length: cli.flags.seconds * 1000,
+            faultDuration: cli.flags.seconds * 1000,
             faults: faultSetOf(),
             boxes: cli.flags.boxes,
             onEvent: line => {
@@ -50,7 +50,18 @@
                 }
             },
         });
-        const { attempts, breaches, faults, folder, inTouch, later, limits, notices, rollouts, served } = result;
+        const {
+            attempts,
+            breaches,
+            faults,
+            logFolder: folder,
+            connectedBoxes: inTouch,
+            extendedFaults: later,
+            limits,
+            notices,
+            rollouts,
+            served,
+        } = result;
         const counts = later === undefined ? "none" : Object.entries(later).map(pair => pair.join(":")).join(",");
         const outcomes = rollouts.map(({ isBad, states }) =>
             `${isBad ? "bad" : "good"}:${states.at(-1)?.state ?? "none"}`
--- a/packages/testing/src/soak/notice-checks.ts
+++ b/packages/testing/src/soak/notice-checks.ts
@@ -6,7 +6,7 @@
  * A box that a fault has struck itself is excused.
  */
 
-import type { Breach, Observations, ObservedArrival, ObservedRest } from "./observations.js";
+import type { Breach, Observations, ObservedArrival, ObservedBackoff } from "./observations.js";
 
 /** Milliseconds after it has passed on that a server leaves from which a box must send it nothing more. The longer `drain` of the users. */
 const drain = 2500;
@@ -26,12 +26,12 @@
 
 /** Returns the breaches. */
 export function noticeBreaches(seen: Observations): Breach[] {
-    return [...leavingBreaches(seen), ...(seen.rests ?? []).flatMap(rest => restBreaches(rest, seen))];
+    return [...leavingBreaches(seen), ...(seen.backoffs ?? []).flatMap(rest => restBreaches(rest, seen))];
 }
 
 /** Counts what was said to boxes. */
 export function countNotices(seen: Observations): NoticeCounts {
-    const rests = (seen.rests ?? []).reduce((sum, { asked }) => sum + asked.length, 0);
+    const rests = (seen.backoffs ?? []).reduce((sum, { rejections: asked }) => sum + asked.length, 0);
     return { leaving: passedOn(seen).length, rests };
 }
 
@@ -47,7 +47,7 @@
     return leaving.flatMap(({ from, server }) => {
         const told = new Map<string, number>();
         const heard = runs.filter(run => run.server === server && run.at >= from && served.has(run.requestId));
-        for (const { at, caller = "" } of heard) {
+        for (const { at, boxAddress: caller = "" } of heard) {
             told.set(caller, Math.min(told.get(caller) ?? Infinity, at + passedOnWithin));
         }
         return [...told].map(([caller, at]) => ({ server, caller, at }));
@@ -58,9 +58,9 @@
     const sentAt = new Map(seen.attempts.map(({ at, requestId }) => [requestId, at]));
     return passedOn(seen).flatMap(({ at, caller, server }) => {
         const late = seen.runs.filter(run =>
-            run.server === server && run.caller === caller && (sentAt.get(run.requestId) ?? 0) > at + drain
+            run.server === server && run.boxAddress === caller && (sentAt.get(run.requestId) ?? 0) > at + drain
         );
-        const unexcused = late.filter(run => seen.wasStruck?.(caller, run.at) !== true);
+        const unexcused = late.filter(run => seen.hadBoxFault?.(caller, run.at) !== true);
         return unexcused.map((run): Breach => ({
             promise: "leaving",
             at: run.at,
@@ -69,16 +69,19 @@
     });
 }
 
-function restBreaches({ arrived, asked, rest, server }: ObservedRest, { wasStruck }: Observations): Breach[] {
-    const isExcused = ({ at, caller }: ObservedArrival) => wasStruck?.(caller, at) === true;
+function restBreaches(
+    { arrivals: arrived, rejections: asked, backoffMilliseconds: rest, server }: ObservedBackoff,
+    { hadBoxFault: wasStruck }: Observations,
+): Breach[] {
+    const isExcused = ({ at, boxAddress: caller }: ObservedArrival) => wasStruck?.(caller, at) === true;
     return asked.filter(told => !isExcused(told)).flatMap((told): Breach[] => {
-        const inRest = arrived.filter(({ at, caller }) =>
-            caller === told.caller && at > told.at + toldAfter && at < told.at + rest
+        const inRest = arrived.filter(({ at, boxAddress: caller }) =>
+            caller === told.boxAddress && at > told.at + toldAfter && at < told.at + rest
         );
         if (inRest.length <= borneInRest || inRest.some(isExcused)) {
             return [];
         }
-        const detail = `${server} got ${inRest.length} of ${told.caller} in the ${rest} ms that it had asked for`;
+        const detail = `${server} got ${inRest.length} of ${told.boxAddress} in the ${rest} ms that it had asked for`;
         return [{ promise: "rest", at: inRest[borneInRest].at, detail }];
     });
 }
--- a/packages/testing/src/soak/notice-faults.ts
+++ b/packages/testing/src/soak/notice-faults.ts
@@ -7,11 +7,11 @@
 
 import { createSeededRandom, milliseconds } from "@chalkdale/kernel";
 import { pause } from "../standins/deployment.js";
-import { pick } from "./fault-tools.js";
-import type { ObservedArrival, ObservedLeaving, ObservedRest } from "./observations.js";
+import { pickRandom } from "./fault-tools.js";
+import type { ObservedArrival, ObservedBackoff, ObservedLeaving } from "./observations.js";
 import { inForceWithin } from "./soak-bounds.js";
 import type { SoakServer } from "./soak-servers.js";
-import type { SoakWorld } from "./soak-world.js";
+import type { SoakEnvironment } from "./soak-world.js";
 
 /** Draws of seeds that follow on each other would begin alike. */
 const seedSpread = 32_452_843;
@@ -37,31 +37,31 @@
 /** What servers said. */
 interface ObservedNotices {
     readonly leaving: readonly ObservedLeaving[];
-    readonly rests: readonly ObservedRest[];
+    readonly backoffs: readonly ObservedBackoff[];
 }
 
 /** Servers tell of themselves until a time of the run; resolves once all that they said is over. */
-export async function injectNotices(world: SoakWorld, end: number): Promise<ObservedNotices> {
-    const { now, say, servers } = world;
+export async function injectNotices(world: SoakEnvironment, end: number): Promise<ObservedNotices> {
+    const { now, logEvent: say, servers } = world;
     const random = createSeededRandom(world.seed * seedSpread);
     const leaving: ObservedLeaving[] = [];
-    const rests: ObservedRest[] = [];
+    const rests: ObservedBackoff[] = [];
     const ends: Promise<void>[] = [];
     while (now() < end) {
         ends.push(...beginOne());
         await pause(milliseconds(shortestPause + random() * addedPause));
     }
     await Promise.all(ends);
-    return { leaving, rests };
+    return { leaving, backoffs: rests };
 
     function beginOne(): readonly Promise<void>[] {
-        const free = servers.filter(({ gone, isDown, isEnded, isScripted }) =>
-            !gone && !isDown && !isEnded && !isScripted
-        );
+        const free = servers.filter((
+            { gone, isDown, isPermanentlyStopped: isEnded, isExcludedFromFaults: isScripted },
+        ) => !gone && !isDown && !isEnded && !isScripted);
         if (free.length <= leftToOthers) {
             return [];
         }
-        const server = pick(free, random);
+        const server = pickRandom(free, random);
         if (random() < leavingShare) {
             return servers.length > world.mostServers ? [] : [leave(server)];
         }
@@ -79,16 +79,16 @@
     async function leave(server: SoakServer): Promise<void> {
         const { id } = server.backend;
         server.gone = true;
-        server.isScripted = true;
+        server.isExcludedFromFaults = true;
         say(`fault="${id} says that it leaves"`);
         await world.addServer(server.service, server.zone);
-        server.backend.setSaysLeaving("1");
+        server.backend.setLeavingHeader("1");
         leaving.push({ server: id, from: now() });
         await pause(milliseconds(recordedAfter + random() * addedDelay));
-        if (server.isEnded) {
+        if (server.isPermanentlyStopped) {
             return;
         }
-        world.record(server, "draining");
+        world.writeRecord(server, "draining");
         await pause(milliseconds(inForceWithin));
         world.store.delete("servers", id);
     }
@@ -100,23 +100,23 @@
         const arrived: ObservedArrival[] = [];
         const asked: ObservedArrival[] = [];
         const fromClock = performance.now() - now();
-        server.isScripted = true;
-        rests.push({ server: backend.id, rest, asked, arrived });
+        server.isExcludedFromFaults = true;
+        rests.push({ server: backend.id, backoffMilliseconds: rest, rejections: asked, arrivals: arrived });
         say(`fault="${backend.id} asks for rest" rest=${rest} for=${Math.round(turnsAwayUntil - now())}`);
         backend.setBehaviour(request => {
-            const arrival = { caller: request.socket.remoteAddress ?? "", at: now() };
+            const arrival = { boxAddress: request.socket.remoteAddress ?? "", at: now() };
             arrived.push(arrival);
             if (arrival.at >= turnsAwayUntil) {
                 return { kind: "serve" };
             }
             asked.push(arrival);
-            return { kind: "shed", tellsLoad: true, restFor: String(rest / 1000) };
+            return { kind: "shed", includesLoad: true, retryAfter: String(rest / 1000) };
         });
         await pause(milliseconds(turnsAwayUntil - now() + rest));
         // An answer that a harmed link held back or lost has told its box nothing.
-        const heard = asked.filter(({ at }) => !server.proxy.wasHarmed(fromClock + at - 100, fromClock + at + 400));
+        const heard = asked.filter(({ at }) => !server.proxy.wasImpaired(fromClock + at - 100, fromClock + at + 400));
         asked.splice(0, asked.length, ...heard);
-        server.isScripted = false;
+        server.isExcludedFromFaults = false;
         backend.setBehaviour(() => ({ kind: "serve" }));
     }
 }
--- a/packages/testing/src/soak/observations.ts
+++ b/packages/testing/src/soak/observations.ts
@@ -6,7 +6,7 @@
 
 import type { ServerRun } from "../standins/backend-server.js";
 import type { ClientAnswer } from "../standins/client.js";
-import type { HeldKey } from "./soak-customers.js";
+import type { CallerKey } from "./soak-customers.js";
 
 /** A promise that was not kept. */
 export interface Breach {
@@ -45,20 +45,20 @@
     readonly box: string;
     readonly answer: ClientAnswer;
     /** The key that it was made with. */
-    readonly held: HeldKey;
+    readonly held: CallerKey;
     /** A pipelined request got no answer: one before it ended the connection, or the connection was lost. */
     readonly unanswered?: { readonly kind: "unread" | "lost"; readonly at: number; };
 }
 
 /** A signal that ended a box; `box` is where callers reach it. */
-export interface BoxEnd {
+export interface BoxTermination {
     readonly box: string;
     readonly signal: NodeJS.Signals;
     readonly at: number;
 }
 
 /** What a box sent while no request waited for an answer. */
-export interface SurplusBytes {
+export interface UnsolicitedBytes {
     readonly at: number;
     readonly box: string;
     readonly bytes: string;
@@ -92,18 +92,18 @@
 }
 
 /** Requests that came to a server which asks for rest. */
-export interface ObservedRest {
+export interface ObservedBackoff {
     readonly server: string;
     /** Milliseconds of each rest. */
-    readonly rest: number;
+    readonly backoffMilliseconds: number;
     /** Those that it turned away and answered so, and all that came; which box sent them, and when. */
-    readonly asked: readonly ObservedArrival[];
-    readonly arrived: readonly ObservedArrival[];
+    readonly rejections: readonly ObservedArrival[];
+    readonly arrivals: readonly ObservedArrival[];
 }
 
 /** A request that came to a server. */
 export interface ObservedArrival {
-    readonly caller: string;
+    readonly boxAddress: string;
     readonly at: number;
 }
 
@@ -118,7 +118,7 @@
 }
 
 /** What must serve again once the faults of a run are over. */
-export interface Places {
+export interface RecoveryProbe {
     /** Zones with servers that may have requests. */
     readonly zones: readonly string[];
     /** Boxes by the address where callers reach them, with the status of a request that was sent to each. */
@@ -129,28 +129,28 @@
 export interface Observations {
     readonly attempts: readonly ObservedAttempt[];
     readonly runs: readonly ObservedRun[];
-    readonly boxEnds: readonly BoxEnd[];
-    readonly surplus: readonly SurplusBytes[];
+    readonly boxTerminations: readonly BoxTermination[];
+    readonly unsolicitedBytes: readonly UnsolicitedBytes[];
     /** By server: when it must not get requests. */
     readonly drained: ReadonlyMap<string, Interval>;
     /** By zone: when it must not get requests. */
-    readonly evacuated: ReadonlyMap<string, readonly Interval[]>;
+    readonly zoneClosures: ReadonlyMap<string, readonly Interval[]>;
     /** Services that a path may go to, by time. */
     readonly destinations: readonly (Interval & { readonly path: string; readonly service: string; })[];
     /** From when on a key must not be honoured; undefined for one that stands. */
-    readonly keyEndsAt: (key: string) => number | undefined;
+    readonly keyInvalidFrom: (key: string) => number | undefined;
     readonly rollouts: readonly ObservedRollout[];
     /** Limits that servers named; undefined where none was drawn. */
     readonly limits?: readonly ObservedLimit[];
     /** What servers said of themselves in their answers; undefined where none was drawn. */
     readonly leaving?: readonly ObservedLeaving[];
-    readonly rests?: readonly ObservedRest[];
+    readonly backoffs?: readonly ObservedBackoff[];
     /** From here on all faults are over, and enough time has passed to recover. */
     readonly recoveredFrom: number;
     /** True if no fault has struck the box of an address for a while; undefined where that was not noted. */
-    readonly isInTouch?: (host: string, at: number) => boolean;
+    readonly isConnected?: (host: string, at: number) => boolean;
     /** True if a fault has struck the box of an address itself lately; undefined where that was not noted. */
-    readonly wasStruck?: (host: string, at: number) => boolean;
+    readonly hadBoxFault?: (host: string, at: number) => boolean;
     /** What must serve once all faults are over; undefined where there were none. */
-    readonly back?: Places;
+    readonly recoveryProbe?: RecoveryProbe;
 }
--- a/packages/testing/src/soak/pipelining-callers.ts
+++ b/packages/testing/src/soak/pipelining-callers.ts
@@ -8,21 +8,21 @@
 import { pause } from "../standins/deployment.js";
 import { openPipeline, type PipelinedOutcome, type PipeliningConnection } from "../standins/pipelining-client.js";
 import type { Callers } from "./callers.js";
-import type { ObservedAttempt, SurplusBytes } from "./observations.js";
+import type { ObservedAttempt, UnsolicitedBytes } from "./observations.js";
 import { customerNames } from "./soak-customers.js";
-import { host, type SoakWorld } from "./soak-world.js";
+import { type SoakEnvironment, soakHost } from "./soak-world.js";
 
 /** Pipelining callers that run. */
 export interface PipeliningCallers extends Callers {
     /** What came while no request waited for an answer. */
-    readonly surplus: readonly SurplusBytes[];
+    readonly unsolicitedBytes: readonly UnsolicitedBytes[];
 }
 
 export interface PipeliningCallersOptions {
     readonly count: number;
     readonly seed: number;
     /** Part of the connections whose caller leaves while requests are in progress, from 0 to 1. */
-    readonly leavingShare: number;
+    readonly disconnectShare: number;
 }
 
 const paths = ["/lookup/", "/pack/"];
@@ -38,16 +38,16 @@
 const leavesAfter = 30;
 
 /** Starts the callers; boxes may still be starting. */
-export function startPipeliningCallers(world: SoakWorld, options: PipeliningCallersOptions): PipeliningCallers {
+export function startPipeliningCallers(world: SoakEnvironment, options: PipeliningCallersOptions): PipeliningCallers {
     const { now } = world;
     const attempts: ObservedAttempt[] = [];
-    const surplus: SurplusBytes[] = [];
+    const surplus: UnsolicitedBytes[] = [];
     let isOver = false;
 
     const callers = Array.from({ length: options.count }, (_, index) => runCaller(index));
     return {
         attempts,
-        surplus,
+        unsolicitedBytes: surplus,
         async stop() {
             isOver = true;
             await Promise.all(callers);
@@ -77,17 +77,17 @@
             }
             connection.leave("close");
             await connection.ended;
-            if (connection.surplus() !== "") {
-                surplus.push({ at: now(), box, bytes: connection.surplus() });
+            if (connection.unsolicitedBytes() !== "") {
+                surplus.push({ at: now(), box, bytes: connection.unsolicitedBytes() });
             }
         }
 
         async function askTogether(connection: PipeliningConnection, box: string): Promise<void> {
-            const held = world.customers.keyOf(customerNames[index % customerNames.length]);
+            const held = world.customers.callerKeyOf(customerNames[index % customerNames.length]);
             const ids = Array.from({ length: 1 + Math.floor(random() * mostTogether) }, () => `pipe${index}-${sent++}`);
             const at = now();
             const outcomes = connection.send(ids.map(requestId => ({
-                host,
+                host: soakHost,
                 path: paths[Math.floor(random() * paths.length)],
                 requestId,
                 headers: {
@@ -97,7 +97,7 @@
                     "Deadline-Ms": String(deadline),
                 },
             })));
-            if (random() < options.leavingShare) {
+            if (random() < options.disconnectShare) {
                 await pause(milliseconds(leavesAfter));
                 connection.leave(random() < 0.5 ? "close" : "reset");
                 await Promise.all(outcomes);
@@ -116,8 +116,8 @@
     }
 
     async function chooseBox(random: RandomSource): Promise<string | undefined> {
-        const { directory } = world.boxes[Math.floor(random() * world.boxes.length)];
-        const { addresses } = await lookUp(directory, { name: host, region: "north", zone: "north-a" });
+        const { directoryAddress: directory } = world.boxes[Math.floor(random() * world.boxes.length)];
+        const { addresses } = await lookUp(directory, { name: soakHost, region: "north", zone: "north-a" });
         return addresses[Math.floor(random() * addresses.length)];
     }
 }
--- a/packages/testing/src/soak/pipelining-checks.ts
+++ b/packages/testing/src/soak/pipelining-checks.ts
@@ -32,7 +32,7 @@
     }));
 }
 
-function unasked({ surplus }: Observations): Breach[] {
+function unasked({ unsolicitedBytes: surplus }: Observations): Breach[] {
     return surplus.map(({ at, box, bytes }) => ({
         promise: "whole answers",
         at,
@@ -46,7 +46,7 @@
 }
 
 /** True if the box had been told to stop a short while ago, and was not killed since. */
-function isInPlannedStop({ box, unanswered }: ObservedAttempt, { boxEnds }: Observations): boolean {
+function isInPlannedStop({ box, unanswered }: ObservedAttempt, { boxTerminations: boxEnds }: Observations): boolean {
     const endedAt = unanswered?.at ?? 0;
     const latest = boxEnds.filter(end => end.box === box && end.at <= endedAt && end.at > endedAt - keepsWithin);
     return latest.length > 0 && latest.every(end => end.signal === "SIGTERM");
--- a/packages/testing/src/soak/planned-changes.ts
+++ b/packages/testing/src/soak/planned-changes.ts
@@ -7,25 +7,25 @@
 
 import { milliseconds, type RandomSource } from "@chalkdale/kernel";
 import { pause } from "../standins/deployment.js";
-import { type Fault, pick } from "./fault-tools.js";
+import { type Fault, pickRandom } from "./fault-tools.js";
 import type { Interval } from "./observations.js";
 import { inForceWithin } from "./soak-bounds.js";
 import { createSoakRollouts, type SoakRollouts } from "./soak-rollouts.js";
 import type { SoakServer } from "./soak-servers.js";
-import { type SoakWorld, zoneNames } from "./soak-world.js";
+import { type SoakEnvironment, zoneNames } from "./soak-world.js";
 
 /** The changes of one run. */
 export interface PlannedChanges {
     /** From when on a server must get nothing, by its id. */
     readonly drained: ReadonlyMap<string, Interval>;
     /** When a zone's servers must get nothing. */
-    readonly evacuated: ReadonlyMap<string, readonly Interval[]>;
+    readonly zoneClosures: ReadonlyMap<string, readonly Interval[]>;
     /** A server drains and leaves; another of its service takes its place. */
-    readonly release: Fault;
+    readonly replaceServer: Fault;
     /** A server starts again, whatever it was about to do; one that was released is in use again. */
     readonly restart: (random: RandomSource) => Promise<void>;
     /** A zone is closed for a while. */
-    readonly evacuate: Fault;
+    readonly closeZone: Fault;
     readonly changeConfiguration: Fault;
     readonly rollouts: SoakRollouts;
 }
@@ -38,8 +38,8 @@
 const longestClosed = 2500;
 
 /** Creates the changes; nothing has been changed yet. */
-export function createPlannedChanges(world: SoakWorld): PlannedChanges {
-    const { now, random, say, servers, store } = world;
+export function createPlannedChanges(world: SoakEnvironment): PlannedChanges {
+    const { now, random, logEvent: say, servers, store } = world;
     const drained = new Map<string, Interval>();
     const evacuated = new Map<string, Interval[]>();
     const closedZones = new Set<string>();
@@ -47,17 +47,25 @@
     const released = new Set<SoakServer>();
 
     const rollouts = createSoakRollouts(world, drained);
-    return { drained, evacuated, release, restart, evacuate, changeConfiguration, rollouts };
+    return {
+        drained,
+        zoneClosures: evacuated,
+        replaceServer: release,
+        restart,
+        closeZone: evacuate,
+        changeConfiguration,
+        rollouts,
+    };
 
     async function release(): Promise<void> {
-        const server = servers.find(candidate => !candidate.gone && !candidate.isScripted);
+        const server = servers.find(candidate => !candidate.gone && !candidate.isExcludedFromFaults);
         if (server === undefined || servers.length > world.mostServers) {
             return;
         }
         server.gone = true;
         say(`fault="release of ${server.backend.id}"`);
         await world.addServer(server.service, server.zone);
-        world.record(server, "draining");
+        world.writeRecord(server, "draining");
         drained.set(server.backend.id, { from: now() + inForceWithin, to: Infinity });
         released.add(server);
         await pause(drainTime);
@@ -67,12 +75,14 @@
     }
 
     async function restart(draw: RandomSource): Promise<void> {
-        const running = servers.filter(({ isDown, isEnded }) => !isDown && !isEnded);
-        const candidates = running.filter(server => released.has(server) || !server.gone && !server.isScripted);
+        const running = servers.filter(({ isDown, isPermanentlyStopped: isEnded }) => !isDown && !isEnded);
+        const candidates = running.filter(server =>
+            released.has(server) || !server.gone && !server.isExcludedFromFaults
+        );
         if (candidates.length === 0) {
             return;
         }
-        const server = pick(candidates, draw);
+        const server = pickRandom(candidates, draw);
         const { id } = server.backend;
         say(`fault="restart of ${id}${server.gone ? ", which was leaving" : ""}"`);
         released.delete(server);
@@ -87,7 +97,7 @@
     }
 
     async function evacuate(): Promise<void> {
-        const zone = pick(zoneNames, random);
+        const zone = pickRandom(zoneNames, random);
         if (closedZones.has(zone) || closedZones.size === zoneNames.length - 1) {
             return;
         }
@@ -103,6 +113,6 @@
 
     async function changeConfiguration(): Promise<void> {
         say("fault=\"configuration\"");
-        world.configure();
+        world.writeNextConfiguration();
     }
 }
