--- a/packages/testing/src/soak/proxy.ts
+++ b/packages/testing/src/soak/proxy.ts
@@ -9,7 +9,7 @@
 export type LinkState = "whole" | "delayed" | "silent" | "silentBack";
 
 /** A link to one target. */
-export interface Proxy {
+export interface FaultProxy {
     readonly address: () => string;
     /** Applies to open connections and new ones. */
     readonly setState: (state: LinkState) => void;
@@ -17,11 +17,11 @@
      * The open connections fall silent for good, as if a box between them had forgotten them: neither end learns of it, nor of
      * the end of the other. New ones work.
      */
-    readonly silenceOpen: () => void;
+    readonly blackholeOpenConnections: () => void;
     /** Resets the open connections. */
-    readonly reset: () => void;
+    readonly resetOpenConnections: () => void;
     /** True if bytes may have been held back or lost in a span, by the steady clock. */
-    readonly wasHarmed: (from: number, to: number) => boolean;
+    readonly wasImpaired: (from: number, to: number) => boolean;
     readonly close: () => void;
 }
 
@@ -32,10 +32,10 @@
 const delay = 150;
 
 /** As whose calls the target takes those of a proxy: a fixed address of this machine, or each caller's own. */
-export type ProxyCaller = { readonly kind: "fixed"; readonly host: string; } | { readonly kind: "own"; };
+export type ProxySourceAddress = { readonly kind: "fixed"; readonly host: string; } | { readonly kind: "own"; };
 
 /** Starts a proxy to a target `host:port`. */
-export async function startProxy(target: string, as: ProxyCaller = { kind: "own" }): Promise<Proxy> {
+export async function startFaultProxy(target: string, as: ProxySourceAddress = { kind: "own" }): Promise<FaultProxy> {
     const pairs = new Set<SocketPair>();
     const silenced = new Set<SocketPair>();
     let state: LinkState = "whole";
@@ -51,7 +51,7 @@
             state = next;
             pairs.forEach(resume);
         },
-        silenceOpen() {
+        blackholeOpenConnections() {
             noteHarm(0);
             pairs.forEach(pair => {
                 silenced.add(pair);
@@ -59,14 +59,14 @@
             });
             pairs.clear();
         },
-        reset() {
+        resetOpenConnections() {
             noteHarm(0);
             pairs.forEach(([caller, called]) => {
                 caller.resetAndDestroy();
                 called.destroy();
             });
         },
-        wasHarmed: (from, to) => harms.some(harm => harm.from <= to && harm.to >= from),
+        wasImpaired: (from, to) => harms.some(harm => harm.from <= to && harm.to >= from),
         close() {
             server.close();
             [...pairs, ...silenced].forEach(pair => pair.forEach(socket => socket.destroy()));
--- a/packages/testing/src/soak/restore-faults.ts
+++ b/packages/testing/src/soak/restore-faults.ts
@@ -8,8 +8,8 @@
 
 import { createSeededRandom, milliseconds } from "@chalkdale/kernel";
 import { pause } from "../standins/deployment.js";
-import type { StoreCopy } from "../standins/metadata-store.js";
-import type { SoakWorld } from "./soak-world.js";
+import type { StoreSnapshot } from "../standins/metadata-store.js";
+import type { SoakEnvironment } from "./soak-world.js";
 
 /** Draws of seeds that follow on each other would begin alike. */
 const seedSpread = 49_979_687;
@@ -26,12 +26,12 @@
 const addedPause = 4000;
 
 /** The store comes back again and again until a time of the run; resolves once all that was lost is written again. */
-export async function restoreStore(world: SoakWorld, end: number): Promise<void> {
+export async function injectStoreRestores(world: SoakEnvironment, end: number): Promise<void> {
     const { now, store, storeServer } = world;
     const random = createSeededRandom(world.seed * seedSpread);
-    const copies: StoreCopy[] = [];
+    const copies: StoreSnapshot[] = [];
     const timer = setInterval(() => {
-        copies.push(store.copy());
+        copies.push(store.takeSnapshot());
         copies.splice(0, copies.length - keptCopies);
     }, copyInterval);
     const writes: Promise<void>[] = [];
@@ -41,25 +41,27 @@
     }
     clearInterval(timer);
     await Promise.all(writes);
-    store.lost().forEach(write => write.again());
+    store.lostWrites().forEach(write => write.replay());
 
     async function restoreOnce(): Promise<void> {
-        const over = world.contact.disturb();
+        const over = world.storeConnectivity.beginFault();
         const away = milliseconds(shortestAway + random() * addedAway);
         storeServer.setFault(() => ({ kind: "reset" }));
-        storeServer.cut();
+        storeServer.dropConnections();
         await pause(away);
-        const copy = copies[Math.floor(random() * copies.length)] ?? store.copy();
+        const copy = copies[Math.floor(random() * copies.length)] ?? store.takeSnapshot();
         const lostRevisions = store.revision() - copy.at;
         store.restore(copy);
         storeServer.setFault(() => ({ kind: "none" }));
-        world.say(
-            `fault="store back older" away=${Math.round(away)} lost=${lostRevisions} writes=${store.lost().length}`,
+        world.logEvent(
+            `fault="store back older" away=${
+                Math.round(away)
+            } lost=${lostRevisions} writes=${store.lostWrites().length}`,
         );
         writes.push(
-            ...store.lost().map(async write => {
+            ...store.lostWrites().map(async write => {
                 await pause(milliseconds(random() * writtenAgainWithin));
-                write.again();
+                write.replay();
             }),
         );
         void Promise.all(writes).then(over);
--- a/packages/testing/src/soak/return-checks.ts
+++ b/packages/testing/src/soak/return-checks.ts
@@ -6,17 +6,17 @@
 import type { Breach, Observations } from "./observations.js";
 
 /** Returns the breaches of what must come back. */
-export function returnBreaches(seen: Observations): Breach[] {
+export function recoveryBreaches(seen: Observations): Breach[] {
     return [...zonesWithoutWork(seen), ...boxesWithoutAnswer(seen), ...refusedWithinQuota(seen)];
 }
 
-function zonesWithoutWork({ back, recoveredFrom, runs }: Observations): Breach[] {
+function zonesWithoutWork({ recoveryProbe: back, recoveredFrom, runs }: Observations): Breach[] {
     const served = new Set(runs.filter(run => run.at >= recoveredFrom).map(run => run.zone));
     const idle = back?.zones.filter(zone => !served.has(zone)) ?? [];
     return idle.map(zone => ({ promise: "return", at: recoveredFrom, detail: `nothing runs in ${zone}` }));
 }
 
-function boxesWithoutAnswer({ back, recoveredFrom }: Observations): Breach[] {
+function boxesWithoutAnswer({ recoveryProbe: back, recoveredFrom }: Observations): Breach[] {
     const failed = back?.boxes.filter(({ status }) => status !== 200) ?? [];
     return failed.map(({ box, status }) => ({
         promise: "return",
--- a/packages/testing/src/soak/service-faults.ts
+++ b/packages/testing/src/soak/service-faults.ts
@@ -4,8 +4,8 @@
 
 import type { StoreFault } from "../standins/metadata-store-server.js";
 import type { ServerBehaviour } from "../standins/server-answers.js";
-import { type Fault, lasting, pick } from "./fault-tools.js";
-import type { SoakWorld } from "./soak-world.js";
+import { type Fault, injectTemporaryFault, pickRandom } from "./fault-tools.js";
+import type { SoakEnvironment } from "./soak-world.js";
 
 const storeFaults: readonly StoreFault[] = [
     { kind: "refused", status: 503 },
@@ -35,12 +35,12 @@
 const addedShare = 0.6;
 
 /** The store fails for a while. */
-export function createStoreFailure(world: SoakWorld): Fault {
+export function createStoreFailure(world: SoakEnvironment): Fault {
     const { random, storeServer } = world;
 
     return async function failStore() {
-        const fault = pick(storeFaults, random);
-        await lasting(
+        const fault = pickRandom(storeFaults, random);
+        await injectTemporaryFault(
             world,
             `store ${fault.kind}`,
             () => storeServer.setFault(() => fault),
@@ -50,13 +50,13 @@
 }
 
 /** The store turns some boxes away for a while, and serves the others. */
-export function createTurningAway(world: SoakWorld): Fault {
+export function createPartialStoreFailure(world: SoakEnvironment): Fault {
     const { random, storeServer } = world;
 
     return async function turnAway() {
-        const fault = pick(turningAway, random);
+        const fault = pickRandom(turningAway, random);
         const turnedAway = new Map<string, boolean>();
-        await lasting(
+        await injectTemporaryFault(
             world,
             `store ${fault.kind} to some boxes`,
             () => storeServer.setFault(({ caller }) => isTurnedAway(caller) ? fault : { kind: "none" }),
@@ -72,14 +72,14 @@
 }
 
 /** A server misbehaves at part of its requests for a while. */
-export function createMisbehaviour(world: SoakWorld): Fault {
+export function createMisbehaviour(world: SoakEnvironment): Fault {
     const { random, servers } = world;
 
     return async function misbehave() {
-        const { backend } = pick(servers.filter(server => !server.isScripted), random);
-        const behaviour = pick(serverFaults, random);
+        const { backend } = pickRandom(servers.filter(server => !server.isExcludedFromFaults), random);
+        const behaviour = pickRandom(serverFaults, random);
         const share = leastShare + random() * addedShare;
-        await lasting(
+        await injectTemporaryFault(
             world,
             `${behaviour.kind} of ${backend.id}`,
             () => backend.setBehaviour(() => random() < share ? behaviour : { kind: "serve" }),
--- a/packages/testing/src/soak/soak-bounds.ts
+++ b/packages/testing/src/soak/soak-bounds.ts
@@ -14,4 +14,4 @@
 /** Milliseconds after which a request is handled by the new configuration at a box in touch with the store. The users' `config`. */
 export const configuredWithin = 3000;
 /** Milliseconds without a fault after which a box counts as in touch with the store. The users' `contact`. */
-export const inTouchAfter = 4000;
+export const connectedAfter = 4000;
--- a/packages/testing/src/soak/soak-customers.ts
+++ b/packages/testing/src/soak/soak-customers.ts
@@ -8,7 +8,7 @@
 import type { TenantOptions } from "../standins/platform-objects.js";
 
 /** A key as a caller holds it. */
-export interface HeldKey {
+export interface CallerKey {
     readonly customer: string;
     readonly key: string;
 }
@@ -16,11 +16,11 @@
 /** Customers of one run. */
 export interface SoakCustomers {
     /** The key that a caller of a customer has now. */
-    readonly keyOf: (customer: string) => HeldKey;
+    readonly callerKeyOf: (customer: string) => CallerKey;
     /** Gives out new keys; returns the customers as operators write them. */
-    readonly next: (version: number) => readonly TenantOptions[];
+    readonly rotateKeys: (version: number) => readonly TenantOptions[];
     /** From when on an earlier key must not be honoured; undefined for one that stands. */
-    readonly endOf: (key: string) => number | undefined;
+    readonly keyInvalidFrom: (key: string) => number | undefined;
 }
 
 /** Customers by name with their quotas; the callers of a run ask some 100 requests a second together. */
@@ -37,8 +37,8 @@
     const ends = new Map<string, number>();
 
     return {
-        keyOf: customer => ({ customer, key: current.get(customer) ?? "" }),
-        next(version) {
+        callerKeyOf: customer => ({ customer, key: current.get(customer) ?? "" }),
+        rotateKeys(version) {
             return customerNames.map(name => {
                 const earlier = current.get(name);
                 if (earlier !== undefined) {
@@ -49,6 +49,6 @@
                 return { name, keys: [key], ...quotas[name] };
             });
         },
-        endOf: key => ends.get(key),
+        keyInvalidFrom: key => ends.get(key),
     };
 }
--- a/packages/testing/src/soak/soak-rollouts.ts
+++ b/packages/testing/src/soak/soak-rollouts.ts
@@ -9,19 +9,19 @@
 import { createSeededRandom, milliseconds } from "@chalkdale/kernel";
 import { pause } from "../standins/deployment.js";
 import { rolloutObject } from "../standins/platform-objects.js";
-import { pick } from "./fault-tools.js";
+import { pickRandom } from "./fault-tools.js";
 import type { Interval, ObservedRollout } from "./observations.js";
 import { inForceWithin } from "./soak-bounds.js";
 import type { SoakServer } from "./soak-servers.js";
-import { type SoakWorld, zoneNames } from "./soak-world.js";
+import { type SoakEnvironment, zoneNames } from "./soak-world.js";
 
 /** The roll-outs of one run. */
 export interface SoakRollouts {
     readonly observed: readonly ObservedRollout[];
     /** Orders one version after the other until a time of the run. Resolves when the servers that lost are gone. */
-    readonly orderUntil: (end: number) => Promise<void>;
+    readonly startRolloutsUntil: (end: number) => Promise<void>;
     /** Notes the states until the run is over. */
-    readonly stop: () => void;
+    readonly stopObserving: () => void;
 }
 
 const services = ["profiles", "packs"];
@@ -37,8 +37,8 @@
 const seedSpread = 7919;
 
 /** Creates it; nothing is ordered yet. `drained`: from when on a server must get nothing, by its id. */
-export function createSoakRollouts(world: SoakWorld, drained: Map<string, Interval>): SoakRollouts {
-    const { now, say, servers, store } = world;
+export function createSoakRollouts(world: SoakEnvironment, drained: Map<string, Interval>): SoakRollouts {
+    const { now, logEvent: say, servers, store } = world;
     // Its own, so that what else is drawn from a seed stays as it is.
     const random = createSeededRandom(world.seed * seedSpread);
     const observed: ObservedRollout[] = [];
@@ -47,18 +47,18 @@
 
     return {
         observed,
-        async orderUntil(end) {
+        async startRolloutsUntil(end) {
             const moves: Promise<void>[] = [];
             while (now() < end) {
                 await pause(milliseconds(longestPause * random()));
-                const service = pick(services, random);
+                const service = pickRandom(services, random);
                 if (now() < end && !moving.has(service)) {
                     moves.push(rollOut(service));
                 }
             }
             await Promise.all(moves);
         },
-        stop() {
+        stopObserving() {
             isOver = true;
         },
     };
@@ -76,7 +76,7 @@
         }
         if (isBad) {
             target.forEach(server => {
-                server.isScripted = true;
+                server.isExcludedFromFaults = true;
                 server.backend.setBehaviour(() =>
                     random() < failedPart ? { kind: "fail", status: 500 } : { kind: "serve" }
                 );
@@ -113,7 +113,7 @@
         world.setVersion(service, version);
         for (const server of servers.filter(other => other.service === service && other.version !== version)) {
             retire(server);
-            server.isEnded = true;
+            server.isPermanentlyStopped = true;
             store.delete("servers", server.backend.id);
             server.backend.close();
         }
@@ -122,7 +122,7 @@
     /** The new servers drain for some seconds. */
     async function empty(target: readonly SoakServer[]): Promise<void> {
         target.forEach(server => {
-            world.record(server, "draining");
+            world.writeRecord(server, "draining");
             retire(server);
         });
         await pause(milliseconds(inForceWithin));
@@ -136,7 +136,7 @@
 
     /** A store that came back from an older copy may show an earlier state once more. */
     function isNews(state: string, states: ObservedRollout["states"]): boolean {
-        return store.era() === undefined
+        return store.epoch() === undefined
             ? state !== states.at(-1)?.state
             : !states.some(known => known.state === state);
     }
@@ -149,7 +149,7 @@
                 status?: { state: string; target_version: string; };
             };
             const isReplaced = spec !== undefined && spec.target_version !== version;
-            if (isReplaced && store.lost().every(({ kind }) => kind !== "rollouts")) {
+            if (isReplaced && store.lostWrites().every(({ kind }) => kind !== "rollouts")) {
                 return;
             }
             if (status?.target_version === version && isNews(status.state, states)) {
--- a/packages/testing/src/soak/soak-servers.ts
+++ b/packages/testing/src/soak/soak-servers.ts
@@ -11,7 +11,7 @@
 import type { MetadataStore } from "../standins/metadata-store.js";
 import { serverObject } from "../standins/platform-objects.js";
 import type { ObservedRun } from "./observations.js";
-import { type Proxy, startProxy } from "./proxy.js";
+import { type FaultProxy, startFaultProxy } from "./proxy.js";
 
 /** Work of a request on an object that the server does not know, in milliseconds. */
 const serverWork = 40;
@@ -24,7 +24,7 @@
     backend: ServerStandIn;
     /** Unix milliseconds of its present start. */
     born: number;
-    readonly proxy: Proxy;
+    readonly proxy: FaultProxy;
     readonly service: string;
     readonly zone: string;
     readonly version: string;
@@ -32,9 +32,9 @@
     /** It has ended, and is about to start again unless its service has moved on. */
     isDown: boolean;
     /** It was stopped for good. */
-    isEnded: boolean;
+    isPermanentlyStopped: boolean;
     /** Its behaviour is part of a bad version, and other faults leave it alone. */
-    isScripted: boolean;
+    isExcludedFromFaults: boolean;
 }
 
 /** The servers of a run. */
@@ -49,10 +49,10 @@
      */
     readonly restartServer: (server: SoakServer, downFor: Milliseconds) => Promise<boolean>;
     /** Starts a server that no sound record names; whatever runs there is a breach. */
-    readonly startTrap: () => Promise<ServerStandIn>;
+    readonly startUnlistedServer: () => Promise<ServerStandIn>;
     /** The service runs another version from now on. */
     readonly setVersion: (service: string, version: string) => void;
-    readonly record: (server: SoakServer, state: "ready" | "draining") => void;
+    readonly writeRecord: (server: SoakServer, state: "ready" | "draining") => void;
     readonly closeServers: () => void;
 }
 
@@ -74,9 +74,9 @@
         runs,
         addServer,
         restartServer,
-        startTrap,
+        startUnlistedServer: startTrap,
         setVersion: (service, next) => versions.set(service, next),
-        record,
+        writeRecord: record,
         closeServers() {
             servers.forEach(({ proxy }) => proxy.close());
             [...servers.map(({ backend }) => backend), ...traps].forEach(backend => backend.close());
@@ -90,7 +90,7 @@
     ): Promise<SoakServer> {
         const backend = await startServerStandIn({ id: `i-${service}-${servers.length}` });
         backend.setWork(serverWork);
-        const proxy = await startProxy(backend.address(), { kind: "own" });
+        const proxy = await startFaultProxy(backend.address(), { kind: "own" });
         const server: SoakServer = {
             backend,
             born: Date.now(),
@@ -100,8 +100,8 @@
             version: serverVersion,
             gone: false,
             isDown: false,
-            isEnded: false,
-            isScripted: false,
+            isPermanentlyStopped: false,
+            isExcludedFromFaults: false,
         };
         servers.push(server);
         observeRuns(server);
@@ -116,7 +116,7 @@
         server.backend.close();
         await pause(downFor);
         server.isDown = false;
-        if (server.isEnded) {
+        if (server.isPermanentlyStopped) {
             return false;
         }
         server.backend = await startServerStandIn({ id, port });
--- a/packages/testing/src/soak/soak-world.ts
+++ b/packages/testing/src/soak/soak-world.ts
@@ -12,11 +12,11 @@
 import { configurationObject, type RuleOptions } from "../standins/platform-objects.js";
 import { type BoxProcess, createBoxProcess } from "./box-process.js";
 import type { Interval } from "./observations.js";
-import { type Proxy, startProxy } from "./proxy.js";
+import { type FaultProxy, startFaultProxy } from "./proxy.js";
 import { inForceWithin } from "./soak-bounds.js";
 import { createSoakCustomers, type SoakCustomers } from "./soak-customers.js";
 import { createSoakServers, type SoakServers } from "./soak-servers.js";
-import { createStoreContact, type StoreContact } from "./store-contact.js";
+import { createStoreConnectivity, type StoreConnectivity } from "./store-contact.js";
 
 /** Zones and their regions. */
 const zones: Readonly<Record<string, string>> = { "north-a": "north", "north-b": "north", "south-a": "south" };
@@ -49,7 +49,7 @@
             return undefined;
     }
 }
-export const host = "app.example";
+export const soakHost = "app.example";
 const serversPerService = 4;
 /** First port of each box, below the range from which the kernel takes ports for outgoing connections. */
 const firstPort = 20_000;
@@ -57,30 +57,30 @@
 type Destination = Interval & { readonly path: string; readonly service: string; };
 
 /** The parts of a run. */
-export interface SoakWorld extends SoakServers {
+export interface SoakEnvironment extends SoakServers {
     readonly seed: number;
     readonly random: RandomSource;
     /** Milliseconds since the run began. */
     readonly now: () => number;
-    readonly say: (text: string) => void;
+    readonly logEvent: (text: string) => void;
     /** Where the logs of the boxes lie. */
-    readonly folder: string;
+    readonly logFolder: string;
     readonly store: MetadataStore;
     readonly storeServer: MetadataStoreServer;
-    readonly storeLinks: readonly Proxy[];
+    readonly storeLinks: readonly FaultProxy[];
     /** Servers beyond which none is replaced, since each release adds a process' worth of sockets. */
     readonly mostServers: number;
     readonly boxes: readonly BoxProcess[];
     readonly destinations: readonly Destination[];
     readonly customers: SoakCustomers;
     /** Which boxes are in touch with the store; faults tell it whom they strike. */
-    readonly contact: StoreContact;
+    readonly storeConnectivity: StoreConnectivity;
     /** Writes the next version: each customer has a new key, and the lookups' service changes with every other one. */
-    readonly configure: () => void;
+    readonly writeNextConfiguration: () => void;
     readonly stopAll: () => Promise<void>;
 }
 
-export interface SoakWorldOptions {
+export interface SoakEnvironmentOptions {
     readonly seed: number;
     readonly random: RandomSource;
     readonly boxes: number;
@@ -89,7 +89,7 @@
 }
 
 /** Starts everything; boxes may still be starting when it resolves. */
-export async function createSoakWorld(options: SoakWorldOptions): Promise<SoakWorld> {
+export async function startSoakEnvironment(options: SoakEnvironmentOptions): Promise<SoakEnvironment> {
     const { random } = options;
     const startedAt = performance.now();
     const now = () => performance.now() - startedAt;
@@ -100,7 +100,7 @@
     const servers = createSoakServers({ now, store });
     const destinations: Destination[] = [];
     const customers = createSoakCustomers(now, inForceWithin);
-    const storeLinks: Proxy[] = [];
+    const storeLinks: FaultProxy[] = [];
     let version = 1;
 
     await startServers();
@@ -110,8 +110,8 @@
         seed: options.seed,
         random,
         now,
-        say,
-        folder,
+        logEvent: say,
+        logFolder: folder,
         store,
         storeServer,
         storeLinks,
@@ -120,8 +120,8 @@
         boxes,
         destinations,
         customers,
-        contact: createStoreContact(now),
-        configure,
+        storeConnectivity: createStoreConnectivity(now),
+        writeNextConfiguration: configure,
         stopAll,
     };
 
@@ -143,7 +143,7 @@
             service: path === "/lookup/" ? lookups : service,
         }));
         rules.forEach(noteDestination);
-        store.put("config", "main", configurationObject(version, host, rules, customers.next(version)));
+        store.put("config", "main", configurationObject(version, soakHost, rules, customers.rotateKeys(version)));
     }
 
     /** Notes from when on a path's requests may run at a service, and until when they still may at the one before. */
@@ -162,7 +162,10 @@
         const network = ownNetwork();
         for (let index = 0; index < options.boxes; index++) {
             // So the store can tell the boxes apart.
-            const link = await startProxy(storeServer.address(), { kind: "fixed", host: `${network}.${index + 1}` });
+            const link = await startFaultProxy(storeServer.address(), {
+                kind: "fixed",
+                host: `${network}.${index + 1}`,
+            });
             storeLinks.push(link);
             const box = createBoxProcess({
                 name: `box-${index}`,
@@ -184,7 +187,7 @@
     async function stopAll(): Promise<void> {
         boxes.forEach(box => box.signal("SIGCONT"));
         boxes.forEach(box => box.signal("SIGTERM"));
-        await Promise.all(boxes.map(box => box.ended()));
+        await Promise.all(boxes.map(box => box.waitForExit()));
         storeLinks.forEach(link => link.close());
         servers.closeServers();
         storeServer.close();
--- a/packages/testing/src/soak/soak.ts
+++ b/packages/testing/src/soak/soak.ts
@@ -10,20 +10,20 @@
 import { findBreaches } from "./checks.js";
 import type { FaultSet } from "./fault-tools.js";
 import { injectFaults } from "./faults.js";
-import { countInTouch, type InTouchCounts } from "./in-touch-checks.js";
-import type { LaterFaultCounts } from "./later-faults.js";
-import { countLimits } from "./limit-checks.js";
+import { type ConnectedBoxCounts, countConnectedBoxChecks } from "./in-touch-checks.js";
+import type { ExtendedFaultCounts } from "./later-faults.js";
+import { countCheckedLimits } from "./limit-checks.js";
 import { countNotices, type NoticeCounts } from "./notice-checks.js";
 import type { Breach, ObservedRollout } from "./observations.js";
 import { startPipeliningCallers } from "./pipelining-callers.js";
-import { probeReturn } from "./return-probe.js";
-import { inTouchAfter } from "./soak-bounds.js";
-import { createSoakWorld, type SoakWorld } from "./soak-world.js";
+import { probeRecovery } from "./return-probe.js";
+import { connectedAfter } from "./soak-bounds.js";
+import { type SoakEnvironment, startSoakEnvironment } from "./soak-world.js";
 
 export interface SoakOptions {
     readonly seed: number;
     /** Time with faults, in milliseconds. */
-    readonly length: number;
+    readonly faultDuration: number;
     /** Which faults are drawn; see `injectFaults`. */
     readonly faults: FaultSet;
     readonly boxes?: number;
@@ -39,22 +39,22 @@
     readonly served: number;
     readonly faults: number;
     /** Faults of the later set, by what they are; undefined if none were drawn. */
-    readonly later: LaterFaultCounts | undefined;
+    readonly extendedFaults: ExtendedFaultCounts | undefined;
     readonly rollouts: readonly ObservedRollout[];
     readonly breaches: readonly Breach[];
     /** What the checks of boxes in touch with the store could see. */
-    readonly inTouch: InTouchCounts;
+    readonly connectedBoxes: ConnectedBoxCounts;
     /** Limits that the check could see kept or broken, and all that were named. */
     readonly limits: { readonly checked: number; readonly named: number; };
     /** What servers said, as far as the checks could see boxes that had been told, and how often the store came back older. */
     readonly notices: NoticeCounts & { readonly restores: number; };
     /** Where the logs of the boxes lie. */
-    readonly folder: string;
+    readonly logFolder: string;
 }
 
 const recoverWithin = 9000;
 /** All boxes count as in touch with the store again so long after the faults, and a moment more. */
-const inTouchAgain = milliseconds(inTouchAfter + 200);
+const inTouchAgain = milliseconds(connectedAfter + 200);
 const observedAfterRecovery = 2500;
 const defaultBoxes = 5;
 const defaultCallers = 6;
@@ -74,7 +74,7 @@
 export async function runSoak(options: SoakOptions): Promise<SoakResult> {
     const random = createSeededRandom(options.seed);
     const { boxes = defaultBoxes, onEvent, seed } = options;
-    const world = await createSoakWorld({
+    const world = await startSoakEnvironment({
         seed,
         random,
         boxes,
@@ -91,59 +91,59 @@
     }
 }
 
-async function play(world: SoakWorld, options: SoakOptions): Promise<SoakResult> {
+async function play(world: SoakEnvironment, options: SoakOptions): Promise<SoakResult> {
     const { callers: count = defaultCallers, seed } = options;
-    const { now, say } = world;
-    const callers = await startCallers(world, { count, prefix: `s${seed}`, leavingShare });
-    const pipelining = startPipeliningCallers(world, { count: pipeliningCallers, seed, leavingShare });
-    const injecting = await injectFaults(world, options.length, options.faults);
-    const { changeInCalm, count: faults, later, rollouts, ...injected } = injecting;
+    const { now, logEvent: say } = world;
+    const callers = await startCallers(world, { count, prefix: `s${seed}`, disconnectShare: leavingShare });
+    const pipelining = startPipeliningCallers(world, { count: pipeliningCallers, seed, disconnectShare: leavingShare });
+    const injecting = await injectFaults(world, options.faultDuration, options.faults);
+    const { changeAfterFaults: changeInCalm, count: faults, extendedFaults: later, rollouts, ...injected } = injecting;
     const recoveredFrom = now() + recoverWithin;
     await pause(inTouchAgain);
     const changing = changeInCalm();
     await pause(milliseconds(recoveredFrom - now()));
-    const back = await probeReturn(world);
+    const back = await probeRecovery(world);
     await pause(milliseconds(recoveredFrom + observedAfterRecovery - now()));
     await changing;
     await Promise.all([callers.stop(), pipelining.stop()]);
-    rollouts.stop();
+    rollouts.stopObserving();
     await world.stopAll();
 
     const attempts = [...callers.attempts, ...pipelining.attempts];
-    const { destinations, folder, runs } = world;
-    const keyEndsAt = world.customers.endOf;
-    const { surplus } = pipelining;
+    const { destinations, logFolder: folder, runs } = world;
+    const keyEndsAt = world.customers.keyInvalidFrom;
+    const { unsolicitedBytes: surplus } = pipelining;
     const seen = {
         attempts,
         runs,
-        surplus,
+        unsolicitedBytes: surplus,
         ...injected,
         destinations,
-        keyEndsAt,
+        keyInvalidFrom: keyEndsAt,
         rollouts: rollouts.observed,
         recoveredFrom,
-        isInTouch: world.contact.isInTouch,
-        wasStruck: world.contact.wasStruck,
-        back,
+        isConnected: world.storeConnectivity.isConnected,
+        hadBoxFault: world.storeConnectivity.hadBoxFault,
+        recoveryProbe: back,
     };
     const breaches = findBreaches(seen);
     breaches.forEach(breach => say(`breach="${breach.promise}" at=${Math.round(breach.at)} ${breach.detail}`));
     const served = attempts.filter(attempt => attempt.answer.status === 200).length;
     const { observed } = rollouts;
-    const inTouch = countInTouch(seen);
-    const limits = { checked: countLimits(seen), named: seen.limits?.length ?? 0 };
-    const notices = { ...countNotices(seen), restores: world.store.era() ?? 0 };
+    const inTouch = countConnectedBoxChecks(seen);
+    const limits = { checked: countCheckedLimits(seen), named: seen.limits?.length ?? 0 };
+    const notices = { ...countNotices(seen), restores: world.store.epoch() ?? 0 };
     return {
         seed,
         attempts: attempts.length,
         served,
         faults,
-        later,
+        extendedFaults: later,
         rollouts: observed,
         breaches,
-        inTouch,
+        connectedBoxes: inTouch,
         limits,
         notices,
-        folder,
+        logFolder: folder,
     };
 }
--- a/packages/testing/src/soak/store-contact.ts
+++ b/packages/testing/src/soak/store-contact.ts
@@ -6,7 +6,7 @@
  * faults tell them.
  */
 
-import { inTouchAfter } from "./soak-bounds.js";
+import { connectedAfter } from "./soak-bounds.js";
 
 /** A fault of one box, or of all of them if `host` is undefined. */
 interface Disturbance {
@@ -16,32 +16,32 @@
 }
 
 /** What has struck the boxes, and who is in touch. */
-export interface StoreContact {
+export interface StoreConnectivity {
     /** A fault begins; returns the function that ends it. `host`: the address of the box that is struck, or undefined for all. */
-    readonly disturb: (host?: string) => () => void;
+    readonly beginFault: (host?: string) => () => void;
     /** True if nothing has struck the box of an address for a while. */
-    readonly isInTouch: (host: string, at: number) => boolean;
+    readonly isConnected: (host: string, at: number) => boolean;
     /** True if a fault has struck the box itself lately: a restart, a pause, or its own path to the store. */
-    readonly wasStruck: (host: string, at: number) => boolean;
+    readonly hadBoxFault: (host: string, at: number) => boolean;
 }
 
 /** Creates the record of a run whose time is `now`. */
-export function createStoreContact(now: () => number): StoreContact {
+export function createStoreConnectivity(now: () => number): StoreConnectivity {
     const disturbances: Disturbance[] = [];
 
     return {
-        disturb(host) {
+        beginFault(host) {
             const disturbance: Disturbance = { host, from: now(), to: Infinity };
             disturbances.push(disturbance);
             return () => {
                 disturbance.to = now();
             };
         },
-        isInTouch: (host, at) => !disturbances.some(fault => (fault.host ?? host) === host && isRecent(fault, at)),
-        wasStruck: (host, at) => disturbances.some(fault => fault.host === host && isRecent(fault, at)),
+        isConnected: (host, at) => !disturbances.some(fault => (fault.host ?? host) === host && isRecent(fault, at)),
+        hadBoxFault: (host, at) => disturbances.some(fault => fault.host === host && isRecent(fault, at)),
     };
 }
 
 function isRecent({ from, to }: Disturbance, at: number): boolean {
-    return from <= at && to >= at - inTouchAfter;
+    return from <= at && to >= at - connectedAfter;
 }
--- a/packages/testing/src/standins/backend-server.ts
+++ b/packages/testing/src/standins/backend-server.ts
@@ -17,7 +17,7 @@
     readonly headers: NodeJS.Dict<string | string[]>;
     readonly warm: boolean;
     /** Address of the box that sent it. */
-    readonly caller?: string;
+    readonly boxAddress?: string;
 }
 
 /** A running stand-in. */
@@ -30,20 +30,20 @@
     /** Connections accepted so far. */
     readonly connections: () => number;
     /** Requests whose connection closed while they ran. */
-    readonly abandoned: () => number;
+    readonly abortedRequests: () => number;
     setBehaviour: (behaviour: (request: IncomingMessage) => ServerBehaviour) => void;
     /** Work on a key that is not known, in milliseconds; a known one takes less. */
     setWork: (milliseconds: number) => void;
     /** Tells in its health answers that it stays cold for so long. */
     setColdFor: (milliseconds: number) => void;
     /** Names a limit in its answers, as it stands in the header; undefined for none. */
-    setLimit: (text: string | undefined) => void;
+    setLimitHeader: (text: string | undefined) => void;
     /** Resets connections that rested longer than so many milliseconds once a request comes on them. */
-    readonly setForgetsAfter: (milliseconds: number) => void;
+    readonly setResetAfterIdle: (milliseconds: number) => void;
     /** Says in its answers that it is leaving, by closing connections and in its health answers. */
-    setLeaving: (leaving: boolean) => void;
+    setShuttingDown: (leaving: boolean) => void;
     /** Says in all its answers, in a header of its own, that it is leaving; its health answers stay good. */
-    setSaysLeaving: (text: string | undefined) => void;
+    setLeavingHeader: (text: string | undefined) => void;
     /** Refuses new connections; those that are open stay. */
     readonly stopAccepting: () => void;
     readonly close: () => void;
@@ -100,7 +100,7 @@
         runs,
         arrivals: () => arrivals,
         connections: () => connections,
-        abandoned: () => abandoned,
+        abortedRequests: () => abandoned,
         setBehaviour: behaviour => {
             behaviourOf = behaviour;
         },
@@ -110,16 +110,16 @@
         setColdFor: duration => {
             coldFor = duration;
         },
-        setLimit: text => {
+        setLimitHeader: text => {
             limit = text;
         },
-        setForgetsAfter: duration => {
+        setResetAfterIdle: duration => {
             forgetsAfter = duration;
         },
-        setLeaving: value => {
+        setShuttingDown: value => {
             leaving = value;
         },
-        setSaysLeaving: text => {
+        setLeavingHeader: text => {
             leavingText = text;
         },
         stopAccepting() {
@@ -173,9 +173,9 @@
             return;
         }
         const body = await readText(request);
-        await queue.take();
+        await queue.acquire();
         await run(request, response, requestId, body, behaviour);
-        queue.giveBack();
+        queue.release();
     }
 
     async function run(
@@ -187,7 +187,7 @@
     ): Promise<void> {
         const warm = remember(String(request.headers["affinity-key"] ?? ""));
         const { headers, method = "", url = "" } = request;
-        runs.push({ requestId, method, url, body, headers, warm, caller: request.socket.remoteAddress });
+        runs.push({ requestId, method, url, body, headers, warm, boxAddress: request.socket.remoteAddress });
         let isOver = false;
         response.on("close", () => {
             if (!isOver) {
@@ -204,7 +204,9 @@
         return { "Server-Load": `${queue.running()},${queue.waiting()},${slots}` };
     }
 
-    function shedHeaders({ restFor, tellsLoad }: ServerBehaviour & { readonly kind: "shed"; }): Record<string, string> {
+    function shedHeaders(
+        { retryAfter: restFor, includesLoad: tellsLoad }: ServerBehaviour & { readonly kind: "shed"; },
+    ): Record<string, string> {
         return {
             ...tellsLoad === true ? loadHeader() : {},
             ...restFor === undefined ? {} : { "Retry-After": restFor },
--- a/packages/testing/src/standins/client.ts
+++ b/packages/testing/src/standins/client.ts
@@ -30,7 +30,7 @@
     /** Send the body in chunks instead of with a length. */
     readonly chunked?: boolean;
     /** Close the connection after so many milliseconds. */
-    readonly leaveAfterMs?: number;
+    readonly disconnectAfterMs?: number;
     readonly agent?: Agent;
 }
 
@@ -75,11 +75,11 @@
             });
         });
         request.end(options.body);
-        if (options.leaveAfterMs !== undefined) {
+        if (options.disconnectAfterMs !== undefined) {
             setTimeout(() => {
                 request.destroy();
                 resolve(lost);
-            }, options.leaveAfterMs);
+            }, options.disconnectAfterMs);
         }
     });
 }
--- a/packages/testing/src/standins/deployment.ts
+++ b/packages/testing/src/standins/deployment.ts
@@ -6,7 +6,7 @@
 import { type Box, createTrafficMeter, startBox } from "@chalkdale/box";
 import { incarnationId, type Milliseconds, milliseconds } from "@chalkdale/kernel";
 import { createLog, type Log } from "@chalkdale/runtime";
-import { createObjectReader, createStoreClient, platformProtocol, readSettings } from "@chalkdale/users-platform";
+import { createObjectReader, createStoreClient, parseSettings, platformProtocol } from "@chalkdale/users-platform";
 import { type ServerStandIn, type ServerStandInOptions, startServerStandIn } from "./backend-server.js";
 import { type MetadataStoreServer, serveMetadataStore } from "./metadata-store-server.js";
 import { createMetadataStore, type MetadataStore } from "./metadata-store.js";
@@ -15,7 +15,7 @@
     rolloutObject,
     type RuleOptions,
     serverObject,
-    type ServerPlace,
+    type ServerRecordOptions,
     type TenantOptions,
 } from "./platform-objects.js";
 
@@ -23,29 +23,29 @@
 export interface TestBox {
     readonly name: string;
     readonly running: Box;
-    readonly callers: string;
-    readonly directory: string;
-    readonly readiness: string;
-    readonly peers: string;
+    readonly callerAddress: string;
+    readonly directoryAddress: string;
+    readonly readinessAddress: string;
+    readonly peerAddress: string;
     /** Where its figures are read; nothing listens there unless a port was given. */
     readonly metrics: string;
     /** Lines that the box has logged. */
-    readonly logged: readonly string[];
+    readonly logLines: readonly string[];
 }
 
 /** The deployment. */
-export interface Deployment {
+export interface TestDeployment {
     readonly store: MetadataStore;
     readonly storeServer: MetadataStoreServer;
-    readonly addServer: (options: ServerStandInOptions & ServerPlace) => Promise<ServerStandIn>;
+    readonly addServer: (options: ServerStandInOptions & ServerRecordOptions) => Promise<ServerStandIn>;
     /** Writes the record of a server again, with changes. */
-    readonly recordServer: (backend: ServerStandIn, place: ServerPlace) => void;
+    readonly writeServerRecord: (backend: ServerStandIn, place: ServerRecordOptions) => void;
     readonly configure: (version: number, rules: readonly RuleOptions[], tenants?: readonly TenantOptions[]) => void;
     /** Orders a service onto servers of a version. */
-    readonly orderVersion: (service: string, version: string, over: string) => void;
+    readonly orderRollout: (service: string, version: string, over: string) => void;
     /** State that boxes wrote for a service's order; undefined before they did. */
     readonly rolloutState: (service: string) => string | undefined;
-    readonly startBox: (options?: BoxOptions) => TestBox;
+    readonly startBox: (options?: TestBoxOptions) => TestBox;
     /**
      * Starts a box in each zone of the list, with the first one as seed; resolves once all are ready and know each other. `hosts`: their
      * loopback addresses, so that servers can tell them apart.
@@ -55,7 +55,7 @@
 }
 
 /** How a box is started. */
-export interface BoxOptions {
+export interface TestBoxOptions {
     readonly zone?: string;
     readonly seeds?: readonly string[];
     /** Loopback address of the box, so that the store can tell boxes apart. */
@@ -65,7 +65,7 @@
     /** Port of the box's figures on its host; none are told without it. */
     readonly metricsPort?: number;
     /** A stopped box whose name and addresses the new one takes over. */
-    readonly sameAs?: TestBox;
+    readonly replacing?: TestBox;
 }
 
 /** What the whole deployment has in common. */
@@ -73,7 +73,7 @@
     /** Bounds of the settings besides those that every deployment of the tests has. */
     readonly bounds?: readonly string[];
     /** Era that the store tells from the start; it tells none if this is left out, until it is restored. */
-    readonly storeEra?: number;
+    readonly storeEpoch?: number;
 }
 
 /** Host that all rules of the tests are for. */
@@ -85,9 +85,9 @@
 let nextPort = 20_000 + (process.pid % 100) * 100;
 
 /** Starts the store; servers, boxes and configurations follow by calls. */
-export async function startDeployment(options: DeploymentOptions = {}): Promise<Deployment> {
+export async function startTestDeployment(options: DeploymentOptions = {}): Promise<TestDeployment> {
     const clock = () => milliseconds(performance.now());
-    const store = createMetadataStore({ clock, era: options.storeEra });
+    const store = createMetadataStore({ clock, epoch: options.storeEpoch });
     const storeServer = await serveMetadataStore(store);
     const backends: ServerStandIn[] = [];
     const boxes: TestBox[] = [];
@@ -101,11 +101,11 @@
             recordServer(backend, serverOptions);
             return backend;
         },
-        recordServer,
+        writeServerRecord: recordServer,
         configure(version, rules, tenants) {
             store.put("config", "main", configurationObject(version, testHost, rules, tenants));
         },
-        orderVersion(service, version, over) {
+        orderRollout(service, version, over) {
             store.put("rollouts", service, rolloutObject(service, version, over));
         },
         rolloutState(service) {
@@ -121,8 +121,8 @@
         },
     };
 
-    function startTestBox(boxOptions: BoxOptions = {}): TestBox {
-        const box = createBox(boxOptions.sameAs?.name ?? `box-${boxes.length + 1}`, boxOptions);
+    function startTestBox(boxOptions: TestBoxOptions = {}): TestBox {
+        const box = createBox(boxOptions.replacing?.name ?? `box-${boxes.length + 1}`, boxOptions);
         boxes.push(box);
         return box;
     }
@@ -133,26 +133,26 @@
     ): Promise<readonly TestBox[]> {
         const started: TestBox[] = [];
         for (const [index, zone] of zonesOfBoxes.entries()) {
-            const seeds = started.slice(0, 1).map(first => first.peers);
+            const seeds = started.slice(0, 1).map(first => first.peerAddress);
             started.push(startTestBox({ zone, seeds, host: hosts[index] }));
         }
-        for (const { logged, name, running } of started) {
-            await eventually(() => running.isReady(), `${name} is ready`);
-            await eventually(() => logged.some(line => line.includes(`alive=${started.length}`)), `${name} knows all`);
+        for (const { logLines: logged, name, running } of started) {
+            await waitUntil(() => running.isReady(), `${name} is ready`);
+            await waitUntil(() => logged.some(line => line.includes(`alive=${started.length}`)), `${name} knows all`);
         }
         return started;
     }
 
-    function recordServer(backend: ServerStandIn, place: ServerPlace): void {
+    function recordServer(backend: ServerStandIn, place: ServerRecordOptions): void {
         store.put("servers", backend.id, serverObject(backend.address(), place));
     }
 
-    function createBox(name: string, { sameAs, ...boxOptions }: BoxOptions): TestBox {
+    function createBox(name: string, { replacing: sameAs, ...boxOptions }: TestBoxOptions): TestBox {
         const { host = "127.0.0.1", memoryMb, metricsPort, seeds = [], zone = "north-a" } = boxOptions;
         const [callers, directory, readiness, peers] = sameAs === undefined
             ? [0, 1, 2, 3].map(() => `${host}:${nextPort++}`)
-            : [sameAs.callers, sameAs.directory, sameAs.readiness, sameAs.peers];
-        const settings = readSettings(
+            : [sameAs.callerAddress, sameAs.directoryAddress, sameAs.readinessAddress, sameAs.peerAddress];
+        const settings = parseSettings(
             settingsText({ name, zone, callers, directory, readiness, peers, seeds, memoryMb }),
         );
         if (settings.err) {
@@ -184,7 +184,16 @@
             traffic,
             incarnation: incarnationId(`${Date.now().toString(36)}-${nextPort}`),
         });
-        return { name, running, callers, directory, readiness, peers, metrics: `${host}:${metricsPort}`, logged };
+        return {
+            name,
+            running,
+            callerAddress: callers,
+            directoryAddress: directory,
+            readinessAddress: readiness,
+            peerAddress: peers,
+            metrics: `${host}:${metricsPort}`,
+            logLines: logged,
+        };
     }
 
     function settingsText(box: {
@@ -216,7 +225,7 @@
 }
 
 /** Resolves once a condition holds. Rejects when it does not for long. */
-export async function eventually(condition: () => boolean | Promise<boolean>, what: string): Promise<void> {
+export async function waitUntil(condition: () => boolean | Promise<boolean>, what: string): Promise<void> {
     const end = performance.now() + longestWait;
     while (!await condition()) {
         if (performance.now() > end) {
--- a/packages/testing/src/standins/ending-servers.ts
+++ b/packages/testing/src/standins/ending-servers.ts
@@ -9,26 +9,26 @@
 
 import type { IncomingMessage } from "node:http";
 import type { ServerStandIn } from "./backend-server.js";
-import type { Deployment } from "./deployment.js";
+import type { TestDeployment } from "./deployment.js";
 
 /** Times in milliseconds of the steady clock. */
-export interface EndingServers {
+export interface CrashingServers {
     /** When servers ended under a deadly request, in order. */
-    readonly endedAt: readonly number[];
+    readonly crashedAt: readonly number[];
     /** When deadly requests came to a server, in order. */
-    readonly deadlyAt: readonly number[];
+    readonly poisonArrivedAt: readonly number[];
     /** Ends one server from outside, the next one in turn. */
-    readonly endOne: () => void;
+    readonly crashOne: () => void;
     /** No server comes back after this. */
     readonly stop: () => void;
 }
 
-export interface EndingServersOptions {
+export interface CrashingServersOptions {
     readonly count: number;
     readonly zones: readonly string[];
     /** Work of a request at a server that does not know its key, in milliseconds. */
     readonly work: number;
-    readonly isDeadly: (request: IncomingMessage) => boolean;
+    readonly isPoisonRequest: (request: IncomingMessage) => boolean;
 }
 
 /** Milliseconds that a deadly request runs until its server ends. */
@@ -40,10 +40,10 @@
 const firstBirth = 1_700_000_000_000;
 
 /** Starts the servers and records them. */
-export async function startEndingServers(
-    deployment: Deployment,
-    options: EndingServersOptions,
-): Promise<EndingServers> {
+export async function startCrashingServers(
+    deployment: TestDeployment,
+    options: CrashingServersOptions,
+): Promise<CrashingServers> {
     const endedAt: number[] = [];
     const deadlyAt: number[] = [];
     const running = new Map<string, ServerStandIn>();
@@ -57,9 +57,9 @@
     }
 
     return {
-        endedAt,
-        deadlyAt,
-        endOne() {
+        crashedAt: endedAt,
+        poisonArrivedAt: deadlyAt,
+        crashOne() {
             const ids = [...running.keys()].sort();
             turn += 1;
             end(ids[turn % ids.length]);
@@ -74,7 +74,7 @@
         const server = await deployment.addServer({ id, zone: zoneOf(id), born: firstBirth + births, port });
         server.setWork(options.work);
         server.setBehaviour(request => {
-            if (!options.isDeadly(request)) {
+            if (!options.isPoisonRequest(request)) {
                 return { kind: "serve" };
             }
             deadlyAt.push(performance.now());
--- a/packages/testing/src/standins/limiting-servers.ts
+++ b/packages/testing/src/standins/limiting-servers.ts
@@ -5,7 +5,7 @@
  * Owns the arrivals at each server; relies on the deployment for the servers.
  */
 
-import type { Deployment } from "./deployment.js";
+import type { TestDeployment } from "./deployment.js";
 
 /** One server and its limit. Times in milliseconds of the steady clock. */
 interface LimitingServer {
@@ -13,7 +13,7 @@
     /** Names a rate in all answers from now on; undefined for none. */
     readonly setLimit: (rate: number | undefined) => void;
     /** When the server began to name a limit; undefined until then. */
-    readonly namedSince: () => number | undefined;
+    readonly limitedSince: () => number | undefined;
     /** When requests came, in order. */
     readonly arrivedAt: readonly number[];
 }
@@ -39,7 +39,7 @@
 
 /** Starts the servers and records them. */
 export async function startLimitingServers(
-    deployment: Deployment,
+    deployment: TestDeployment,
     { count, slots, work, zones }: LimitingServersOptions,
 ): Promise<readonly LimitingServer[]> {
     return Promise.all(Array.from({ length: count }, (_, index) => start(`i-${index}`, zones[index % zones.length])));
@@ -56,9 +56,9 @@
         return {
             id,
             arrivedAt,
-            namedSince: () => since,
+            limitedSince: () => since,
             setLimit(rate) {
-                server.setLimit(rate === undefined ? undefined : String(rate));
+                server.setLimitHeader(rate === undefined ? undefined : String(rate));
                 since ??= performance.now();
             },
         };
@@ -66,12 +66,12 @@
 }
 
 /** The most that a server may get in the counted span by its limit. */
-export function mostAllowed(rate: number): number {
+export function maxAllowedArrivals(rate: number): number {
     return toleratedPart * rate * countedSpan / 1000 + toleratedRequests;
 }
 
 /** The most requests that came to a server in any counted span which ends later than `contact` after it named a limit. */
-export function mostInSpan({ arrivedAt, namedSince }: LimitingServer): number {
+export function maxArrivalsInSpan({ arrivedAt, limitedSince: namedSince }: LimitingServer): number {
     const since = namedSince() ?? Infinity;
     const counted = arrivedAt.filter(at => at >= since + toldAfter);
     return Math.max(
--- a/packages/testing/src/standins/metadata-store-server.ts
+++ b/packages/testing/src/standins/metadata-store-server.ts
@@ -37,7 +37,7 @@
     readonly calls: () => Readonly<Record<string, number>>;
     setFault: (fault: (call: StoreCall) => StoreFault) => void;
     /** Ends all connections, as a store that goes away does. */
-    readonly cut: () => void;
+    readonly dropConnections: () => void;
     readonly close: () => void;
 }
 
@@ -50,7 +50,7 @@
     const calls: Record<string, number> = {};
     const server: Server = createServer((request, response) => void onRequest(request, response));
     await new Promise<void>(resolve => server.listen(0, host, resolve));
-    const timer = setInterval(() => store.step(), stepInterval);
+    const timer = setInterval(() => store.endExpiredWatches(), stepInterval);
 
     return {
         address: () => `${host}:${(server.address() as AddressInfo).port}`,
@@ -58,7 +58,7 @@
         setFault: fault => {
             faultOf = fault;
         },
-        cut: () => server.closeAllConnections(),
+        dropConnections: () => server.closeAllConnections(),
         close() {
             clearInterval(timer);
             server.close();
@@ -109,7 +109,7 @@
         if (response.destroyed) {
             return;
         }
-        const era = store.era();
+        const era = store.epoch();
         response.writeHead(found.status, {
             "content-type": "application/json",
             ...era === undefined ? {} : { "store-era": String(era) },
--- a/packages/testing/src/standins/metadata-store.ts
+++ b/packages/testing/src/standins/metadata-store.ts
@@ -40,7 +40,7 @@
 }
 
 /** What a store held at one time, from which it can be restored. */
-export interface StoreCopy {
+export interface StoreSnapshot {
     readonly at: number;
     readonly kinds: ReadonlyMap<string, ReadonlyMap<string, StoredObject>>;
     readonly history: readonly HistoryEntry[];
@@ -50,14 +50,14 @@
 interface LostWrite {
     readonly kind: string;
     readonly name: string;
-    readonly again: () => void;
+    readonly replay: () => void;
 }
 
 /** A list is asked by page. */
 interface ListRequest {
     /** The page begins after this name. */
     readonly after?: string;
-    /** The answer may be as old as the last `holdBack`. */
+    /** The answer may be as old as the last `freezeStaleReads`. */
     readonly stale?: boolean;
 }
 
@@ -79,29 +79,29 @@
     readonly put: (kind: string, name: string, spec: unknown) => void;
     readonly delete: (kind: string, name: string) => void;
     /** From now on stale lists answer as of this moment. */
-    readonly holdBack: () => void;
+    readonly freezeStaleReads: () => void;
     /** Forgets the history: watches from earlier revisions get 410. */
     readonly compact: () => void;
     /** Ends the waiting watches without an answer. */
-    readonly cutWatches: () => void;
+    readonly dropWatches: () => void;
     /** Ends watches whose wait is over. */
-    readonly step: () => void;
+    readonly endExpiredWatches: () => void;
     readonly revision: () => number;
     /** What the store holds now. */
-    readonly copy: () => StoreCopy;
+    readonly takeSnapshot: () => StoreSnapshot;
     /** Comes back from a copy: what was written since is gone, revisions go on from the copy's, and the era rises by one. */
-    readonly restore: (from: StoreCopy) => void;
+    readonly restore: (from: StoreSnapshot) => void;
     /** What the operator and the servers have written last and the store no longer has so, since it came back from a copy. */
-    readonly lost: () => readonly LostWrite[];
+    readonly lostWrites: () => readonly LostWrite[];
     /** The era as the store tells it; undefined for one that tells none. */
-    readonly era: () => number | undefined;
+    readonly epoch: () => number | undefined;
 }
 
 export interface MetadataStoreOptions {
     readonly clock: Clock;
     readonly pageSize?: number;
     /** Era that it tells from the start; none if it is left out, until it is restored. */
-    readonly era?: number;
+    readonly epoch?: number;
 }
 
 interface HistoryEntry {
@@ -136,8 +136,8 @@
     let history: HistoryEntry[] = [];
     let latest = 0;
     let forgottenUpTo = 0;
-    let heldBack: StoreCopy | undefined;
-    let era = options.era;
+    let heldBack: StoreSnapshot | undefined;
+    let era = options.epoch;
 
     return {
         list,
@@ -160,11 +160,12 @@
             written.set(`${kind}/${name}`, { kind, name, spec: undefined });
             remove(kind, name);
         },
-        lost: () => [...written.values()].filter(isLost).map(write => ({ ...write, again: () => writeAgain(write) })),
-        holdBack() {
+        lostWrites: () =>
+            [...written.values()].filter(isLost).map(write => ({ ...write, replay: () => writeAgain(write) })),
+        freezeStaleReads() {
             heldBack = copy();
         },
-        copy,
+        takeSnapshot: copy,
         restore(from) {
             latest = from.at;
             history = [...from.history];
@@ -173,14 +174,14 @@
             era = (era ?? 0) + 1;
             watchers.clear();
         },
-        era: () => era,
+        epoch: () => era,
         compact() {
             history = [];
             forgottenUpTo = latest;
             endWatchers(() => true, { status: 410 });
         },
-        cutWatches: () => watchers.clear(),
-        step: () => endWatchers(watcher => clock() >= watcher.until, undefined),
+        dropWatches: () => watchers.clear(),
+        endExpiredWatches: () => endWatchers(watcher => clock() >= watcher.until, undefined),
         revision: () => latest,
     };
 
@@ -213,7 +214,7 @@
         }
     }
 
-    function copy(): StoreCopy {
+    function copy(): StoreSnapshot {
         return {
             at: latest,
             kinds: new Map([...kinds].map(([kind, objects]) => [kind, new Map(objects)])),
--- a/packages/testing/src/standins/pipelining-client.ts
+++ b/packages/testing/src/standins/pipelining-client.ts
@@ -31,7 +31,7 @@
     /** Sends bytes that are counted as no request. */
     readonly sendBytes: (bytes: string) => void;
     /** What came while no request waited for an answer. */
-    readonly surplus: () => string;
+    readonly unsolicitedBytes: () => string;
     /** False once an answer, or either side, has ended the connection. */
     readonly isOpen: () => boolean;
     /** Stops reading, so that answers pile up, and reads on. */
@@ -90,7 +90,7 @@
         sendBytes: bytes => {
             socket.write(bytes);
         },
-        surplus: () => received.toString("latin1"),
+        unsolicitedBytes: () => received.toString("latin1"),
         isOpen: () => !isClosing && !hasEnded,
         setReading: reads => {
             if (reads) {
--- a/packages/testing/src/standins/platform-objects.ts
+++ b/packages/testing/src/standins/platform-objects.ts
@@ -27,7 +27,7 @@
 }
 
 /** Where a server is recorded, and how. */
-export interface ServerPlace {
+export interface ServerRecordOptions {
     readonly service?: string;
     readonly zone?: string;
     readonly state?: "ready" | "draining";
@@ -100,7 +100,7 @@
 }
 
 /** Returns the record of a server. */
-export function serverObject(address: string, place: ServerPlace): unknown {
+export function serverObject(address: string, place: ServerRecordOptions): unknown {
     return {
         service: place.service ?? "profiles",
         address,
--- a/packages/testing/src/standins/server-answers.ts
+++ b/packages/testing/src/standins/server-answers.ts
@@ -7,8 +7,8 @@
 /** What the server does with a request. */
 export type ServerBehaviour =
     | { readonly kind: "serve"; }
-    /** Not run; `tellsLoad`: and says how many slots are taken; `restFor`: wants nothing for so long, as it stands in the header. */
-    | { readonly kind: "shed"; readonly tellsLoad?: boolean; readonly restFor?: string; }
+    /** Not run; `includesLoad`: and says how many slots are taken; `retryAfter`: wants nothing for so long, as it stands in the header. */
+    | { readonly kind: "shed"; readonly includesLoad?: boolean; readonly retryAfter?: string; }
     /** A failure of its own, after it ran. */
     | { readonly kind: "fail"; readonly status: number; }
     /** Runs, then its answer is lost with the connection. */
--- a/packages/testing/src/standins/slot-queue.ts
+++ b/packages/testing/src/standins/slot-queue.ts
@@ -9,9 +9,9 @@
     /** True when a request would find neither a slot nor a place in the queue. */
     readonly isFull: () => boolean;
     /** Resolves once the caller has a slot. */
-    readonly take: () => Promise<void>;
+    readonly acquire: () => Promise<void>;
     /** Gives a slot back; the request that waits the longest gets it. */
-    readonly giveBack: () => void;
+    readonly release: () => void;
 }
 
 /** Creates free slots and an empty queue. */
@@ -23,7 +23,7 @@
         running: () => running,
         waiting: () => waiting.length,
         isFull: () => running >= slots && waiting.length >= queueLength,
-        take() {
+        acquire() {
             if (running < slots) {
                 running += 1;
                 return Promise.resolve();
@@ -35,7 +35,7 @@
                 })
             );
         },
-        giveBack() {
+        release() {
             running -= 1;
             waiting.shift()?.();
         },
--- a/packages/testing/src/workspace.ts
+++ b/packages/testing/src/workspace.ts
@@ -4,4 +4,4 @@
 import { fileURLToPath } from "node:url";
 
 /** The root of the workspace. */
-export const workspace = resolve(dirname(fileURLToPath(import.meta.url)), "../../../..");
+export const workspaceRoot = resolve(dirname(fileURLToPath(import.meta.url)), "../../../..");
--- a/packages/testing/test/box-callers.test.ts
+++ b/packages/testing/test/box-callers.test.ts
@@ -7,15 +7,21 @@
 import { connect } from "node:net";
 import type { ServerStandIn } from "../src/standins/backend-server.js";
 import { type ClientRequest, sendRequest } from "../src/standins/client.js";
-import { type Deployment, eventually, startDeployment, type TestBox, testHost } from "../src/standins/deployment.js";
+import {
+    startTestDeployment,
+    type TestBox,
+    type TestDeployment,
+    testHost,
+    waitUntil,
+} from "../src/standins/deployment.js";
 
 describe("a box and its callers", () => {
-    let deployment: Deployment;
+    let deployment: TestDeployment;
     let box: TestBox;
     let servers: readonly ServerStandIn[];
 
     beforeEach(async () => {
-        deployment = await startDeployment();
+        deployment = await startTestDeployment();
         servers = [
             await deployment.addServer({ id: "i-1", queue: 500 }),
             await deployment.addServer({ id: "i-2", queue: 500 }),
@@ -25,13 +31,13 @@
             { name: "save", path: "/save/", kind: "unsafe", timeout: "20s" },
         ]);
         box = deployment.startBox();
-        await eventually(() => box.running.isReady(), "the box is ready");
+        await waitUntil(() => box.running.isReady(), "the box is ready");
     });
 
     afterEach(() => deployment.close());
 
     const ask = (requestId: string, options: Partial<ClientRequest> = {}) =>
-        sendRequest({ address: box.callers, host: testHost, path: "/lookup/", requestId, ...options });
+        sendRequest({ address: box.callerAddress, host: testHost, path: "/lookup/", requestId, ...options });
     const runs = () => servers.flatMap(server => server.runs);
 
     describe("many requests at once [P3] [P5]", () => {
@@ -71,7 +77,7 @@
     });
 
     describe("a request that is refused before a server is chosen", () => {
-        const lineOf = (id: string) => box.logged.findLast(line => line.includes(`request=${id} `));
+        const lineOf = (id: string) => box.logLines.findLast(line => line.includes(`request=${id} `));
 
         it("leaves a line with its id and the reason when its body is too large", async () => {
             await ask("large", { path: "/save/", method: "POST", body: "x".repeat(1_000_001) });
@@ -86,7 +92,7 @@
         it("leaves one when the box knows no configuration yet", async () => {
             deployment.storeServer.setFault(() => ({ kind: "refused", status: 503 }));
             box = deployment.startBox();
-            await eventually(async () => (await ask("early")).status === 503, "the box refuses");
+            await waitUntil(async () => (await ask("early")).status === 503, "the box refuses");
             expect(lineOf("early")).to.include("event=request.refused").and.include("refusal=notReady");
         });
     });
@@ -127,7 +133,7 @@
 
     /** Sends bytes on a connection of their own, ends it, and returns what came back. */
     function sendBytes(bytes: string | Buffer): Promise<string> {
-        const [host, port] = box.callers.split(":");
+        const [host, port] = box.callerAddress.split(":");
         return new Promise(resolve => {
             const socket = connect({ host, port: Number(port) });
             let text = "";
--- a/packages/testing/test/box-customers.test.ts
+++ b/packages/testing/test/box-customers.test.ts
@@ -6,7 +6,7 @@
 import { expect } from "chai";
 import fc from "fast-check";
 import type { ClientRequest } from "../src/standins/client.js";
-import { eventually } from "../src/standins/deployment.js";
+import { waitUntil } from "../src/standins/deployment.js";
 import type { TenantOptions } from "../src/standins/platform-objects.js";
 import { type OneBox, rules, startOneBox } from "./one-box.js";
 
@@ -34,8 +34,8 @@
             [...rules, { name: "open", path: "/open/", kind: "safe", isPublic: true }],
             customers,
         );
-        await eventually(() => world.box.logged.some(line => line.includes(`version=${version}`)), "it is in force");
-        await eventually(async () => (await ask("/lookup/")).status === 401, "the copy is confirmed");
+        await waitUntil(() => world.box.logLines.some(line => line.includes(`version=${version}`)), "it is in force");
+        await waitUntil(async () => (await ask("/lookup/")).status === 401, "the copy is confirmed");
     }
 
     const ask = (path: string, options?: Partial<ClientRequest>) => world.ask(path, options);
@@ -104,14 +104,14 @@
         await ask("/lookup/", { credential: "nobody's" });
         world.misbehave({ kind: "shed" });
         await ask("/save/", { credential: "key-of-club", method: "POST" });
-        const text = world.box.logged.join("\n");
+        const text = world.box.logLines.join("\n");
         expect(text).to.include("customer=club").and.include("refusal=unknownKey").and.include("refusal=serversFull");
         expect(text).not.to.match(/key-of|nobody's/);
     });
 
     it("does not deny a key for good while its copy is too old to know [P21]", async () => {
         world.deployment.storeServer.close();
-        await eventually(
+        await waitUntil(
             async () => (await ask("/lookup/", { credential: "nobody's" })).status === 503,
             "the copy is old",
         );
@@ -131,7 +131,7 @@
             refused.forEach(({ headers }) => expect(Number(headers["retry-after"])).to.be.within(0.001, 5));
             expect(world.runs()).to.have.length(30 - refused.length);
             expect((await ask("/lookup/", { credential: "key-of-club" })).status).to.equal(200);
-            expect(world.box.logged.join("\n")).to.match(
+            expect(world.box.logLines.join("\n")).to.match(
                 /event=request\.refused request=\S+ customer=limited refusal=quotaSpent/,
             );
         });
@@ -139,7 +139,7 @@
         it("serves again once there is room", async () => {
             await configure([...tenants, limited]);
             await askTimes(30, "key-of-limited");
-            await eventually(
+            await waitUntil(
                 async () => (await ask("/lookup/", { credential: "key-of-limited" })).status === 200,
                 "there is room",
             );
--- a/packages/testing/test/box-deadly-requests.test.ts
+++ b/packages/testing/test/box-deadly-requests.test.ts
@@ -13,14 +13,14 @@
 import { expect } from "chai";
 import { type ClientAnswer, sendRequest } from "../src/standins/client.js";
 import {
-    type Deployment,
-    eventually,
     pause,
-    startDeployment,
+    startTestDeployment,
     type TestBox,
+    type TestDeployment,
     testHost,
+    waitUntil,
 } from "../src/standins/deployment.js";
-import { type EndingServers, startEndingServers } from "../src/standins/ending-servers.js";
+import { type CrashingServers, startCrashingServers } from "../src/standins/ending-servers.js";
 
 /** Milliseconds after the third end from which boxes that are in touch keep the request from servers. */
 const contact = 3000;
@@ -36,19 +36,19 @@
 const otherCallers = 12;
 
 describe("boxes and a request that ends the servers that run it [P26]", () => {
-    let deployment: Deployment;
+    let deployment: TestDeployment;
     let boxes: readonly TestBox[];
-    let servers: EndingServers;
+    let servers: CrashingServers;
     let requests: number;
 
     beforeEach(async () => {
         requests = 0;
-        deployment = await startDeployment();
-        servers = await startEndingServers(deployment, {
+        deployment = await startTestDeployment();
+        servers = await startCrashingServers(deployment, {
             count: 16,
             zones: ["north-a", "north-b", "south-a"],
             work: 60,
-            isDeadly: ({ headers, url }) =>
+            isPoisonRequest: ({ headers, url }) =>
                 url === "/look/deadly"
                 || url === "/save/deadly" && headers["content-length"] === String(deadlyBody.length),
         });
@@ -69,7 +69,7 @@
         const method = body === undefined ? "GET" : "POST";
         const affinityKey = path;
         const requestId = `r-${requests}`;
-        return sendRequest({ address: box.callers, host: testHost, path, method, body, requestId, affinityKey });
+        return sendRequest({ address: box.callerAddress, host: testHost, path, method, body, requestId, affinityKey });
     }
 
     /** Sends the deadly request again and again while others ask for other things; returns the share of these that is served. */
@@ -92,21 +92,21 @@
     }
 
     function laterSends(): number {
-        const third = servers.endedAt.at(2) ?? Infinity;
-        return servers.deadlyAt.filter(at => at > third + contact).length;
+        const third = servers.crashedAt.at(2) ?? Infinity;
+        return servers.poisonArrivedAt.filter(at => at > third + contact).length;
     }
 
     const inTurn = (index: number) => boxes[index % boxes.length];
 
     it("keep a read from servers once three have ended under it", async () => {
         await play(index => ask(inTurn(index), "/look/deadly"));
-        expect(servers.endedAt.length).to.be.at.least(3);
+        expect(servers.crashedAt.length).to.be.at.least(3);
         expect(laterSends()).to.be.at.most(mostLaterSends);
     });
 
     it("keep it from servers if all repeats come to one box", async () => {
         await play(() => ask(boxes[0], "/look/deadly"));
-        expect(servers.endedAt.length).to.be.at.least(3);
+        expect(servers.crashedAt.length).to.be.at.least(3);
         expect(laterSends()).to.be.at.most(mostLaterSends);
     });
 
@@ -117,13 +117,13 @@
             harmless = await ask(inTurn(index), "/save/deadly", "another climb");
             return answer;
         });
-        expect(servers.endedAt.length).to.be.at.least(3);
+        expect(servers.crashedAt.length).to.be.at.least(3);
         expect(laterSends()).to.be.at.most(mostLaterSends);
         expect(harmless?.status).to.equal(200);
     });
 
     it("serve a popular read while servers that have it end by themselves", async () => {
-        const ending = setInterval(servers.endOne, 600);
+        const ending = setInterval(servers.crashOne, 600);
         const popular: ClientAnswer[] = [];
         const asking = setInterval(() => {
             void ask(inTurn(requests), "/look/popular").then(answer => popular.push(answer));
@@ -131,7 +131,7 @@
         await play(index => ask(inTurn(index), "/look/other"));
         clearInterval(asking);
         clearInterval(ending);
-        await eventually(() => popular.length > 250, "most are answered");
+        await waitUntil(() => popular.length > 250, "most are answered");
         expect(popular.filter(({ status }) => status !== 200)).to.deep.equal([]);
     });
 });
--- a/packages/testing/test/box-limits.test.ts
+++ b/packages/testing/test/box-limits.test.ts
@@ -5,8 +5,8 @@
 import { milliseconds } from "@chalkdale/kernel";
 import { expect } from "chai";
 import { type ClientAnswer, sendRequest } from "../src/standins/client.js";
-import { type Deployment, pause, startDeployment, type TestBox, testHost } from "../src/standins/deployment.js";
-import { mostAllowed, mostInSpan, startLimitingServers } from "../src/standins/limiting-servers.js";
+import { pause, startTestDeployment, type TestBox, type TestDeployment, testHost } from "../src/standins/deployment.js";
+import { maxAllowedArrivals, maxArrivalsInSpan, startLimitingServers } from "../src/standins/limiting-servers.js";
 
 const callers = 16;
 const keys = 40;
@@ -17,12 +17,12 @@
 const zones = ["north-a", "north-b", "south-a"];
 
 describe("boxes and servers that name the rate which they take [P27]", () => {
-    let deployment: Deployment;
+    let deployment: TestDeployment;
     let boxes: readonly TestBox[];
     let servers: Awaited<ReturnType<typeof startLimitingServers>>;
 
     beforeEach(async () => {
-        deployment = await startDeployment();
+        deployment = await startTestDeployment();
         servers = await startLimitingServers(deployment, { count: 12, zones, work: 30 });
         deployment.configure(2, [
             { name: "look", path: "/look/", kind: "safe" },
@@ -49,7 +49,7 @@
     function ask(caller: number, count: number): Promise<ClientAnswer> {
         const isWrite = count % writeEvery === 0;
         return sendRequest({
-            address: boxes[(caller + count) % boxes.length].callers,
+            address: boxes[(caller + count) % boxes.length].callerAddress,
             host: testHost,
             path: isWrite ? "/save/" : "/look/",
             method: isWrite ? "POST" : "GET",
@@ -67,7 +67,7 @@
         const limited = servers.slice(0, 3);
         limited.forEach(server => server.setLimit(1.5));
         const answers = await play(9000, 20);
-        expect(Math.max(...limited.map(mostInSpan))).to.be.within(1, mostAllowed(1.5));
+        expect(Math.max(...limited.map(maxArrivalsInSpan))).to.be.within(1, maxAllowedArrivals(1.5));
         expect(servedShare(answers)).to.be.greaterThan(0.99);
     });
 
@@ -76,7 +76,7 @@
         servers.forEach(server => server.setLimit(5));
         const startedAt = performance.now();
         const answers = await play(9000, 40);
-        expect(Math.max(...servers.map(mostInSpan))).to.be.at.most(mostAllowed(5));
+        expect(Math.max(...servers.map(maxArrivalsInSpan))).to.be.at.most(maxAllowedArrivals(5));
         const served = answers.filter(({ status }) => status === 200).length;
         expect(served / ((performance.now() - startedAt) / 1000)).to.be.greaterThan(12 * 5 * usedPart);
         expect(new Set(answers.map(({ status }) => status))).to.deep.equal(new Set([200, 503]));
--- a/packages/testing/test/box-lives.test.ts
+++ b/packages/testing/test/box-lives.test.ts
@@ -6,13 +6,19 @@
 import { expect } from "chai";
 import type { ServerStandIn } from "../src/standins/backend-server.js";
 import { sendRequest } from "../src/standins/client.js";
-import { type Deployment, eventually, startDeployment, type TestBox, testHost } from "../src/standins/deployment.js";
-import { serverObject, type ServerPlace } from "../src/standins/platform-objects.js";
+import {
+    startTestDeployment,
+    type TestBox,
+    type TestDeployment,
+    testHost,
+    waitUntil,
+} from "../src/standins/deployment.js";
+import { serverObject, type ServerRecordOptions } from "../src/standins/platform-objects.js";
 
 const firstBirth = 1_700_000_000_000;
 
 describe("a box and the lives of a server", () => {
-    let deployment: Deployment;
+    let deployment: TestDeployment;
     let box: TestBox;
     let first: ServerStandIn;
     let second: ServerStandIn;
@@ -20,7 +26,7 @@
 
     beforeEach(async () => {
         requests = 0;
-        deployment = await startDeployment();
+        deployment = await startTestDeployment();
         first = await deployment.addServer({ id: "i-1", born: firstBirth });
         second = await deployment.addServer({ id: "i-2", born: firstBirth });
         deployment.configure(2, [
@@ -28,19 +34,20 @@
             { name: "save", path: "/save/", kind: "unsafe" },
         ]);
         box = deployment.startBox();
-        await eventually(() => box.running.isReady(), "the box is ready");
+        await waitUntil(() => box.running.isReady(), "the box is ready");
     });
 
     afterEach(() => deployment.close());
 
-    const logged = (text: string) => eventually(() => box.logged.some(line => line.includes(text)), text);
-    const record = (server: ServerStandIn, place: ServerPlace) => deployment.recordServer(server, place);
+    const logged = (text: string) => waitUntil(() => box.logLines.some(line => line.includes(text)), text);
+    const record = (server: ServerStandIn, place: ServerRecordOptions) => deployment.writeServerRecord(server, place);
 
     async function ask(path = "/lookup/", body?: string): Promise<number> {
         requests += 1;
         const method = body === undefined ? "GET" : "POST";
         const requestId = `r-${requests}`;
-        return (await sendRequest({ address: box.callers, host: testHost, path, method, body, requestId })).status;
+        return (await sendRequest({ address: box.callerAddress, host: testHost, path, method, body, requestId }))
+            .status;
     }
 
     async function askOften(): Promise<void> {
@@ -100,6 +107,6 @@
         await askOften();
         expect([first.runs.length, second.runs.length >= 12]).to.deep.equal([runsBefore, true]);
         record(first, { born: firstBirth });
-        await eventually(async () => await ask() === 200 && first.runs.length > runsBefore, "i-1 is used again");
+        await waitUntil(async () => await ask() === 200 && first.runs.length > runsBefore, "i-1 is used again");
     });
 });
--- a/packages/testing/test/box-pipelining.test.ts
+++ b/packages/testing/test/box-pipelining.test.ts
@@ -7,7 +7,13 @@
 import { expect } from "chai";
 import type { ServerStandIn } from "../src/standins/backend-server.js";
 import { type ClientAnswer, sendRequest } from "../src/standins/client.js";
-import { type Deployment, eventually, startDeployment, type TestBox, testHost } from "../src/standins/deployment.js";
+import {
+    startTestDeployment,
+    type TestBox,
+    type TestDeployment,
+    testHost,
+    waitUntil,
+} from "../src/standins/deployment.js";
 import {
     openPipeline,
     type PipelinedOutcome,
@@ -17,14 +23,14 @@
 import type { ServerBehaviour } from "../src/standins/server-answers.js";
 
 describe("a box and a caller that pipelines", () => {
-    let deployment: Deployment;
+    let deployment: TestDeployment;
     let box: TestBox;
     let slow: ServerStandIn;
     let fast: ServerStandIn;
     let connection: PipeliningConnection;
 
     beforeEach(async () => {
-        deployment = await startDeployment();
+        deployment = await startTestDeployment();
         slow = await deployment.addServer({ id: "i-slow", service: "slow", slots: 100, queue: 500 });
         fast = await deployment.addServer({ id: "i-fast", service: "fast", slots: 100, queue: 500 });
         slow.setWork(150);
@@ -35,8 +41,8 @@
             { name: "save", path: "/save/", kind: "unsafe", service: "fast", timeout: "20s" },
         ]);
         box = deployment.startBox();
-        await eventually(() => box.running.isReady(), "the box is ready");
-        connection = openPipeline(box.callers);
+        await waitUntil(() => box.running.isReady(), "the box is ready");
+        connection = openPipeline(box.callerAddress);
     });
 
     afterEach(async () => {
@@ -80,7 +86,7 @@
             const outcomes = send(request("/slow/", "1"), request("/fast/", "2"), request("/slow/", "3"));
             let answered = 0;
             outcomes.forEach(outcome => void outcome.then(() => answered++));
-            await eventually(() => slow.runs.length === 2 && fast.runs.length === 1, "all run");
+            await waitUntil(() => slow.runs.length === 2 && fast.runs.length === 1, "all run");
             expect(answered).to.equal(0);
             for (const [index, outcome] of outcomes.entries()) {
                 const answer = await expectServed(outcome, String(index + 1));
@@ -110,9 +116,14 @@
             slow.setWork(15_000);
             const ids = Array.from({ length: 60 }, (_, index) => `b-${index}`);
             void connection.send(ids.map(id => request("/slow/", id)));
-            await eventually(() => slow.runs.length === 8, "as many as may are in progress");
+            await waitUntil(() => slow.runs.length === 8, "as many as may are in progress");
             for (let round = 0; round < 5; round++) {
-                const other = { address: box.callers, host: testHost, path: "/fast/", requestId: `other-${round}` };
+                const other = {
+                    address: box.callerAddress,
+                    host: testHost,
+                    path: "/fast/",
+                    requestId: `other-${round}`,
+                };
                 expect((await sendRequest(other)).status).to.equal(200);
             }
             expect(idsOf(slow)).to.deep.equal(ids.slice(0, 8));
@@ -130,9 +141,9 @@
             const outcomes = connection.send(Array.from({ length: 40 }, (_, index) => request("/slow/", `m-${index}`)));
             let answered = 0;
             outcomes.forEach(outcome => void outcome.then(() => answered++));
-            await eventually(() => slow.runs.length > 0, "some run");
+            await waitUntil(() => slow.runs.length > 0, "some run");
             const other = await sendRequest({
-                address: box.callers,
+                address: box.callerAddress,
                 host: testHost,
                 path: "/slow/",
                 requestId: "other",
@@ -239,11 +250,11 @@
             it(`by a ${by} ends all of its requests, and the box has none in flight`, async () => {
                 slow.setWork(15_000);
                 void send(...["1", "2", "3", "4"].map(id => request("/slow/", id)));
-                await eventually(() => slow.runs.length === 4, "all run");
+                await waitUntil(() => slow.runs.length === 4, "all run");
                 connection.leave(by);
-                await eventually(() => slow.abandoned() === 4, "the work has ended");
+                await waitUntil(() => slow.abortedRequests() === 4, "the work has ended");
                 await box.running.stop();
-                expect(box.logged.find(line => line.includes("event=stop.leaving"))).to.include("inFlight=0");
+                expect(box.logLines.find(line => line.includes("event=stop.leaving"))).to.include("inFlight=0");
             });
         }
     });
@@ -256,10 +267,10 @@
                 slow.setWork(15_000);
                 void send(request("/slow/", "1"));
                 connection.sendBytes(tunnel);
-                await eventually(() => slow.runs.length === 1, "it runs");
+                await waitUntil(() => slow.runs.length === 1, "it runs");
                 connection.leave(by);
-                await eventually(() => slow.abandoned() === 1, "the work has ended");
-                const other = { address: box.callers, host: testHost, path: "/fast/", requestId: "other" };
+                await waitUntil(() => slow.abortedRequests() === 1, "the work has ended");
+                const other = { address: box.callerAddress, host: testHost, path: "/fast/", requestId: "other" };
                 expect((await sendRequest(other)).status).to.equal(200);
             });
         }
@@ -311,7 +322,7 @@
     describe("a planned stop [P7]", () => {
         it("answers all that is in progress, and closes with the last answer", async () => {
             const outcomes = send(...["1", "2", "3"].map(id => request("/slow/", id)));
-            await eventually(() => slow.runs.length === 3, "all run");
+            await waitUntil(() => slow.runs.length === 3, "all run");
             const stopped = box.running.stop();
             const closes: unknown[] = [];
             for (const [index, outcome] of outcomes.entries()) {
@@ -320,12 +331,12 @@
             }
             expect(closes).to.deep.equal(["keep-alive", "keep-alive", "close"]);
             await stopped;
-            expect(box.logged.find(line => line.includes("event=stop.ended"))).to.include("inFlight=0");
+            expect(box.logLines.find(line => line.includes("event=stop.ended"))).to.include("inFlight=0");
         });
 
         it("passes on nothing that comes behind what is in progress", async () => {
             const [first] = send(request("/slow/", "1"));
-            await eventually(() => slow.runs.length === 1, "it runs");
+            await waitUntil(() => slow.runs.length === 1, "it runs");
             const stopped = box.running.stop();
             const behind = send(request("/fast/", "2"), request("/save/", "3", { method: "POST", body: "3" }));
             await expectServed(first, "1");
@@ -361,7 +372,9 @@
                 await expectServed(outcomes[0], "1");
                 await expectServed(outcomes[1], "2");
                 await connection.ended;
-                expect(connection.surplus()).to.match(/^HTTP\/1\.1 400 [^\r]*\r\n/).and.include("Connection: close");
+                expect(connection.unsolicitedBytes()).to.match(/^HTTP\/1\.1 400 [^\r]*\r\n/).and.include(
+                    "Connection: close",
+                );
                 expect(fast.runs).to.deep.equal([]);
             });
         }
@@ -379,7 +392,7 @@
             const random = createSeededRandom(8);
             slow.setWork(5);
             for (let round = 0; round < 40; round++) {
-                const own = openPipeline(box.callers);
+                const own = openPipeline(box.callerAddress);
                 const bytes = Buffer.from(`POST /save/ HTTP/1.1\r\nHost: ${testHost}\r\nContent-Length: 4\r\n\r\nbody`);
                 for (let change = 0; change < 4; change++) {
                     bytes[Math.floor(random() * bytes.length)] = Math.floor(random() * 128);
--- a/packages/testing/test/box-program.test.ts
+++ b/packages/testing/test/box-program.test.ts
@@ -9,10 +9,10 @@
 import { join, resolve } from "node:path";
 import { createBoxProcess } from "../src/soak/box-process.js";
 import { sendRequest } from "../src/standins/client.js";
-import { eventually, startDeployment, testHost } from "../src/standins/deployment.js";
-import { workspace } from "../src/workspace.js";
+import { startTestDeployment, testHost, waitUntil } from "../src/standins/deployment.js";
+import { workspaceRoot } from "../src/workspace.js";
 
-const program = resolve(workspace, "platform/dist/src/main.js");
+const program = resolve(workspaceRoot, "platform/dist/src/main.js");
 
 function run(settings: string | undefined): Promise<{ status: number | null; output: string; }> {
     return new Promise(done => {
@@ -54,7 +54,7 @@
     });
 
     it("serves on while nobody reads its log", async () => {
-        const deployment = await startDeployment();
+        const deployment = await startTestDeployment();
         await deployment.addServer({ id: "i-1" });
         deployment.configure(2, [{ name: "lookup", path: "/lookup/", kind: "safe" }]);
         const box = createBoxProcess({
@@ -72,11 +72,12 @@
         box.start();
         cleanUps.push(async () => {
             box.signal("SIGKILL");
-            await box.ended();
+            await box.waitForExit();
             await deployment.close();
         });
-        const ask = (path: string) => sendRequest({ address: box.callers, host: testHost, path, requestId: "p-1" });
-        await eventually(async () => (await ask("/lookup/")).status === 200, "it serves");
+        const ask = (path: string) =>
+            sendRequest({ address: box.callerAddress, host: testHost, path, requestId: "p-1" });
+        await waitUntil(async () => (await ask("/lookup/")).status === 200, "it serves");
         // Each line names the path, so that the lines of one second fill the pipe.
         const longPath = `/nowhere/${"x".repeat(60_000)}`;
         for (let count = 0; count < 20; count++) {
--- a/packages/testing/test/box-requests.test.ts
+++ b/packages/testing/test/box-requests.test.ts
@@ -9,12 +9,12 @@
 import { connect } from "node:net";
 import type { ServerStandIn } from "../src/standins/backend-server.js";
 import { createClient, lookUp, sendRequest } from "../src/standins/client.js";
-import { type Deployment, eventually, type TestBox, testHost } from "../src/standins/deployment.js";
+import { type TestBox, type TestDeployment, testHost, waitUntil } from "../src/standins/deployment.js";
 import { type OneBox, rules, startOneBox } from "./one-box.js";
 
 describe("a box on the users' platform", () => {
     let world: OneBox;
-    let deployment: Deployment;
+    let deployment: TestDeployment;
     let box: TestBox;
     let first: ServerStandIn;
     let second: ServerStandIn;
@@ -93,7 +93,7 @@
         });
 
         it("ends a request whose body does not come, as not run [P13]", async () => {
-            const socket = connect(Number(box.callers.split(":")[1]), "127.0.0.1");
+            const socket = connect(Number(box.callerAddress.split(":")[1]), "127.0.0.1");
             const head =
                 `POST /brief/ HTTP/1.1\r\nHost: ${testHost}\r\nRequest-Id: b-1\r\nContent-Length: 9\r\n\r\npart`;
             socket.write(head);
@@ -106,8 +106,11 @@
         it("ends the work at the server when the client leaves, long before the route's limit [P12]", async () => {
             first.setWork(60_000);
             second.setWork(60_000);
-            await ask("/patient/", { leaveAfterMs: 120 });
-            await eventually(() => first.abandoned() + second.abandoned() === 1, "the server's connection is closed");
+            await ask("/patient/", { disconnectAfterMs: 120 });
+            await waitUntil(
+                () => first.abortedRequests() + second.abortedRequests() === 1,
+                "the server's connection is closed",
+            );
         });
     });
 
@@ -115,7 +118,7 @@
         it("is divided between the parts of a split by weight [P20]", async () => {
             const split = [{ service: "profiles", weight: 75 }, { service: "packs", weight: 25 }];
             deployment.configure(3, [{ ...rules[0], split }]);
-            await eventually(() => box.logged.some(line => line.includes("version=3")), "the version is in force");
+            await waitUntil(() => box.logLines.some(line => line.includes("version=3")), "the version is in force");
             for (let count = 0; count < 20; count++) {
                 await ask("/lookup/");
             }
@@ -124,13 +127,13 @@
 
         it("that is older, or can't be understood, leaves the last one in force [P8]", async () => {
             deployment.configure(9, [{ ...rules[0], path: "/new/" }]);
-            await eventually(() => box.logged.some(line => line.includes("version=9")), "the version is in force");
+            await waitUntil(() => box.logLines.some(line => line.includes("version=9")), "the version is in force");
             deployment.store.put("config", "main", { version: "0000000a", listeners: "nonsense" });
             deployment.configure(3, rules);
             deployment.store.put("evacuations", "north-b", {});
-            await eventually(() => box.logged.some(line => line.includes("closed=north-b")), "the box has read on");
-            await eventually(
-                () => box.logged.some(line => line.includes("event=object.unreadable kind=configuration")),
+            await waitUntil(() => box.logLines.some(line => line.includes("closed=north-b")), "the box has read on");
+            await waitUntil(
+                () => box.logLines.some(line => line.includes("event=object.unreadable kind=configuration")),
                 "the box tells",
             );
             expect((await ask("/new/")).status).to.equal(200);
@@ -140,11 +143,11 @@
 
     describe("callers who ask where to go", () => {
         it("are told the box, and for how long", async () => {
-            const found = await lookUp(box.directory, { name: testHost, region: "north", zone: "north-a" });
-            expect(found).to.deep.equal({ status: 200, addresses: [box.callers], ttl: "2000ms" });
+            const found = await lookUp(box.directoryAddress, { name: testHost, region: "north", zone: "north-a" });
+            expect(found).to.deep.equal({ status: 200, addresses: [box.callerAddress], ttl: "2000ms" });
             expect(
                 (await sendRequest({
-                    address: box.readiness,
+                    address: box.readinessAddress,
                     host: "ready",
                     path: "/v1/readiness",
                     requestId: "ready",
@@ -157,7 +160,7 @@
         for (const pooled of [true, false]) {
             it(`are served over ${pooled ? "kept" : "new"} connections, and retry what was refused`, async () => {
                 const client = createClient({
-                    directories: [box.directory],
+                    directories: [box.directoryAddress],
                     region: "north",
                     zone: "north-a",
                     pooled,
@@ -179,9 +182,9 @@
             first.setWork(200);
             second.setWork(200);
             const inFlight = ask("/lookup/");
-            await eventually(() => runs().length === 1, "the request runs");
+            await waitUntil(() => runs().length === 1, "the request runs");
             const stopped = box.running.stop();
-            const found = await lookUp(box.directory, { name: testHost, region: "north", zone: "north-a" });
+            const found = await lookUp(box.directoryAddress, { name: testHost, region: "north", zone: "north-a" });
             expect(found.addresses).to.deep.equal([]);
             const late = await ask("/lookup/");
             expect(late.status).to.equal(200);
--- a/packages/testing/test/box-rollouts.test.ts
+++ b/packages/testing/test/box-rollouts.test.ts
@@ -5,7 +5,7 @@
 
 import { milliseconds } from "@chalkdale/kernel";
 import { expect } from "chai";
-import { eventually, pause } from "../src/standins/deployment.js";
+import { pause, waitUntil } from "../src/standins/deployment.js";
 import type { StoreFault } from "../src/standins/metadata-store-server.js";
 import { exposure, type RolloutWorld, settled, startRolloutWorld } from "./rollout-world.js";
 
@@ -33,8 +33,8 @@
     const onStatusWrites = (fault: StoreFault) =>
         world.deployment.storeServer.setFault(call => call.isStatus ? fault : { kind: "none" });
     const logged = (event: string) =>
-        world.boxes.flatMap(box => box.logged.filter(line => line.includes(`event=${event}`)));
-    const trialRuns = (count = 5) => eventually(() => world.targetRuns() >= count, "the version is tried");
+        world.boxes.flatMap(box => box.logLines.filter(line => line.includes(`event=${event}`)));
+    const trialRuns = (count = 5) => waitUntil(() => world.targetRuns() >= count, "the version is tried");
 
     describe("of a good version", () => {
         it("completes, and all requests move without one lost [P25]", async () => {
@@ -92,7 +92,7 @@
             world.order("12s");
             await trialRuns();
             const decider = world.boxes.findIndex(box =>
-                box.logged.some(line => line.includes("event=rollout.deciding"))
+                box.logLines.some(line => line.includes("event=rollout.deciding"))
             );
             const [leaving] = world.boxes.splice(decider, 1);
             await leaving.running.stop();
@@ -159,9 +159,9 @@
             world.order("14s");
             await trialRuns();
             world.deployment.storeServer.setFault(() => ({ kind: "refused", status: 503 }));
-            world.deployment.store.cutWatches();
+            world.deployment.store.dropWatches();
             failTarget();
-            await eventually(() => logged("rollout.decided").length >= world.boxes.length, "all boxes heard");
+            await waitUntil(() => logged("rollout.decided").length >= world.boxes.length, "all boxes heard");
             await expectStopped(before);
             expect(world.state()).to.equal("running");
             world.deployment.storeServer.setFault(() => ({ kind: "none" }));
@@ -186,8 +186,8 @@
             world.order("20s");
             await trialRuns();
             const third = await world.deployment.addServer({ id: "i-third", version: "v3", slots: 8 });
-            world.deployment.orderVersion("profiles", "v3", "8s");
-            await eventually(() => third.runs.length > 0, "the newer version is tried");
+            world.deployment.orderRollout("profiles", "v3", "8s");
+            await waitUntil(() => third.runs.length > 0, "the newer version is tried");
             const runs = world.targetRuns();
             await world.written("completed");
             expect(world.targetRuns()).to.equal(runs);
@@ -198,7 +198,7 @@
             world.order("20s");
             await trialRuns();
             world.deployment.store.delete("rollouts", "profiles");
-            await eventually(() => logged("rollout.gone").length >= world.boxes.length, "all boxes know");
+            await waitUntil(() => logged("rollout.gone").length >= world.boxes.length, "all boxes know");
             await settled();
             const runs = world.targetRuns();
             await pause(milliseconds(700));
--- a/packages/testing/test/box-server-notices.test.ts
+++ b/packages/testing/test/box-server-notices.test.ts
@@ -7,7 +7,7 @@
 import { expect } from "chai";
 import type { ServerStandIn } from "../src/standins/backend-server.js";
 import { type ClientAnswer, sendRequest } from "../src/standins/client.js";
-import { type Deployment, pause, startDeployment, type TestBox, testHost } from "../src/standins/deployment.js";
+import { pause, startTestDeployment, type TestBox, type TestDeployment, testHost } from "../src/standins/deployment.js";
 
 const callers = 16;
 const keys = 40;
@@ -45,12 +45,12 @@
 }
 
 describe("boxes and what servers say of themselves in their answers", () => {
-    let deployment: Deployment;
+    let deployment: TestDeployment;
     let boxes: readonly TestBox[];
     let servers: readonly ServerStandIn[];
 
     beforeEach(async () => {
-        deployment = await startDeployment();
+        deployment = await startTestDeployment();
         servers = await Promise.all(Array.from({ length: serverCount }, async (_, index) => {
             const server = await deployment.addServer({ id: `i-${index}`, zone: zones[index % zones.length] });
             server.setWork(30);
@@ -84,7 +84,7 @@
         const box = (caller + count) % boxes.length;
         const sentAt = performance.now();
         const answer = await sendRequest({
-            address: boxes[box].callers,
+            address: boxes[box].callerAddress,
             host: testHost,
             path: isWrite ? "/save/" : "/look/",
             method: isWrite ? "POST" : "GET",
@@ -116,7 +116,7 @@
                 return { kind: "serve" };
             }
             asked.push(arrival);
-            return { kind: "shed", tellsLoad: true, restFor: String(rest / 1000) };
+            return { kind: "shed", includesLoad: true, retryAfter: String(rest / 1000) };
         });
         return { asked, arrived };
     }
@@ -160,7 +160,7 @@
         it("send nothing more to servers that say so, though their records do not", async () => {
             await play(1500);
             const leaving = servers.slice(0, 3);
-            leaving.forEach(server => server.setSaysLeaving("1"));
+            leaving.forEach(server => server.setLeavingHeader("1"));
             const played = await play(8000);
             expect(leaving.map(server => lateRequests(played, server).length)).to.deep.equal([0, 0, 0]);
             expect(servedShare(played)).to.be.greaterThan(0.99);
--- a/packages/testing/test/box-servers.test.ts
+++ b/packages/testing/test/box-servers.test.ts
@@ -6,14 +6,14 @@
 import { milliseconds } from "@chalkdale/kernel";
 import { expect } from "chai";
 import type { ServerStandIn } from "../src/standins/backend-server.js";
-import { type Deployment, eventually, pause, type TestBox, testHost } from "../src/standins/deployment.js";
+import { pause, type TestBox, type TestDeployment, testHost, waitUntil } from "../src/standins/deployment.js";
 import type { ServerBehaviour } from "../src/standins/server-answers.js";
 import { type OneBox, rules, startOneBox } from "./one-box.js";
 import { connectRaw } from "./raw-caller.js";
 
 describe("a box and its servers", () => {
     let world: OneBox;
-    let deployment: Deployment;
+    let deployment: TestDeployment;
     let box: TestBox;
     let first: ServerStandIn;
     let second: ServerStandIn;
@@ -127,7 +127,7 @@
 
         /** Another service's server takes the address of the one that has the request. */
         const replaceSilentServer = async (ports: ReadonlyMap<ServerStandIn, number>) => {
-            await eventually(() => runs().length === 1, "the request runs");
+            await waitUntil(() => runs().length === 1, "the request runs");
             const silent = first.runs.length === 1 ? first : second;
             await deployment.addServer({ id: "i-9", service: "packs", port: ports.get(silent) });
         };
@@ -160,7 +160,7 @@
 
     describe("a server that is overdue while it goes on to take connections", () => {
         const loseFirstAnswer = () => misbehave({ kind: "loseAnswer", by: "silence" }, 1);
-        const hedged = () => box.logged.filter(line => line.includes("event=attempt.hedged")).length;
+        const hedged = () => box.logLines.filter(line => line.includes("event=attempt.hedged")).length;
 
         it("is left waiting beside a second one, which answers long before the deadline", async () => {
             loseFirstAnswer();
@@ -174,11 +174,11 @@
             first.setWork(60_000);
             second.setWork(60_000);
             const slow = ask("/patient/", { deadlineMs: 60_000 });
-            await eventually(() => runs().length === 1, "the first server has the request");
+            await waitUntil(() => runs().length === 1, "the first server has the request");
             const other = first.runs.length === 1 ? second : first;
             other.setWork(0);
             expect((await slow).status).to.equal(200);
-            await eventually(() => first.abandoned() + second.abandoned() === 1, "the work is abandoned");
+            await waitUntil(() => first.abortedRequests() + second.abortedRequests() === 1, "the work is abandoned");
         });
 
         /** The first request breaks off once its work is done; what comes of those after it is given. */
@@ -211,9 +211,12 @@
             second.setWork(60_000);
             const caller = await connectRaw(box);
             caller.send(`GET /patient/ HTTP/1.1\r\nHost: ${testHost}\r\nDeadline-Ms: 60000\r\n\r\n`);
-            await eventually(() => runs().length === 2, "both have the request");
+            await waitUntil(() => runs().length === 2, "both have the request");
             caller.socket.destroy();
-            await eventually(() => first.abandoned() + second.abandoned() === 2, "the work of both is abandoned");
+            await waitUntil(
+                () => first.abortedRequests() + second.abortedRequests() === 2,
+                "the work of both is abandoned",
+            );
         });
 
         it("keeps a request that may not run twice to itself [P5]", async () => {
@@ -258,7 +261,7 @@
                 expect((await save()).status).to.equal(200);
                 expect((await save()).status).to.equal(200);
                 expect(runs()).to.have.length(before[0] + before[1] + 2);
-                expect(box.logged.filter(line => line.includes("event=attempt.failed")).length).to.be.lessThan(4);
+                expect(box.logLines.filter(line => line.includes("event=attempt.failed")).length).to.be.lessThan(4);
             });
         }
     });
@@ -305,14 +308,14 @@
         it("are asked once more before one that does not know the key [P5]", async () => {
             await ask("/lookup/");
             const [{ headers }] = runs();
-            misbehave({ kind: "shed", tellsLoad: true }, 1);
+            misbehave({ kind: "shed", includesLoad: true }, 1);
             expect((await ask("/lookup/")).status).to.equal(200);
             expect(runs().map(run => run.warm)).to.deep.equal([false, true]);
             expect(runs()[1].headers["expect-instance"]).to.equal(headers["expect-instance"]);
         });
 
         it("let callers come back at once", async () => {
-            misbehave({ kind: "shed", tellsLoad: true });
+            misbehave({ kind: "shed", includesLoad: true });
             const answer = await ask("/lookup/");
             expect(answer.status).to.equal(503);
             expect(Number(answer.headers["retry-after"])).to.be.lessThan(0.1);
@@ -321,10 +324,10 @@
 
     describe("servers that leave", () => {
         it("get nothing once they are draining, nor once their record is gone [P6]", async () => {
-            deployment.recordServer(first, { state: "draining" });
-            await eventually(() => box.logged.some(line => line.includes("draining=i-1")), "the box knows");
+            deployment.writeServerRecord(first, { state: "draining" });
+            await waitUntil(() => box.logLines.some(line => line.includes("draining=i-1")), "the box knows");
             deployment.store.delete("servers", "i-2");
-            await eventually(() => box.logged.some(line => line.includes("removed=i-2")), "the box knows");
+            await waitUntil(() => box.logLines.some(line => line.includes("removed=i-2")), "the box knows");
             expect((await ask("/lookup/")).status).to.equal(503);
             expect(runs()).to.have.length(0);
         });
@@ -332,16 +335,16 @@
         it("get nothing while their zone is evacuated, and again when it is taken back [P16]", async () => {
             deployment.store.put("evacuations", "north-a", {});
             deployment.store.put("evacuations", "south-a", {});
-            await eventually(() => box.logged.some(line => line.includes("closed=north-a,south-a")), "the box knows");
+            await waitUntil(() => box.logLines.some(line => line.includes("closed=north-a,south-a")), "the box knows");
             expect((await ask("/lookup/")).status).to.equal(503);
             deployment.store.delete("evacuations", "south-a");
-            await eventually(async () => (await ask("/lookup/")).status === 200, "the zone serves again");
+            await waitUntil(async () => (await ask("/lookup/")).status === 200, "the zone serves again");
             expect(first.runs).to.have.length(0);
         });
 
         it("outside the homes of a route get nothing [P15]", async () => {
             deployment.configure(3, [{ ...rules[0], homeRegions: ["south"] }]);
-            await eventually(() => box.logged.some(line => line.includes("version=3")), "the version is in force");
+            await waitUntil(() => box.logLines.some(line => line.includes("version=3")), "the version is in force");
             for (let key = 0; key < 12; key++) {
                 await ask("/lookup/", { affinityKey: `k-${key}` });
             }
@@ -354,7 +357,7 @@
         it("because they rested are not used for the next request", async () => {
             const brief = await deployment.addServer({ id: "i-8", service: "packs", idleMs: 1000 });
             deployment.store.delete("servers", "i-3");
-            await eventually(() => box.logged.some(line => line.includes("removed=i-3")), "the box knows");
+            await waitUntil(() => box.logLines.some(line => line.includes("removed=i-3")), "the box knows");
             await ask("/pack/");
             await pause(milliseconds(1300));
             expect((await ask("/pack/")).status).to.equal(200);
@@ -363,8 +366,8 @@
 
         it("or forget while they rest cost one request that may not run twice, not each [P5]", async () => {
             const statuses: number[] = [];
-            world.first.setForgetsAfter(200);
-            world.second.setForgetsAfter(200);
+            world.first.setResetAfterIdle(200);
+            world.second.setResetAfterIdle(200);
             for (let count = 0; count < 4; count++) {
                 statuses.push((await ask("/save/", { method: "POST" })).status);
                 await pause(milliseconds(350));
@@ -373,8 +376,8 @@
         });
 
         it("since they are leaving are not kept", async () => {
-            first.setLeaving(true);
-            second.setLeaving(true);
+            first.setShuttingDown(true);
+            second.setShuttingDown(true);
             await ask("/lookup/");
             await ask("/lookup/");
             expect(first.connections() + second.connections()).to.equal(2);
--- a/packages/testing/test/box-silence.test.ts
+++ b/packages/testing/test/box-silence.test.ts
@@ -6,31 +6,37 @@
  */
 
 import { expect } from "chai";
-import { type Proxy, startProxy } from "../src/soak/proxy.js";
+import { type FaultProxy, startFaultProxy } from "../src/soak/proxy.js";
 import type { ServerStandIn } from "../src/standins/backend-server.js";
 import { type ClientAnswer, sendRequest } from "../src/standins/client.js";
-import { type Deployment, eventually, startDeployment, type TestBox, testHost } from "../src/standins/deployment.js";
+import {
+    startTestDeployment,
+    type TestBox,
+    type TestDeployment,
+    testHost,
+    waitUntil,
+} from "../src/standins/deployment.js";
 import { serverObject } from "../src/standins/platform-objects.js";
 
 describe("connections to a server that fall silent for good", () => {
-    let deployment: Deployment;
+    let deployment: TestDeployment;
     let box: TestBox;
     let server: ServerStandIn;
-    let link: Proxy;
+    let link: FaultProxy;
     let requests: number;
 
     beforeEach(async () => {
         requests = 0;
-        deployment = await startDeployment();
+        deployment = await startTestDeployment();
         server = await deployment.addServer({ id: "i-1" });
-        link = await startProxy(server.address());
+        link = await startFaultProxy(server.address());
         deployment.store.put("servers", "i-1", serverObject(link.address(), {}));
         deployment.configure(2, [
             { name: "lookup", path: "/lookup/", kind: "safe", maxAttempts: 1 },
             { name: "save", path: "/save/", kind: "unsafe" },
         ]);
         box = deployment.startBox();
-        await eventually(() => box.running.isReady(), "the box is ready");
+        await waitUntil(() => box.running.isReady(), "the box is ready");
     });
 
     afterEach(async () => {
@@ -40,7 +46,7 @@
 
     function ask(path = "/lookup/"): Promise<ClientAnswer> {
         requests += 1;
-        return sendRequest({ address: box.callers, host: testHost, path, requestId: `r-${requests}` });
+        return sendRequest({ address: box.callerAddress, host: testHost, path, requestId: `r-${requests}` });
     }
 
     it("cost one request its answer, and not each of those that follow", async () => {
@@ -49,7 +55,7 @@
             await Promise.all([ask(), ask(), ask(), ask()]);
         }
         expect(server.connections()).to.be.at.least(4);
-        link.silenceOpen();
+        link.blackholeOpenConnections();
         const statuses: number[] = [];
         for (let index = 0; index < 4; index++) {
             statuses.push((await ask()).status);
--- a/packages/testing/test/box-state.test.ts
+++ b/packages/testing/test/box-state.test.ts
@@ -7,12 +7,12 @@
 import { createSocket } from "node:dgram";
 import { lookUp, sendRequest } from "../src/standins/client.js";
 import {
-    type Deployment,
-    eventually,
     pause,
-    startDeployment,
+    startTestDeployment,
     type TestBox,
+    type TestDeployment,
     testHost,
+    waitUntil,
 } from "../src/standins/deployment.js";
 import type { StoreAnswer } from "../src/standins/metadata-store.js";
 import type { RuleOptions } from "../src/standins/platform-objects.js";
@@ -21,10 +21,10 @@
 const place = { name: testHost, region: "north", zone: "north-a" };
 
 describe("boxes on the users' platform", () => {
-    let deployment: Deployment;
+    let deployment: TestDeployment;
 
     beforeEach(async () => {
-        deployment = await startDeployment();
+        deployment = await startTestDeployment();
         await deployment.addServer({ id: "i-1" });
         deployment.configure(2, rules);
     });
@@ -32,17 +32,17 @@
     afterEach(() => deployment.close());
 
     const ask = (box: TestBox, path: string) =>
-        sendRequest({ address: box.callers, host: testHost, path, requestId: `s-${path}` });
-    const ready = (box: TestBox) => eventually(() => box.running.isReady(), `${box.name} is ready`);
+        sendRequest({ address: box.callerAddress, host: testHost, path, requestId: `s-${path}` });
+    const ready = (box: TestBox) => waitUntil(() => box.running.isReady(), `${box.name} is ready`);
 
     it("find each other through the store, and name each other to callers [P19]", async () => {
         const boxes = [deployment.startBox(), deployment.startBox({ zone: "north-b" }), deployment.startBox()];
         await Promise.all(boxes.map(ready));
         const named = async (box: TestBox, zone: string) =>
-            [...(await lookUp(box.directory, { ...place, zone })).addresses].sort();
-        const [first, other, second] = boxes.map(box => box.callers);
+            [...(await lookUp(box.directoryAddress, { ...place, zone })).addresses].sort();
+        const [first, other, second] = boxes.map(box => box.callerAddress);
         for (const box of boxes) {
-            await eventually(async () => (await named(box, "of none")).length === 3, "all are named");
+            await waitUntil(async () => (await named(box, "of none")).length === 3, "all are named");
             expect(await named(box, "of none")).to.deep.equal([first, other, second].sort());
             expect(await named(box, "north-a")).to.deep.equal([first, second].sort());
             expect(await named(box, "north-b")).to.include(other).and.to.have.length(2);
@@ -52,18 +52,24 @@
     it("no longer name a box that leaves [P19]", async () => {
         const [stays, leaves] = [deployment.startBox(), deployment.startBox()];
         await Promise.all([ready(stays), ready(leaves)]);
-        await eventually(async () => (await lookUp(stays.directory, place)).addresses.length === 2, "both are named");
+        await waitUntil(
+            async () => (await lookUp(stays.directoryAddress, place)).addresses.length === 2,
+            "both are named",
+        );
         const stopped = leaves.running.stop();
-        await eventually(async () => (await lookUp(stays.directory, place)).addresses.length === 1, "one is named");
+        await waitUntil(
+            async () => (await lookUp(stays.directoryAddress, place)).addresses.length === 1,
+            "one is named",
+        );
         await stopped;
     });
 
     it("answer 503 and are not ready as long as they know no configuration [P10]", async () => {
         deployment.storeServer.setFault(() => ({ kind: "refused", status: 503 }));
         const box = deployment.startBox();
-        await eventually(async () => (await ask(box, "/lookup/")).status === 503, "it listens");
+        await waitUntil(async () => (await ask(box, "/lookup/")).status === 503, "it listens");
         expect(box.running.isReady()).to.equal(false);
-        expect((await lookUp(box.directory, place)).status).to.equal(503);
+        expect((await lookUp(box.directoryAddress, place)).status).to.equal(503);
         deployment.storeServer.setFault(() => ({ kind: "none" }));
         await ready(box);
         expect((await ask(box, "/lookup/")).status).to.equal(200);
@@ -71,19 +77,19 @@
 
     it("learn a new configuration from another box when the store turns them away [P8]", async () => {
         const served = deployment.startBox();
-        const refused = deployment.startBox({ host: "127.0.0.2", seeds: [served.peers] });
+        const refused = deployment.startBox({ host: "127.0.0.2", seeds: [served.peerAddress] });
         await Promise.all([ready(served), ready(refused)]);
-        await eventually(async () => (await lookUp(served.directory, place)).addresses.length === 2, "they met");
+        await waitUntil(async () => (await lookUp(served.directoryAddress, place)).addresses.length === 2, "they met");
         deployment.storeServer.setFault(call =>
             call.caller === "127.0.0.2" ? { kind: "refused", status: 503 } : { kind: "none" }
         );
         // Watches that were waiting before are refused at their next call only.
         deployment.store.put("evacuations", "south-a", {});
         deployment.store.put("config", "other", {});
-        await eventually(() => refused.logged.some(line => line.includes("event=store.lost")), "it is turned away");
+        await waitUntil(() => refused.logLines.some(line => line.includes("event=store.lost")), "it is turned away");
         deployment.configure(3, [{ ...rules[0], path: "/next/" }]);
         for (const box of [served, refused]) {
-            await eventually(async () => (await ask(box, "/next/")).status === 200, `${box.name} has the version`);
+            await waitUntil(async () => (await ask(box, "/next/")).status === 200, `${box.name} has the version`);
         }
     });
 
@@ -95,7 +101,7 @@
         const digest = { configuration: copy, servers: copy, closedZones: copy };
         const changes = [{ kind: "put", name: "x", item: {} }];
         const socket = createSocket("udp4");
-        const [host, port] = box.peers.split(":");
+        const [host, port] = box.peerAddress.split(":");
         const send = (data: string) => new Promise(resolve => socket.send(data, Number(port), host, resolve));
         await send(
             JSON.stringify({ from, beats: [], digest, update: { kind: "servers", since: 0, complete: 1e9, changes } }),
@@ -103,12 +109,12 @@
         await send("[]");
         await send("{\"from\":7");
         socket.close();
-        const refused = () => box.logged.filter(line => line.includes("event=peer.unreadable")).length;
-        await eventually(() => refused() === 3, "each left a line");
+        const refused = () => box.logLines.filter(line => line.includes("event=peer.unreadable")).length;
+        await waitUntil(() => refused() === 3, "each left a line");
         deployment.configure(3, [{ ...rules[0], path: "/next/" }]);
-        await eventually(async () => (await ask(box, "/next/")).status === 200, "the version is in force");
+        await waitUntil(async () => (await ask(box, "/next/")).status === 200, "the version is in force");
         await deployment.addServer({ id: "i-2" });
-        await eventually(() => box.logged.some(line => line.includes("added=i-2")), "the server is known");
+        await waitUntil(() => box.logLines.some(line => line.includes("added=i-2")), "the server is known");
     });
 
     it("start together while the store turns calls away beyond its rate", async () => {
@@ -124,7 +130,7 @@
         await Promise.all(boxes.map(ready));
         for (const box of boxes) {
             expect((await ask(box, "/lookup/")).status).to.equal(200);
-            await eventually(async () => (await lookUp(box.directory, place)).addresses.length === 3, "all met");
+            await waitUntil(async () => (await lookUp(box.directoryAddress, place)).addresses.length === 3, "all met");
         }
     });
 
@@ -142,13 +148,16 @@
             boxes = hosts.map(host => deployment.startBox({ host }));
             await Promise.all(boxes.map(ready));
             for (const box of boxes) {
-                await eventually(async () => (await lookUp(box.directory, place)).addresses.length === 6, "all met");
+                await waitUntil(
+                    async () => (await lookUp(box.directoryAddress, place)).addresses.length === 6,
+                    "all met",
+                );
             }
         });
 
         /** Resolves with the only box that calls the store. */
         async function findRelay(): Promise<string> {
-            await eventually(async () => {
+            await waitUntil(async () => {
                 watchers.clear();
                 await pause(milliseconds(2500));
                 return watchers.size === 1;
@@ -160,7 +169,7 @@
             const path = `/version-${version}/`;
             deployment.configure(version, [{ ...rules[0], path }]);
             for (const box of boxes) {
-                await eventually(async () => (await ask(box, path)).status === 200, `${box.name} has ${path}`);
+                await waitUntil(async () => (await ask(box, path)).status === 200, `${box.name} has ${path}`);
             }
         }
 
@@ -175,33 +184,33 @@
         it("follow the store themselves when that box no longer can [P8]", async () => {
             const relay = await findRelay();
             deployment.storeServer.setFault(call => call.caller === relay ? { kind: "silent" } : { kind: "none" });
-            deployment.store.cutWatches();
+            deployment.store.dropWatches();
             await expectInForce(3);
         });
     });
 
     for (const [name, forget] of [["still knows", false], ["has forgotten", true]] as const) {
         it(`start from lists that are old, and catch up at once, when the store ${name} what came since [P8]`, async () => {
-            deployment.store.holdBack();
+            deployment.store.freezeStaleReads();
             await deployment.addServer({ id: "i-2" });
             deployment.configure(3, [{ ...rules[0], path: "/next/" }]);
             if (forget) {
                 deployment.store.compact();
             }
             const box = deployment.startBox();
-            await eventually(async () => (await ask(box, "/lookup/")).status === 200, "the old version serves");
-            await eventually(async () => (await ask(box, "/next/")).status === 200, "the newest version is in force");
-            await eventually(() => box.logged.some(line => line.includes("added=i-2")), "the new server is known");
+            await waitUntil(async () => (await ask(box, "/lookup/")).status === 200, "the old version serves");
+            await waitUntil(async () => (await ask(box, "/next/")).status === 200, "the newest version is in force");
+            await waitUntil(() => box.logLines.some(line => line.includes("added=i-2")), "the new server is known");
         });
     }
 
     it("that start again write nothing where their record stands", async () => {
         const [box] = [deployment.startBox(), deployment.startBox()];
         await ready(box);
-        await eventually(() => (deployment.storeServer.calls().POST ?? 0) === 2, "both are recorded");
+        await waitUntil(() => (deployment.storeServer.calls().POST ?? 0) === 2, "both are recorded");
         await box.running.stop();
-        const again = deployment.startBox({ sameAs: box });
-        await eventually(async () => (await lookUp(again.directory, place)).addresses.length === 2, "it is back");
+        const again = deployment.startBox({ replacing: box });
+        await waitUntil(async () => (await lookUp(again.directoryAddress, place)).addresses.length === 2, "it is back");
         expect(deployment.storeServer.calls().POST).to.equal(2);
         expect(deployment.storeServer.calls().PUT ?? 0).to.equal(0);
     });
@@ -210,7 +219,7 @@
         const old = deployment.startBox();
         await ready(old);
         deployment.storeServer.setFault(() => ({ kind: "silent" }));
-        const fresh = deployment.startBox({ seeds: [old.peers] });
+        const fresh = deployment.startBox({ seeds: [old.peerAddress] });
         await ready(fresh);
         expect((await ask(fresh, "/lookup/")).status).to.equal(200);
     });
@@ -219,12 +228,12 @@
         const box = deployment.startBox();
         await ready(box);
         deployment.storeServer.setFault(() => ({ kind: "reset" }));
-        deployment.store.cutWatches();
+        deployment.store.dropWatches();
         expect((await ask(box, "/lookup/")).status).to.equal(200);
         deployment.configure(3, [{ ...rules[0], path: "/next/" }]);
         deployment.store.compact();
         deployment.storeServer.setFault(() => ({ kind: "none" }));
-        await eventually(async () => (await ask(box, "/next/")).status === 200, "the version is in force");
+        await waitUntil(async () => (await ask(box, "/next/")).status === 200, "the version is in force");
     });
 
     it("record themselves once, even if a write is done after they gave it up", async () => {
@@ -238,8 +247,8 @@
         });
         const box = deployment.startBox();
         await ready(box);
-        await eventually(() => (deployment.storeServer.calls().POST ?? 0) >= 2, "the record is written again");
-        await eventually(() => itemsOf(deployment.store.list("chalkdale-boxes")).length === 1, "it is there once");
+        await waitUntil(() => (deployment.storeServer.calls().POST ?? 0) >= 2, "the record is written again");
+        await waitUntil(() => itemsOf(deployment.store.list("chalkdale-boxes")).length === 1, "it is there once");
     });
 
     it("record themselves once, even if the answer is lost", async () => {
@@ -253,7 +262,7 @@
         });
         const box = deployment.startBox();
         await ready(box);
-        await eventually(() => (deployment.storeServer.calls().PUT ?? 0) >= 1, "the record is written again");
+        await waitUntil(() => (deployment.storeServer.calls().PUT ?? 0) >= 1, "the record is written again");
         expect(itemsOf(deployment.store.list("chalkdale-boxes"))).to.deep.equal([box.name]);
     });
 });
--- a/packages/testing/test/box-store-restored.test.ts
+++ b/packages/testing/test/box-store-restored.test.ts
@@ -7,14 +7,14 @@
 import type { ServerStandIn } from "../src/standins/backend-server.js";
 import { type ClientAnswer, sendRequest } from "../src/standins/client.js";
 import {
-    type Deployment,
-    eventually,
     pause,
-    startDeployment,
+    startTestDeployment,
     type TestBox,
+    type TestDeployment,
     testHost,
+    waitUntil,
 } from "../src/standins/deployment.js";
-import type { StoreCopy } from "../src/standins/metadata-store.js";
+import type { StoreSnapshot } from "../src/standins/metadata-store.js";
 import type { RuleOptions } from "../src/standins/platform-objects.js";
 
 const zones = ["north-a", "north-b", "south-a"];
@@ -34,12 +34,12 @@
 const newRoute: RuleOptions = { name: "new", path: "/new/", kind: "safe" };
 
 describe("boxes and a store that comes back from an older copy [P8]", () => {
-    let deployment: Deployment;
+    let deployment: TestDeployment;
     let boxes: readonly TestBox[];
     let servers: readonly ServerStandIn[];
 
     beforeEach(async () => {
-        deployment = await startDeployment({ storeEra: 7 });
+        deployment = await startTestDeployment({ storeEpoch: 7 });
         servers = await Promise.all(Array.from({ length: serverCount }, async (_, index) => {
             const server = await deployment.addServer({ id: `i-${index}`, zone: zones[index % zones.length] });
             server.setWork(20);
@@ -52,7 +52,7 @@
     afterEach(() => deployment.close());
 
     const record = (index: number, state: "ready" | "draining") =>
-        deployment.recordServer(servers[index], { zone: zones[index % zones.length], state });
+        deployment.writeServerRecord(servers[index], { zone: zones[index % zones.length], state });
 
     /** Other writers raise the revision by so many. */
     function raiseRevision(count: number): void {
@@ -62,10 +62,10 @@
     }
 
     /** The store goes away, and comes back from a copy. */
-    async function restore(copy: StoreCopy): Promise<void> {
+    async function restore(copy: StoreSnapshot): Promise<void> {
         const { store, storeServer } = deployment;
         storeServer.setFault(() => ({ kind: "reset" }));
-        storeServer.cut();
+        storeServer.dropConnections();
         await pause(milliseconds(awayFor));
         store.restore(copy);
         storeServer.setFault(() => ({ kind: "none" }));
@@ -73,7 +73,7 @@
 
     function ask(box: TestBox, path: string, index: number): Promise<ClientAnswer> {
         return sendRequest({
-            address: box.callers,
+            address: box.callerAddress,
             host: testHost,
             path,
             requestId: `r-${index}-${performance.now()}`,
@@ -114,7 +114,7 @@
             const [name, climb] of [["stay below those before", 0], ["climb past those before at once", 40]] as const
         ) {
             it(`where its revisions ${name}`, async () => {
-                const copy = deployment.store.copy();
+                const copy = deployment.store.takeSnapshot();
                 await pause(milliseconds(copyAge));
                 raiseRevision(22);
                 await pause(milliseconds(inForceWithin));
@@ -129,7 +129,7 @@
         }
 
         it("where it comes back a second time", async () => {
-            const copy = deployment.store.copy();
+            const copy = deployment.store.takeSnapshot();
             await pause(milliseconds(copyAge));
             raiseRevision(22);
             await pause(milliseconds(inForceWithin));
@@ -152,18 +152,18 @@
             };
             return items.map(({ metadata }) => metadata.name).sort();
         };
-        const copy = deployment.store.copy();
-        const added = deployment.startBox({ zone: "south-a", host: "127.0.0.40", seeds: [boxes[0].peers] });
-        await eventually(() => added.running.isReady() && recordedBoxes().includes(added.name), "it is recorded");
+        const copy = deployment.store.takeSnapshot();
+        const added = deployment.startBox({ zone: "south-a", host: "127.0.0.40", seeds: [boxes[0].peerAddress] });
+        await waitUntil(() => added.running.isReady() && recordedBoxes().includes(added.name), "it is recorded");
         await restore(copy);
         expect(recordedBoxes()).not.to.include(added.name);
-        await eventually(() => recordedBoxes().includes(added.name), "it is recorded again");
+        await waitUntil(() => recordedBoxes().includes(added.name), "it is recorded again");
         expect(recordedBoxes()).to.have.length(boxes.length + 1);
     });
 
     describe("keep in force what it had acknowledged and has lost", () => {
         it("until it is written again: a route, a closed zone, servers that left, drain or were added", async () => {
-            const copy = deployment.store.copy();
+            const copy = deployment.store.takeSnapshot();
             await pause(milliseconds(copyAge));
             const writeLost = async () => {
                 deployment.configure(3, [firstRoute, lostRoute]);
--- a/packages/testing/test/box-uploads.test.ts
+++ b/packages/testing/test/box-uploads.test.ts
@@ -7,7 +7,7 @@
 import { expect } from "chai";
 import { createServer, type Socket } from "node:net";
 import { sendRequest } from "../src/standins/client.js";
-import { eventually, pause, type TestBox, testHost } from "../src/standins/deployment.js";
+import { pause, type TestBox, testHost, waitUntil } from "../src/standins/deployment.js";
 import { serverObject } from "../src/standins/platform-objects.js";
 import { type OneBox, rules, startOneBox } from "./one-box.js";
 import { connectRaw } from "./raw-caller.js";
@@ -64,10 +64,10 @@
             const caller = await connectRaw(box);
             caller.sendHead("/photos/", "long", [`Content-Length: ${tooLarge}`]);
             expect(await caller.receives("\r\n\r\n")).to.match(/^HTTP\/1.1 413 /).and.include("Connection: close");
-            await eventually(caller.isEnded, "the box ends the connection");
+            await waitUntil(caller.isEnded, "the box ends the connection");
             caller.send("x".repeat(tooLarge));
             caller.sendHead("/save/", "behind", ["Content-Length: 0"]);
-            await eventually(() => {
+            await waitUntil(() => {
                 caller.send("x");
                 return caller.socket.destroyed;
             }, "the connection is gone");
@@ -82,7 +82,7 @@
                 caller.send(chunk);
             }
             expect(await caller.receives("\r\n\r\n")).to.match(/^HTTP\/1.1 413 /);
-            await eventually(caller.isEnded, "the box ends the connection");
+            await waitUntil(caller.isEnded, "the box ends the connection");
             caller.socket.destroy();
         });
 
@@ -114,7 +114,7 @@
             it(`does not when the request ${what}, and ends the connection`, async () => {
                 const caller = await connectRaw(box);
                 caller.sendHead(String(path), "asks", [`Content-Length: ${length}`, "Expect: 100-continue"]);
-                await eventually(caller.isEnded, "the box ends the connection");
+                await waitUntil(caller.isEnded, "the box ends the connection");
                 expect(caller.received()).to.match(/^HTTP\/1.1 4(04|13) /).and.not.include("100 Continue");
                 caller.socket.destroy();
             });
@@ -126,12 +126,12 @@
             const caller = await connectRaw(box);
             caller.sendHead("/photos/", "leaves", [`Content-Length: ${large}`]);
             caller.send("x".repeat(large / 2));
-            await eventually(async () => await gauge(box, "bodies_bytes") > 0, "the box has a part of the body");
+            await waitUntil(async () => await gauge(box, "bodies_bytes") > 0, "the box has a part of the body");
             caller.socket.destroy();
-            await eventually(async () => await gauge(box, "bodies_bytes") === 0, "the memory is given back");
+            await waitUntil(async () => await gauge(box, "bodies_bytes") === 0, "the memory is given back");
             expect(world.first.arrivals() + world.second.arrivals()).to.equal(0);
-            await eventually(
-                () => box.logged.some(line => line.includes("request.callerLeft request=leaves")),
+            await waitUntil(
+                () => box.logLines.some(line => line.includes("request.callerLeft request=leaves")),
                 "a line",
             );
         });
@@ -144,9 +144,9 @@
             world.deployment.store.put("servers", "i-9", serverObject(`127.0.0.1:${port}`, { service: "packs" }));
             world.deployment.store.delete("servers", "i-3");
             world.deployment.configure(3, [{ ...rules[1], service: "packs", timeout: "60s" }]);
-            await eventually(() => box.logged.some(line => line.includes("version=3")), "the version is in force");
-            void upload("/save/", { body: "x".repeat(large), leaveAfterMs: 300 });
-            await eventually(() => sockets.length === 1, "the server is connected");
+            await waitUntil(() => box.logLines.some(line => line.includes("version=3")), "the version is in force");
+            void upload("/save/", { body: "x".repeat(large), disconnectAfterMs: 300 });
+            await waitUntil(() => sockets.length === 1, "the server is connected");
             const closed = new Promise(resolve => sockets[0].on("close", resolve));
             await pause(milliseconds(400));
             sockets[0].on("error", () => undefined).resume();
@@ -203,28 +203,28 @@
             caller.sendHead("/patient-save/", `stalled-${index}`, ["Content-Length: 900000"]);
             caller.send("x".repeat(899_000));
         });
-        await eventually(async () => await gauge(box, "bodies_bytes") >= 1_000_000, "the memory is spent");
+        await waitUntil(async () => await gauge(box, "bodies_bytes") >= 1_000_000, "the memory is spent");
         let most = 0;
         const body = "x".repeat(large);
         const answer = sendRequest({
-            address: box.callers,
+            address: box.callerAddress,
             host: testHost,
             path: "/patient-save/",
             method: "POST",
             requestId: "late",
             body,
         });
-        await eventually(async () => {
+        await waitUntil(async () => {
             most = Math.max(most, await gauge(box, "bodies_bytes"));
             return world.runs().some(run => run.requestId === "late" && run.body === body);
         }, "the late one is served");
         expect((await answer).status).to.equal(200);
         // One body beyond the bound, and the part of each connection that had been read when the bound was met.
         expect(most).to.be.below(1_000_000 + 900_000 + stalledCallers * 2 * 65_536);
-        expect(box.logged.some(line => line.includes("refusal=bodyStalled"))).to.equal(true);
+        expect(box.logLines.some(line => line.includes("refusal=bodyStalled"))).to.equal(true);
         expect(world.runs()).to.have.length(1);
         stalled.forEach(caller => caller.socket.destroy());
-        await eventually(async () => await gauge(box, "bodies_bytes") === 0, "the memory is given back");
+        await waitUntil(async () => await gauge(box, "bodies_bytes") === 0, "the memory is given back");
     });
 
     it("tells a caller that asks to send its body only once the stalled ones have lost their place", async () => {
@@ -233,11 +233,11 @@
             caller.sendHead("/patient-save/", `stalled-${index}`, ["Content-Length: 900000"]);
             caller.send("x".repeat(899_000));
         });
-        await eventually(async () => await gauge(box, "bodies_bytes") >= 1_000_000, "the memory is spent");
+        await waitUntil(async () => await gauge(box, "bodies_bytes") >= 1_000_000, "the memory is spent");
         const asks = await connectRaw(box);
         let wasFreed: boolean | undefined;
         asks.socket.once("data", () => {
-            wasFreed = box.logged.some(line => line.includes("refusal=bodyStalled"));
+            wasFreed = box.logLines.some(line => line.includes("refusal=bodyStalled"));
         });
         asks.sendHead("/patient-save/", "asks", [`Content-Length: ${large}`, "Expect: 100-continue"]);
         await asks.receives("HTTP/1.1 100 Continue");
@@ -254,7 +254,7 @@
             caller.sendHead("/patient-save/", `asks-${index}`, ["Content-Length: 900000", "Expect: 100-continue"]);
         });
         const refused = () => callers.filter(caller => caller.received().includes("HTTP/1.1 503 "));
-        await eventually(() => refused().length > 0, "some are refused");
+        await waitUntil(() => refused().length > 0, "some are refused");
         expect(refused().map(caller => caller.received()).join("")).not.to.include("100 Continue");
         callers.forEach(caller => caller.socket.destroy());
     });
--- a/packages/testing/test/command-line.test.ts
+++ b/packages/testing/test/command-line.test.ts
@@ -9,14 +9,14 @@
 import { join, resolve } from "node:path";
 import { runCommandLine as chalkdale } from "../src/command-line.js";
 import { serveSettingsStore, type SettingsStoreServer } from "../src/standins/settings-store-server.js";
-import { workspace } from "../src/workspace.js";
+import { workspaceRoot } from "../src/workspace.js";
 
 describe("the command line", () => {
     let owner: AbortController;
     let server: SettingsStoreServer;
     let at: readonly string[];
     let folder: string;
-    const example = resolve(workspace, "examples/pedala.yaml");
+    const example = resolve(workspaceRoot, "examples/pedala.yaml");
 
     before(async () => {
         owner = new AbortController();
@@ -36,45 +36,45 @@
     }
 
     it("tells its help and its version", async () => {
-        expect((await chalkdale("--help")).output).to.include("settings apply");
-        expect((await chalkdale("--version")).output.trim()).to.equal("0.1.0");
+        expect((await chalkdale("--help")).stdout).to.include("settings apply");
+        expect((await chalkdale("--version")).stdout.trim()).to.equal("0.1.0");
     });
 
     it("ends with 2 for what it does not know", async () => {
-        expect((await chalkdale("paint")).code).to.equal(2);
-        expect((await chalkdale("settings", "show", example, "--at", "/nowhere")).code).to.equal(2);
+        expect((await chalkdale("paint")).exitCode).to.equal(2);
+        expect((await chalkdale("settings", "show", example, "--at", "/nowhere")).exitCode).to.equal(2);
     });
 
     it("shows where a value comes from", async () => {
         const run = await chalkdale("settings", "show", example, "--at", "/services/profil-api/ro-nord/ro-nord-a");
-        expect(run.code).to.equal(0);
-        expect(run.output).to.match(/slots +6 +\/services\/profil-api\n/);
+        expect(run.exitCode).to.equal(0);
+        expect(run.stdout).to.match(/slots +6 +\/services\/profil-api\n/);
     });
 
     it("refuses a file with faults with 3 and names the places", async () => {
         const file = await variant("faults.yaml", "capacity: 900", "capacity: lots");
         const run = await chalkdale("settings", "check", file);
-        expect(run.code).to.equal(3);
-        expect(run.errors).to.include("faults.yaml:14:17: regions.ro-nord.settings.capacity: expected number");
+        expect(run.exitCode).to.equal(3);
+        expect(run.stderr).to.include("faults.yaml:14:17: regions.ro-nord.settings.capacity: expected number");
     });
 
     it("applies a file, then only its differences, and acts on nothing in a dry run", async () => {
-        expect((await chalkdale("settings", "apply", example, ...at)).code).to.equal(0);
+        expect((await chalkdale("settings", "apply", example, ...at)).exitCode).to.equal(0);
         const stored = () => server.store.read("config/settings")!;
         const version = stored().version;
-        expect((await chalkdale("settings", "apply", example, ...at)).output).to.include("no changes");
+        expect((await chalkdale("settings", "apply", example, ...at)).stdout).to.include("no changes");
         const file = await variant("cap.yaml", "shiftCap: 0.1 ", "shiftCap: 0.2 ");
         const dry = await chalkdale("settings", "apply", file, "--dry-run", ...at);
-        expect(dry.output).to.match(/\/ +shiftCap +0\.1 +0\.2/);
+        expect(dry.stdout).to.match(/\/ +shiftCap +0\.1 +0\.2/);
         expect(stored().version).to.equal(version);
-        expect((await chalkdale("settings", "apply", file, ...at)).code).to.equal(0);
-        expect((await chalkdale("settings", "history", "--json", ...at)).output).to.include("\"to\":0.2");
+        expect((await chalkdale("settings", "apply", file, ...at)).exitCode).to.equal(0);
+        expect((await chalkdale("settings", "history", "--json", ...at)).stdout).to.include("\"to\":0.2");
     });
 
     it("edits one value, and settles a write whose answer was lost", async () => {
         server.store.faults.lostAnswers = 1;
         const run = await chalkdale("settings", "edit", "shiftCap=0.3", "--at", "/", ...at);
-        expect(run.code).to.equal(0);
+        expect(run.exitCode).to.equal(0);
         const { document, edits } = server.store.read("config/settings")!.value as {
             document: { nodes: Record<string, { shiftCap: number; }>; };
             edits: { changes: { key: string; to: unknown; }[]; }[];
@@ -92,20 +92,20 @@
             "event=request.refused request=r1 route=save refusal=crowded sent=0 after=1 version=2\n",
         );
         const run = await chalkdale("explain", "r1", one, other);
-        expect(run.code).to.equal(0);
-        expect(run.output).to.include("refused as crowded").and.to.include("It did not run.");
-        expect(JSON.parse((await chalkdale("explain", "r2", one, other, "--json")).output)).to.include({
+        expect(run.exitCode).to.equal(0);
+        expect(run.stdout).to.include("refused as crowded").and.to.include("It did not run.");
+        expect(JSON.parse((await chalkdale("explain", "r2", one, other, "--json")).stdout)).to.include({
             verdict: "ran",
         });
-        expect((await chalkdale("explain", "r9", one)).errors).to.include("no line of request r9");
-        expect((await chalkdale("explain", "r1", join(folder, "none.log"))).code).to.equal(1);
-        expect((await chalkdale("explain")).code).to.equal(2);
+        expect((await chalkdale("explain", "r9", one)).stderr).to.include("no line of request r9");
+        expect((await chalkdale("explain", "r1", join(folder, "none.log"))).exitCode).to.equal(1);
+        expect((await chalkdale("explain")).exitCode).to.equal(2);
     });
 
     it("refuses an edit that would leave the tree with faults", async () => {
         const run = await chalkdale("settings", "edit", "capacity=-5", "--at", "/regions/ro-nord", ...at);
-        expect(run.code).to.equal(3);
-        expect(run.errors).to.include("/regions/ro-nord capacity");
+        expect(run.exitCode).to.equal(3);
+        expect(run.stderr).to.include("/regions/ro-nord capacity");
     });
 
     it("merges what two operators edit at once", async () => {
@@ -113,7 +113,7 @@
             chalkdale("settings", "edit", "headroomPrice=50", "--at", "/", ...at),
             chalkdale("settings", "edit", "coldPrice=20", "--at", "/", ...at),
         ]);
-        expect([one.code, other.code]).to.deep.equal([0, 0]);
+        expect([one.exitCode, other.exitCode]).to.deep.equal([0, 0]);
         const { document } = server.store.read("config/settings")!.value as {
             document: { nodes: Record<string, unknown>; };
         };
@@ -124,13 +124,13 @@
         server.store.faults.outage = true;
         const run = await chalkdale("settings", "history", ...at);
         server.store.faults.outage = false;
-        expect(run.code).to.equal(4);
-        expect(run.errors).to.include("try again later");
+        expect(run.exitCode).to.equal(4);
+        expect(run.stderr).to.include("try again later");
     });
 
     it("ends with 2 for commands of programs that are gone", async () => {
         for (const word of ["status", "drain"]) {
-            expect((await chalkdale(word)).code).to.equal(2);
+            expect((await chalkdale(word)).exitCode).to.equal(2);
         }
     });
 });
--- a/packages/testing/test/demo.test.ts
+++ b/packages/testing/test/demo.test.ts
@@ -11,7 +11,7 @@
     it("comes out right", async () => {
         const checks: DemoCheck[] = [];
         await runDemo(check => checks.push(check));
-        const wrong = checks.filter(({ isRight }) => !isRight);
+        const wrong = checks.filter(({ passed: isRight }) => !isRight);
         expect(wrong, JSON.stringify(wrong, undefined, 2)).to.deep.equal([]);
         expect(checks).to.have.length(7);
     }).timeout(120_000);
--- a/packages/testing/test/emulator.test.ts
+++ b/packages/testing/test/emulator.test.ts
@@ -1,22 +1,27 @@
 import { milliseconds } from "@chalkdale/kernel";
 import { expect } from "chai";
-import { playDay } from "../src/emulator/day.js";
+import { runEmulation } from "../src/emulator/day.js";
 import { kodeyard, pedala } from "../src/emulator/deployments.js";
 import type { PolicyName } from "../src/emulator/policies.js";
 import { compareWithGolden } from "../src/golden/golden-file.js";
 
-const day = { deployment: pedala, policy: "affinity", seed: 7, length: milliseconds(8000), load: 1 } as const;
+const day = { deployment: pedala, policy: "affinity", seed: 7, duration: milliseconds(8000), load: 1 } as const;
 
 describe("the emulator", () => {
     it("plays a calm moment as in the golden session", () => {
         const lines: string[] = [];
-        playDay({ ...day, deployment: kodeyard, length: milliseconds(2500), onDecision: line => lines.push(line) });
+        runEmulation({
+            ...day,
+            deployment: kodeyard,
+            duration: milliseconds(2500),
+            onDecision: line => lines.push(line),
+        });
         compareWithGolden("calm-day", lines);
     });
 
     it("gives the same day for the same seed", () => {
-        expect(playDay(day)).to.deep.equal(playDay(day));
-        expect(playDay({ ...day, seed: 8 })).not.to.deep.equal(playDay(day));
+        expect(runEmulation(day)).to.deep.equal(runEmulation(day));
+        expect(runEmulation({ ...day, seed: 8 })).not.to.deep.equal(runEmulation(day));
     });
 
     describe("the region in which the requests of one region run", () => {
@@ -25,7 +30,14 @@
         const movedBy = (policy: PolicyName) => {
             const lines: string[] = [];
             const length = milliseconds(32_000);
-            playDay({ ...day, policy, seed: 3, length, troubles: burst, onDecision: line => lines.push(line) });
+            runEmulation({
+                ...day,
+                policy,
+                seed: 3,
+                duration: length,
+                faults: burst,
+                onDecision: line => lines.push(line),
+            });
             return mostMovedBetweenWindows(lines, pedala.zones);
         };
 
@@ -42,7 +54,7 @@
         const mostTurnedAway = 0.02;
 
         it("brings few requests to servers that have no room for them [P2]", () => {
-            const { turnedAwayShare } = playDay({ ...day, load: 1.3, length: milliseconds(12_000) });
+            const { turnedAwayShare } = runEmulation({ ...day, load: 1.3, duration: milliseconds(12_000) });
             expect(turnedAwayShare).to.be.greaterThan(0).and.lessThan(mostTurnedAway);
         });
     });
@@ -50,23 +62,26 @@
     describe("affinity with bounded load", () => {
         for (const deployment of [pedala, kodeyard]) {
             it(`earns more than power of two choices and the candidate set (${deployment.name})`, () => {
-                const own = playDay({ ...day, deployment });
+                const own = runEmulation({ ...day, deployment });
                 for (const policy of ["two-choices", "candidate-set"] as const) {
-                    expect(own.worth).to.be.greaterThan(playDay({ ...day, deployment, policy }).worth + 0.1);
+                    expect(own.worth).to.be.greaterThan(runEmulation({ ...day, deployment, policy }).worth + 0.1);
                 }
             });
         }
 
         it("earns more than plain rendezvous while servers are slow", () => {
             const troubles = [{ kind: "slowServers", at: 3000, lasts: 5000, share: 0.2, factor: 5 }] as const;
-            const own = playDay({ ...day, troubles });
-            expect(own.worth).to.be.greaterThan(playDay({ ...day, troubles, policy: "rendezvous" }).worth);
+            const own = runEmulation({ ...day, faults: troubles });
+            expect(own.worth).to.be.greaterThan(runEmulation({ ...day, faults: troubles, policy: "rendezvous" }).worth);
         });
 
         it("earns more than plain rendezvous while servers are slow, over ten days", () => {
             const troubles = [{ kind: "slowServers", at: 3000, lasts: 5000, share: 0.2, factor: 5 }] as const;
             const worthOf = (policy: PolicyName) =>
-                Array.from({ length: 10 }, (_, seed) => playDay({ ...day, troubles, policy, seed: seed + 1 }).worth)
+                Array.from(
+                    { length: 10 },
+                    (_, seed) => runEmulation({ ...day, faults: troubles, policy, seed: seed + 1 }).worth,
+                )
                     .reduce((sum, worth) => sum + worth, 0);
             expect(worthOf("affinity")).to.be.greaterThan(worthOf("rendezvous"));
         });
@@ -74,7 +89,7 @@
         it("sends nothing to a closed zone, and goes on [P16]", () => {
             const lines: string[] = [];
             const troubles = [{ kind: "closedZone", at: 2000, lasts: 6000, zone: "ro-nord-a" }] as const;
-            playDay({ ...day, troubles, onDecision: line => lines.push(line) });
+            runEmulation({ ...day, faults: troubles, onDecision: line => lines.push(line) });
             const late = lines.filter(line => Number(line.split(" ")[0]) >= 2000);
             expect(late.filter(line => line.includes("-ro-nord-a-") && / to \S*ro-nord-a-/.test(line))).to.deep.equal(
                 [],
--- a/packages/testing/test/metadata-store.test.ts
+++ b/packages/testing/test/metadata-store.test.ts
@@ -54,7 +54,7 @@
         expect((answers[0].body as { events: unknown[]; at: number; }).events).to.have.length(1);
         store.watch("things", 1, milliseconds(100), answer => answers.push(answer));
         time = 100;
-        store.step();
+        store.endExpiredWatches();
         expect((answers[1].body as { events: unknown[]; }).events).to.have.length(0);
         store.compact();
         store.watch("things", 0, milliseconds(100), answer => answers.push(answer));
@@ -63,10 +63,10 @@
 
     it("comes back from a copy, in a later epoch, and gives its revisions out again", () => {
         store.put("things", "a", 1);
-        const copy = store.copy();
+        const copy = store.takeSnapshot();
         store.put("things", "b", 1);
         store.restore(copy);
-        expect([store.era(), store.revision(), itemsOf(store.list("things"))]).to.deep.equal([1, 1, ["a"]]);
+        expect([store.epoch(), store.revision(), itemsOf(store.list("things"))]).to.deep.equal([1, 1, ["a"]]);
         const answers: StoreAnswer[] = [];
         store.watch("things", 2, milliseconds(100), answer => answers.push(answer));
         expect(answers[0].status).to.equal(410);
--- a/packages/testing/test/one-box.ts
+++ b/packages/testing/test/one-box.ts
@@ -6,12 +6,12 @@
 import type { ServerRun, ServerStandIn } from "../src/standins/backend-server.js";
 import { type ClientAnswer, type ClientRequest, sendRequest } from "../src/standins/client.js";
 import {
-    type BoxOptions,
-    type Deployment,
-    eventually,
-    startDeployment,
+    startTestDeployment,
     type TestBox,
+    type TestBoxOptions,
+    type TestDeployment,
     testHost,
+    waitUntil,
 } from "../src/standins/deployment.js";
 import type { RuleOptions } from "../src/standins/platform-objects.js";
 import type { ServerBehaviour } from "../src/standins/server-answers.js";
@@ -29,7 +29,7 @@
 
 /** The box and what it reaches. */
 export interface OneBox {
-    readonly deployment: Deployment;
+    readonly deployment: TestDeployment;
     readonly box: TestBox;
     /** In the box's availability zone. */
     readonly first: ServerStandIn;
@@ -44,15 +44,15 @@
 }
 
 /** Starts it; the box is ready when this resolves. `deployment.close` ends all of it. */
-export async function startOneBox(options: BoxOptions = {}): Promise<OneBox> {
-    const deployment = await startDeployment();
+export async function startOneBox(options: TestBoxOptions = {}): Promise<OneBox> {
+    const deployment = await startTestDeployment();
     const first = await deployment.addServer({ id: "i-1" });
     const second = await deployment.addServer({ id: "i-2", zone: "south-a" });
     await deployment.addServer({ id: "i-3", service: "packs" });
     deployment.configure(2, rules);
     const box = deployment.startBox(options);
     let requestCount = 0;
-    await eventually(() => box.running.isReady(), "the box is ready");
+    await waitUntil(() => box.running.isReady(), "the box is ready");
 
     return {
         deployment,
@@ -62,7 +62,7 @@
         ask(path, options = {}) {
             requestCount += 1;
             const requestId = `r-${requestCount}`;
-            const own = { address: box.callers, host: testHost, path, requestId, affinityKey: "k-1" };
+            const own = { address: box.callerAddress, host: testHost, path, requestId, affinityKey: "k-1" };
             return sendRequest({ ...own, ...options });
         },
         misbehave(behaviour, times = Infinity) {
--- a/packages/testing/test/raw-caller.ts
+++ b/packages/testing/test/raw-caller.ts
@@ -4,7 +4,7 @@
 
 import { once } from "node:events";
 import { connect, type Socket } from "node:net";
-import { eventually, type TestBox, testHost } from "../src/standins/deployment.js";
+import { type TestBox, testHost, waitUntil } from "../src/standins/deployment.js";
 
 /** One connection to a box. */
 export interface RawCaller {
@@ -22,7 +22,7 @@
 
 /** Connects to a box. */
 export async function connectRaw(box: TestBox): Promise<RawCaller> {
-    const socket = connect({ port: Number(box.callers.split(":")[1]), host: "127.0.0.1", allowHalfOpen: true });
+    const socket = connect({ port: Number(box.callerAddress.split(":")[1]), host: "127.0.0.1", allowHalfOpen: true });
     let received = "";
     let isEnded = false;
     socket.on("data", data => {
@@ -47,7 +47,7 @@
         },
         received: () => received,
         async receives(text) {
-            await eventually(() => received.includes(text), `the caller gets ${text}`);
+            await waitUntil(() => received.includes(text), `the caller gets ${text}`);
             return received;
         },
         isEnded: () => isEnded,
--- a/packages/testing/test/rollout-world.ts
+++ b/packages/testing/test/rollout-world.ts
@@ -9,12 +9,12 @@
 import type { ServerStandIn } from "../src/standins/backend-server.js";
 import { sendRequest } from "../src/standins/client.js";
 import {
-    type Deployment,
-    eventually,
     pause,
-    startDeployment,
+    startTestDeployment,
     type TestBox,
+    type TestDeployment,
     testHost,
+    waitUntil,
 } from "../src/standins/deployment.js";
 
 /** Bounds of the settings. */
@@ -29,7 +29,7 @@
 
 /** The boxes and what they reach. */
 export interface RolloutWorld {
-    readonly deployment: Deployment;
+    readonly deployment: TestDeployment;
     readonly boxes: TestBox[];
     readonly old: readonly ServerStandIn[];
     readonly target: readonly ServerStandIn[];
@@ -57,7 +57,7 @@
 /** Starts it; the boxes are ready when this resolves, and the callers ask. */
 export async function startRolloutWorld(boxCount = 2): Promise<RolloutWorld> {
     const { rollbackMs, share, slack } = exposure;
-    const deployment = await startDeployment({
+    const deployment = await startTestDeployment({
         bounds: [`expose_share=${share}`, `expose_slack=${slack}`, `rollback=${rollbackMs}ms`],
     });
     const old = await addServers("v1", "i-old");
@@ -68,8 +68,10 @@
     ]);
     const hosts = Array.from({ length: boxCount }, (_, index) => `127.0.0.${index + 2}`);
     const boxes: TestBox[] = [];
-    hosts.forEach(host => boxes.push(deployment.startBox({ host, seeds: boxes.map(({ peers }) => peers) })));
-    await eventually(() => boxes.every(box => box.running.isReady()), "the boxes are ready");
+    hosts.forEach(host =>
+        boxes.push(deployment.startBox({ host, seeds: boxes.map(({ peerAddress: peers }) => peers) }))
+    );
+    await waitUntil(() => boxes.every(box => box.running.isReady()), "the boxes are ready");
     const callers = startCallers(boxes);
     const runsOf = (servers: readonly ServerStandIn[]) => servers.reduce((sum, { runs }) => sum + runs.length, 0);
 
@@ -82,19 +84,19 @@
         async addTarget() {
             target.push(...await addServers("v2", "i-new"));
         },
-        order: (over = "8s") => deployment.orderVersion("profiles", "v2", over),
+        order: (over = "8s") => deployment.orderRollout("profiles", "v2", over),
         state: () => deployment.rolloutState("profiles"),
         targetRuns: () => runsOf(target),
         allRuns: () => runsOf(old) + runsOf(target),
-        written: state => eventually(() => deployment.rolloutState("profiles") === state, `${state} is written`),
+        written: state => waitUntil(() => deployment.rolloutState("profiles") === state, `${state} is written`),
         async restartAll() {
             await Promise.all(boxes.map(box => box.running.stop()));
             boxes.splice(
                 0,
                 boxes.length,
-                ...boxes.map((box, index) => deployment.startBox({ host: hosts[index], sameAs: box })),
+                ...boxes.map((box, index) => deployment.startBox({ host: hosts[index], replacing: box })),
             );
-            await eventually(() => boxes.every(box => box.running.isReady()), "the boxes are ready again");
+            await waitUntil(() => boxes.every(box => box.running.isReady()), "the boxes are ready again");
         },
         async close() {
             await callers.stop();
@@ -144,7 +146,7 @@
     async function ask(number: number): Promise<void> {
         const isWrite = number % 7 === 0;
         const { status } = await sendRequest({
-            address: boxes[number % boxes.length].callers,
+            address: boxes[number % boxes.length].callerAddress,
             host: testHost,
             path: isWrite ? "/save/x" : "/lookup/x",
             method: isWrite ? "POST" : "GET",
--- a/packages/testing/test/soak.test.ts
+++ b/packages/testing/test/soak.test.ts
@@ -9,11 +9,11 @@
 
 /** Seeds that ever failed stay here as they were drawn, each with its cause in the page of findings; 202 is one that did not. */
 const runs: readonly Omit<SoakOptions, "onEvent">[] = [
-    { seed: 1, length: 6000, faults: "first", boxes: 4, callers: 4 },
-    { seed: 106, length: 12_000, faults: "silences" },
-    { seed: 202, length: 6000, faults: "all" },
-    { seed: 2001, length: 12_000, faults: "limits" },
-    { seed: 3001, length: 12_000, faults: "notices" },
+    { seed: 1, faultDuration: 6000, faults: "first", boxes: 4, callers: 4 },
+    { seed: 106, faultDuration: 12_000, faults: "silences" },
+    { seed: 202, faultDuration: 6000, faults: "all" },
+    { seed: 2001, faultDuration: 12_000, faults: "limits" },
+    { seed: 3001, faultDuration: 12_000, faults: "notices" },
 ];
 
 describe("the fault soak", () => {
@@ -61,12 +61,12 @@
     const seen = (changes: Partial<Observations>): Observations => ({
         attempts: [attempt(200)],
         runs: [run()],
-        boxEnds: [],
-        surplus: [],
+        boxTerminations: [],
+        unsolicitedBytes: [],
         drained: new Map(),
-        evacuated: new Map(),
+        zoneClosures: new Map(),
         destinations: [{ path: "/save/", service: "profiles", from: 0, to: Infinity }],
-        keyEndsAt: () => undefined,
+        keyInvalidFrom: () => undefined,
         rollouts: [],
         recoveredFrom: 0,
         ...changes,
@@ -84,18 +84,20 @@
         expect(found({ runs: [run({ service: "packs" })] })).to.deep.equal(["route"]);
         expect(found({ runs: [run({ headers: { tenant: "school" } })] })).to.deep.equal(["customer"]);
         expect(found({ runs: [run({ headers: { tenant: "club", credential: "k" } })] })).to.deep.equal(["customer"]);
-        expect(found({ keyEndsAt: () => 50 })).to.deep.equal(["customer"]);
+        expect(found({ keyInvalidFrom: () => 50 })).to.deep.equal(["customer"]);
         expect(found({ drained: new Map([["i-1", { from: 50, to: Infinity }]]) })).to.deep.equal(["drain"]);
-        expect(found({ evacuated: new Map([["north-a", [{ from: 50, to: 150 }]]]) })).to.deep.equal(["evacuation"]);
+        expect(found({ zoneClosures: new Map([["north-a", [{ from: 50, to: 150 }]]]) })).to.deep.equal(["evacuation"]);
         expect(found({ attempts: [] })).to.deep.equal(["recovery"]);
-        expect(found({ surplus: [{ at: 50, box: "box", bytes: "HTTP/1.1 200 OK" }] })).to.deep.equal(["whole answers"]);
+        expect(found({ unsolicitedBytes: [{ at: 50, box: "box", bytes: "HTTP/1.1 200 OK" }] })).to.deep.equal([
+            "whole answers",
+        ]);
     });
 
     it("find pipelined requests that ran in vain, and those lost to a planned stop", () => {
         const unanswered = (kind: "unread" | "lost") => [{ ...attempt(0, ""), unanswered: { kind, at: 1000 } }];
         const end = (signal: NodeJS.Signals, at: number) => ({ box: "box", signal, at });
-        const lost = (...boxEnds: Observations["boxEnds"]) =>
-            found({ attempts: unanswered("lost"), boxEnds, recoveredFrom: Infinity });
+        const lost = (...boxEnds: Observations["boxTerminations"]) =>
+            found({ attempts: unanswered("lost"), boxTerminations: boxEnds, recoveredFrom: Infinity });
         expect(found({ attempts: unanswered("unread") })).to.deep.equal(["recovery", "unread"]);
         expect(found({ attempts: unanswered("unread"), runs: [] })).to.deep.equal(["recovery"]);
         expect(lost(end("SIGTERM", 500))).to.deep.equal(["recovery", "planned stop"]);
@@ -106,21 +108,21 @@
 
     it("find what boxes in touch with the store do later than the users' bounds, and no others", () => {
         const later = (promise: Breach["promise"], changes: Partial<Observations>, at: number) => {
-            const runs = [run({ at, caller: "127.0.0.9" })];
-            const inTouch = found({ ...changes, runs, isInTouch: () => true });
+            const runs = [run({ at, boxAddress: "127.0.0.9" })];
+            const inTouch = found({ ...changes, runs, isConnected: () => true });
             expect(inTouch.includes(promise), `${promise} at ${at}`).to.equal(true);
-            expect(found({ ...changes, runs, isInTouch: () => false })).not.to.include(promise);
+            expect(found({ ...changes, runs, isConnected: () => false })).not.to.include(promise);
             expect(found({ ...changes, runs })).not.to.include(promise);
         };
         // What is noted is by when any box must have followed, 7 s after the change.
         later("drain in touch", { drained: new Map([["i-1", { from: 7000, to: Infinity }]]) }, 2100);
-        later("evacuation in touch", { evacuated: new Map([["north-a", [{ from: 7000, to: 9000 }]]]) }, 5100);
+        later("evacuation in touch", { zoneClosures: new Map([["north-a", [{ from: 7000, to: 9000 }]]]) }, 5100);
         const sentAt = (at: number) => [{ ...attempt(200), at }];
-        later("customer in touch", { keyEndsAt: () => 7000, attempts: sentAt(3100) }, 3200);
+        later("customer in touch", { keyInvalidFrom: () => 7000, attempts: sentAt(3100) }, 3200);
         const ended = [{ path: "/save/", service: "profiles", from: 0, to: 7000 }];
         later("route in touch", { destinations: ended, attempts: sentAt(3100) }, 3200);
-        const soon = { runs: [run({ at: 2900, caller: "127.0.0.9" })], isInTouch: () => true };
-        expect(found({ ...soon, keyEndsAt: () => 7000, attempts: sentAt(2900) })).to.deep.equal([]);
+        const soon = { runs: [run({ at: 2900, boxAddress: "127.0.0.9" })], isConnected: () => true };
+        expect(found({ ...soon, keyInvalidFrom: () => 7000, attempts: sentAt(2900) })).to.deep.equal([]);
     });
 
     it("find too much at a server that names a limit, from boxes that know of it", () => {
@@ -128,10 +130,10 @@
         const runsEach = (interval: number, caller: string) =>
             Array.from(
                 { length: Math.ceil(12_000 / interval) },
-                (_, index) => run({ requestId: `l-${caller}-${index}`, at: index * interval, caller }),
+                (_, index) => run({ requestId: `l-${caller}-${index}`, at: index * interval, boxAddress: caller }),
             );
         const limitsBroken = (runs: readonly ObservedRun[], wasStruck = () => false) =>
-            found({ limits, runs, wasStruck }).filter(promise => promise === "limit").length;
+            found({ limits, runs, hadBoxFault: wasStruck }).filter(promise => promise === "limit").length;
         expect(limitsBroken(runsEach(400, "127.0.0.9"))).to.equal(0);
         expect(limitsBroken(runsEach(300, "127.0.0.9"))).to.equal(1);
         expect(limitsBroken([...runsEach(600, "127.0.0.8"), ...runsEach(600, "127.0.0.9")])).to.equal(1);
@@ -142,13 +144,14 @@
     it("find requests at a server that leaves by its answers, from a box that has passed one on", () => {
         const leaving = [{ server: "i-1", from: 0 }];
         const asked = (requestId: string, at: number) => ({ ...attempt(200), requestId, at });
-        const runAt = (requestId: string, at: number, caller = "127.0.0.9") => run({ requestId, at, caller });
+        const runAt = (requestId: string, at: number, caller = "127.0.0.9") =>
+            run({ requestId, at, boxAddress: caller });
         const broken = (sentAt: number, caller: string, wasStruck = false) =>
             found({
                 leaving,
                 attempts: [asked("r-1", 90), asked("r-2", sentAt)],
                 runs: [runAt("r-1", 100), runAt("r-2", sentAt + 10, caller)],
-                wasStruck: () => wasStruck,
+                hadBoxFault: () => wasStruck,
             }).includes("leaving");
         expect(broken(3700, "127.0.0.9")).to.equal(true);
         expect(broken(3500, "127.0.0.9")).to.equal(false);
@@ -157,16 +160,16 @@
     });
 
     it("find more than two requests of a box in the rest that a server asked it for", () => {
-        const arrival = (at: number, caller = "127.0.0.9") => ({ at, caller });
+        const arrival = (at: number, caller = "127.0.0.9") => ({ at, boxAddress: caller });
         const broken = (times: readonly number[], caller?: string, wasStruck = false) =>
             found({
-                rests: [{
+                backoffs: [{
                     server: "i-1",
-                    rest: 3000,
-                    asked: [arrival(100)],
-                    arrived: times.map(at => arrival(at, caller)),
+                    backoffMilliseconds: 3000,
+                    rejections: [arrival(100)],
+                    arrivals: times.map(at => arrival(at, caller)),
                 }],
-                wasStruck: () => wasStruck,
+                hadBoxFault: () => wasStruck,
             }).includes("rest");
         expect(broken([700, 800, 3000])).to.equal(true);
         expect(broken([700, 800, 3100])).to.equal(false);
@@ -177,9 +180,9 @@
 
     it("find what does not come back", () => {
         const back = { zones: ["north-a", "north-b"], boxes: [{ box: "box", status: 200 }] };
-        expect(found({ back })).to.deep.equal(["return"]);
-        expect(found({ back: { ...back, zones: ["north-a"] } })).to.deep.equal([]);
-        expect(found({ back: { zones: [], boxes: [{ box: "box", status: 503 }] } })).to.deep.equal(["return"]);
+        expect(found({ recoveryProbe: back })).to.deep.equal(["return"]);
+        expect(found({ recoveryProbe: { ...back, zones: ["north-a"] } })).to.deep.equal([]);
+        expect(found({ recoveryProbe: { zones: [], boxes: [{ box: "box", status: 503 }] } })).to.deep.equal(["return"]);
         expect(found({ attempts: [attempt(429)], runs: [], recoveredFrom: Infinity })).to.include("quota");
     });
 
--- a/packages/testing/test/store-epochs.test.ts
+++ b/packages/testing/test/store-epochs.test.ts
@@ -47,7 +47,7 @@
         let client: StateStore;
 
         beforeEach(async () => {
-            store = createMetadataStore({ clock: () => milliseconds(performance.now()), pageSize, era: 7 });
+            store = createMetadataStore({ clock: () => milliseconds(performance.now()), pageSize, epoch: 7 });
             server = await serveMetadataStore(store);
             client = createClient(server.address());
         });
@@ -68,7 +68,7 @@
 
         it("end a watch from a revision that was given out again, whether the store has it or not", async () => {
             shut("z-1");
-            const copy = store.copy();
+            const copy = store.takeSnapshot();
             shut("z-2", "z-3");
             const { revision } = await list("closedZones");
             for (const names of [[], ["z-4", "z-5", "z-6"]]) {
@@ -86,14 +86,14 @@
             const { revision } = await list("closedZones");
             const watch = client.watch("closedZones", revision, signal, milliseconds(20_000));
             await new Promise(resolve => setTimeout(resolve, 50));
-            store.restore(store.copy());
+            store.restore(store.takeSnapshot());
             await list("configuration");
             expect((await watch).kind).to.equal("historyLost");
         });
 
         it("do not mix in one list", async () => {
             shut("z-1", "z-2", "z-3");
-            const copy = store.copy();
+            const copy = store.takeSnapshot();
             server.setFault(({ kind }) => {
                 if (kind === "evacuations" && pages++ === 1) {
                     store.restore(copy);
@@ -107,7 +107,7 @@
 
         it("keep a write that was meant for an earlier one from another object's revision", async () => {
             store.put("rollouts", service, rolloutObject(service, "v2", "40s"));
-            const copy = store.copy();
+            const copy = store.takeSnapshot();
             store.put("rollouts", service, rolloutObject(service, "v2", "50s"));
             const order = (await client.readRollout(service, signal))!;
             store.restore(copy);
