--- /dev/null
+++ b/packages/decisions/test/timeouts.test.ts
@@ -0,0 +1,90 @@
+import { milliseconds } from "@chalkdale/kernel";
+import { expect } from "chai";
+import {
+    connectTimeoutOfRequest,
+    createShutdownSchedule,
+    idleTimeoutAfterAnswer,
+    jitteredBackoff,
+    maxIdleTimeBefore,
+    nextBackoff,
+    overdueThreshold,
+    requestTimeout,
+    snapshotDelay,
+} from "../src/index.js";
+
+describe("time limits", () => {
+    it("hold a request as long as both its caller and its route allow [P13]", () => {
+        const timeout = milliseconds(1500);
+        expect(requestTimeout(900, timeout)).to.equal(900);
+        expect(requestTimeout(9000, timeout)).to.equal(1500);
+        for (const none of [Number.NaN, 0, -5]) {
+            expect(requestTimeout(none, timeout)).to.equal(1500);
+        }
+    });
+
+    it("leave time for a second server while a connection comes up", () => {
+        expect(connectTimeoutOfRequest(milliseconds(10), milliseconds(2000))).to.equal(270);
+        expect(connectTimeoutOfRequest(milliseconds(10), milliseconds(100))).to.equal(40);
+    });
+
+    it("call no request overdue before the least time", () => {
+        expect(overdueThreshold(milliseconds(10))).to.equal(400);
+        expect(overdueThreshold(milliseconds(300))).to.equal(900);
+    });
+
+    it("use rested connections sooner for requests that may not run twice [P5]", () => {
+        expect(maxIdleTimeBefore(false)).to.be.lessThan(maxIdleTimeBefore(true));
+        expect(idleTimeoutAfterAnswer(milliseconds(2000))).to.equal(1000);
+        expect(idleTimeoutAfterAnswer(undefined)).to.be.at.most(maxIdleTimeBefore(true));
+    });
+});
+
+describe("the schedule of a planned stop [P7]", () => {
+    const schedule = createShutdownSchedule(milliseconds(6000));
+
+    it("takes new work at first, then waits for work in flight, and ends before the kill", () => {
+        expect(schedule.acceptRequestsFor).to.equal(2400);
+        expect(schedule.isDrainOver(milliseconds(2400), 1)).to.equal(false);
+        expect(schedule.isDrainOver(milliseconds(2400), 0)).to.equal(true);
+        expect(schedule.isDrainOver(milliseconds(5700), 1)).to.equal(true);
+    });
+
+    it("lets callers read the last answer as far as the grace allows", () => {
+        expect(schedule.lingerFor(milliseconds(2400))).to.equal(600);
+        expect(schedule.lingerFor(milliseconds(5500))).to.be.closeTo(200, 1e-6);
+        expect(schedule.lingerFor(milliseconds(5900))).to.equal(0);
+    });
+});
+
+describe("the refresh of a copy [P8]", () => {
+    const inputs = {
+        hasCopy: true,
+        alwaysFollowsStore: false,
+        isStoreUnavailable: false,
+        isStale: false,
+        isSameRegion: true,
+    };
+
+    it("waits for nothing without a copy [P17]", () => {
+        expect(snapshotDelay({ ...inputs, hasCopy: false })).to.equal(0);
+    });
+
+    it("leaves the ordinary way a head start, the shortest where it is nearest", () => {
+        const relay = snapshotDelay(inputs);
+        const watch = snapshotDelay({ ...inputs, alwaysFollowsStore: true });
+        const otherRegion = snapshotDelay({ ...inputs, isSameRegion: false });
+        expect(relay).to.be.lessThan(watch);
+        expect(watch).to.be.lessThan(otherRegion);
+        expect(snapshotDelay({ ...inputs, isSameRegion: false, isStoreUnavailable: true })).to.equal(watch);
+        expect(snapshotDelay({ ...inputs, isSameRegion: false, isStale: true })).to.equal(relay);
+        expect(snapshotDelay({ ...inputs, alwaysFollowsStore: true, isStoreUnavailable: true })).to.equal(relay);
+    });
+
+    it("doubles the pauses between failed calls up to a bound, and spreads them", () => {
+        expect(nextBackoff(milliseconds(150), true)).to.equal(300);
+        expect(nextBackoff(milliseconds(1000), true)).to.equal(1200);
+        expect(nextBackoff(milliseconds(2000), false)).to.equal(2500);
+        expect(jitteredBackoff(milliseconds(1000), 0)).to.equal(700);
+        expect(jitteredBackoff(milliseconds(1000), 1)).to.be.closeTo(1300, 1e-6);
+    });
+});
