--- a/packages/decisions/src/limits/quota/coordinator-liveness.ts
+++ b/packages/decisions/src/limits/quota/coordinator-liveness.ts
@@ -1,52 +1,54 @@
 /**
- * Which of the boxes that count answer reports. One that stands still, is cut off or has just started gives no
- * leases until the members know of it, 2 to 4 s later; meanwhile the next one of the ranking counts.
+ * Detects which quota coordinators answer reports. A coordinator whose process is paused, that is cut off or that has
+ * just started sends no leases, and membership detects this only after 2 to 4 s; until then the next coordinator of the
+ * ranking takes over.
  *
- * Owns since when each box has left a report unanswered.
+ * Owns the time since which each box has left a report unanswered.
  */
 
 import type { BoxId, Milliseconds } from "@chalkdale/kernel";
 
-/** The answers of the boxes that count, as one box sees them. */
+/** Failure detector for the quota coordinators, as seen by one box. */
 export interface CoordinatorLiveness {
-    /** A report goes to a box. */
+    /** A report was sent to a box. */
     readonly onReportSent: (box: BoxId, at: Milliseconds) => void;
     /** A box has sent leases. */
     readonly onLeasesReceived: (box: BoxId) => void;
-    /** Those of the boxes that answer; all of them if none does. */
-    readonly responsive: (counters: readonly BoxId[], at: Milliseconds) => readonly BoxId[];
+    /** Returns the responsive boxes among the given ones; all of them if none is responsive. */
+    readonly responsive: (coordinators: readonly BoxId[], at: Milliseconds) => readonly BoxId[];
 }
 
 /**
- * Milliseconds after which a report counts as unanswered: two rounds of messages, and the way between regions and back. A third box has to
- * take over within the time for which the burst of a lease is used, where both that count are silent.
+ * Milliseconds after which a report counts as unanswered: two rounds of messages and the round trip between regions. If
+ * both coordinators of a customer are unresponsive, a third box has to take over before the burst of the last lease
+ * expires.
  */
-const answersWithin = 700;
-/** Milliseconds after which a box that was silent is asked again: until then the members know if it has failed. */
-const silentFor = 3000;
+const reportTimeout = 700;
+/** Milliseconds after which an unresponsive box is tried again. By then membership knows whether it has failed. */
+const retryInterval = 3000;
 
-/** Creates the answers; every box counts as answering. */
+/** Creates a detector for which every box is responsive. */
 export function createCoordinatorLiveness(): CoordinatorLiveness {
     const unansweredSince = new Map<BoxId, Milliseconds>();
 
     return {
         onReportSent(box, at) {
             const since = unansweredSince.get(box);
-            if (since === undefined || at - since >= silentFor) {
+            if (since === undefined || at - since >= retryInterval) {
                 unansweredSince.set(box, at);
             }
         },
         onLeasesReceived(box) {
             unansweredSince.delete(box);
         },
-        responsive(counters, at) {
-            const known = counters.filter(box => !isSilent(box, at));
-            return known.length > 0 ? known : counters;
+        responsive(coordinators, at) {
+            const responding = coordinators.filter(box => !isUnresponsive(box, at));
+            return responding.length > 0 ? responding : coordinators;
         },
     };
 
-    function isSilent(box: BoxId, at: Milliseconds): boolean {
+    function isUnresponsive(box: BoxId, at: Milliseconds): boolean {
         const since = unansweredSince.get(box);
-        return since !== undefined && at - since >= answersWithin && at - since < silentFor;
+        return since !== undefined && at - since >= reportTimeout && at - since < retryInterval;
     }
 }
--- a/packages/decisions/src/limits/quota/coordinator-set.ts
+++ b/packages/decisions/src/limits/quota/coordinator-set.ts
@@ -1,98 +1,112 @@
 /**
- * Which boxes count customers' requests, and which of them counts for a customer:
- * both by rendezvous hashing, so that every box finds the same ones as long as
- * boxes know each other.
+ * Selects the boxes that coordinate quotas and roll-outs, and the coordinator of each customer or service among them.
+ * Both use rendezvous hashing, so boxes with the same view of the membership select the same ones.
  *
- * A box that suddenly knows less than half of the boxes that it knew is more
- * likely cut off than one of a few that are left. Then nobody new counts: leases
- * go on for as long as they hold, and the quota is not given out twice.
+ * A box that suddenly sees less than half of the boxes that it saw before is more likely cut off than one of a few
+ * survivors. It then selects no coordinators: its leases stay in use until they expire, and no quota is allocated
+ * twice.
  *
- * Owns the most boxes of the last seconds; relies on the members.
+ * Owns the peak number of running boxes over the last seconds; relies on the membership.
  */
 
 import { type BoxId, type CustomerId, hashText, type Milliseconds, type ServiceId } from "@chalkdale/kernel";
 import { rendezvousScore } from "../../choose/rendezvous.js";
 import { leaseLifetime } from "./quota-messages.js";
 
-/** What a box knows of the others. */
+/** A box's view of all boxes. */
 interface KnownBoxes {
-    /** Boxes that callers are named. */
+    /** Boxes that the directory returns to callers. */
     readonly named: readonly BoxId[];
-    /** Boxes that run, named or not. How many are named changes with the load, so it does not show who is cut off. */
+    /**
+     * Number of running boxes, whether the directory returns them or not. The number that it returns changes with the
+     * load, so it can't show that this box is cut off.
+     */
     readonly aliveCount: number;
 }
 
-/** Finds the boxes that count. */
+/** The coordinators, as one box selects them. */
 export interface CoordinatorSet {
-    /** Takes what is known now; due some times a second. */
+    /** Selects the coordinators for the current view. To be called several times a second. */
     readonly update: (known: KnownBoxes, at: Milliseconds) => void;
-    /** The boxes that count; none while this box may be cut off. */
+    /** The coordinators; empty while this box may be cut off. */
     readonly current: () => readonly BoxId[];
-    /** Milliseconds for which the same boxes have counted, two or more of them known; 0 while this box knows only itself. */
+    /**
+     * Milliseconds for which the coordinators have been the same and two or more boxes known; 0 while this box knows
+     * only itself.
+     */
     readonly unchangedFor: (at: Milliseconds) => number;
-    /** Boxes that may admit requests, whether this box reaches them or not; 1 at least. */
+    /** Number of boxes that may admit requests, whether this box reaches them or not; at least 1. */
     readonly boxCount: () => number;
 }
 
-/** Boxes that count for one customer at the same time. */
-const countersAtOnce = 2;
-/** Hash by which the boxes that count are chosen. */
-const countersHash = hashText("quota counters");
-/** Part of the most boxes below which a box may be cut off. A region of three may be lost, and with it a third. */
-const leastKnownPart = 0.5;
+/** Coordinators that allocate one customer's quota at the same time. */
+const coordinatorsPerCustomer = 2;
+/** Hash that ranks the boxes for the selection of coordinators. */
+const coordinatorsHash = hashText("quota counters");
+/**
+ * Fraction of the peak number of boxes below which this box may be cut off. Losing one of three regions loses only a
+ * third.
+ */
+const minKnownFraction = 0.5;
 
-/** Creates the search of one box that knows none yet. */
+/** Creates the set of a box that knows no boxes yet. */
 export function createCoordinatorSet(): CoordinatorSet {
-    let most = { count: 0, at: 0 };
-    let counters: readonly BoxId[] = [];
-    let namedCount = 1;
+    let peak = { count: 0, at: 0 };
+    let coordinators: readonly BoxId[] = [];
+    let advertisedCount = 1;
     let changedAt: Milliseconds | undefined;
 
     return {
-        update({ aliveCount, named }, at) {
-            if (aliveCount < mostAlive(aliveCount, at) * leastKnownPart) {
-                counters = [];
+        update({ aliveCount, named: advertised }, at) {
+            if (aliveCount < peakCount(aliveCount, at) * minKnownFraction) {
+                coordinators = [];
                 return;
             }
-            // Of N boxes the root of N count: each box sends so many messages a round, and each that counts takes as many more.
-            setCounters(rank(countersHash, named).slice(0, Math.ceil(Math.sqrt(named.length))), at);
-            namedCount = Math.max(1, named.length);
+            // With the square root of N coordinators, each box sends that many messages a round and each coordinator
+            // receives that many times more.
+            setCoordinators(
+                rankBoxes(coordinatorsHash, advertised).slice(0, Math.ceil(Math.sqrt(advertised.length))),
+                at,
+            );
+            advertisedCount = Math.max(1, advertised.length);
         },
-        current: () => counters,
-        unchangedFor: at => namedCount < 2 || changedAt === undefined ? 0 : at - changedAt,
-        boxCount: () => namedCount,
+        current: () => coordinators,
+        unchangedFor: at => advertisedCount < 2 || changedAt === undefined ? 0 : at - changedAt,
+        boxCount: () => advertisedCount,
     };
 
-    function setCounters(next: readonly BoxId[], at: Milliseconds): void {
-        if (changedAt === undefined || next.join() !== counters.join()) {
+    function setCoordinators(next: readonly BoxId[], at: Milliseconds): void {
+        if (changedAt === undefined || next.join() !== coordinators.join()) {
             changedAt = at;
         }
-        counters = next;
+        coordinators = next;
     }
 
-    /** The most of the time for which leases hold. */
-    function mostAlive(count: number, at: Milliseconds): number {
-        if (count >= most.count || at - most.at > leaseLifetime) {
-            most = { count, at };
+    /** Returns the peak number of running boxes over the lifetime of a lease. */
+    function peakCount(count: number, at: Milliseconds): number {
+        if (count >= peak.count || at - peak.at > leaseLifetime) {
+            peak = { count, at };
         }
-        return most.count;
+        return peak.count;
     }
 }
 
-/** Returns the box that counts for a customer, or decides on a service's roll-outs; undefined if none does. */
-export function coordinatorFor(counted: CustomerId | ServiceId, counters: readonly BoxId[]): BoxId | undefined {
-    return rank(hashText(counted), counters).at(0);
+/**
+ * Returns the box that coordinates a customer's quota or a service's roll-outs; undefined if there are no coordinators.
+ */
+export function coordinatorFor(subject: CustomerId | ServiceId, coordinators: readonly BoxId[]): BoxId | undefined {
+    return rankBoxes(hashText(subject), coordinators).at(0);
 }
 
 /**
- * Returns the boxes that count for a customer at the same time, the one whose leases are used first: each hears all reports, so that the second
- * goes on where the first stands still, and nobody waits for it.
+ * Returns the coordinators of a customer, primary first. Both receive all reports, so the standby can take over without
+ * delay while the primary's process is paused.
  */
-export function coordinatorPairFor(customer: CustomerId, counters: readonly BoxId[]): readonly BoxId[] {
-    return rank(hashText(customer), counters).slice(0, countersAtOnce);
+export function coordinatorPairFor(customer: CustomerId, coordinators: readonly BoxId[]): readonly BoxId[] {
+    return rankBoxes(hashText(customer), coordinators).slice(0, coordinatorsPerCustomer);
 }
 
-function rank(hash: number, boxes: readonly BoxId[]): readonly BoxId[] {
+function rankBoxes(hash: number, boxes: readonly BoxId[]): readonly BoxId[] {
     const scores = new Map(boxes.map(box => [box, rendezvousScore(hash, hashText(box), 1)]));
     return [...boxes].sort((a, b) => scores.get(b)! - scores.get(a)!);
 }
--- a/packages/decisions/src/limits/quota/effective-quota.ts
+++ b/packages/decisions/src/limits/quota/effective-quota.ts
@@ -1,27 +1,29 @@
 /**
- * The quota that boxes share out: the customer's, and a part of what the
- * deployment tolerates beyond it, since parts of a small number of requests are
- * never exact.
+ * The quota that is divided among the boxes: the customer's quota and a part of the deployment's tolerance, since the
+ * shares of a few requests are never exact.
  *
  * Owns no state.
  */
 
 import type { CustomerQuota } from "../../shared-state/configuration.js";
 
-/** What a deployment tolerates in one window. */
+/** By how much a deployment lets the requests of one window exceed a quota. */
 export interface QuotaTolerance {
-    /** Part of the quota beyond it. */
+    /** Fraction of the quota by which it may be exceeded. */
     readonly over: number;
-    /** Requests beyond that. */
+    /** Requests that may be admitted in addition. */
     readonly slack: number;
 }
 
-/** Part of the tolerated part that is used; the rest covers reports that are on the way. */
-const usedPartOfOver = 0.2;
-/** The same of the tolerated requests: the parts of a customer with few callers are less than a request. */
-const usedPartOfSlack = 0.6;
+/** Fraction of `over` that is divided among the boxes. The remainder covers reports that are in transit. */
+const usedFractionOfOver = 0.2;
+/**
+ * Fraction of `slack` that is divided among the boxes: a box's share for a customer with few callers is less than one
+ * request.
+ */
+const usedFractionOfSlack = 0.6;
 
-/** Returns the quota to share out. */
+/** Returns the quota to divide among the boxes. */
 export function effectiveQuota({ burst, rate }: CustomerQuota, { over, slack }: QuotaTolerance): CustomerQuota {
-    return { rate: rate * (1 + over * usedPartOfOver), burst: burst + slack * usedPartOfSlack };
+    return { rate: rate * (1 + over * usedFractionOfOver), burst: burst + slack * usedFractionOfSlack };
 }
--- a/packages/decisions/src/limits/quota/quota-allocator.ts
+++ b/packages/decisions/src/limits/quota/quota-allocator.ts
@@ -1,12 +1,12 @@
 /**
- * Counts one customer's requests over all boxes, and says which part of the
- * quota each box may use. One box counts for a customer at a time.
+ * Allocates one customer's quota among the boxes: takes the reports of all boxes and answers each with a lease. A
+ * customer has a primary and a standby coordinator; each runs an allocator of its own.
  *
- * Parts follow the demand that each box saw, so callers that choose among few boxes are
- * not refused while other boxes have room; what was let in too much is in the level
- * (`quota-level`), and smaller parts make up for it.
+ * Shares follow the demand that each box reports, so callers that use few boxes are not refused while the shares of
+ * other boxes are unused. Requests admitted beyond the quota lower the level (see `quota-level`), and smaller shares
+ * compensate for them.
  *
- * Owns the boxes' demands and leases; all of it may be lost.
+ * Owns the demand and the lease of each box; all of it may be lost.
  */
 
 import type { BoxId, CustomerId, Milliseconds } from "@chalkdale/kernel";
@@ -14,26 +14,27 @@
 import { coordinatorSettleTime, createQuotaLevel, type PresumedUse } from "./quota-level.js";
 import { leaseLifetime, type QuotaLease, type QuotaReport } from "./quota-messages.js";
 
-/** Counts for one customer. */
+/** Allocates the quota of one customer. */
 export interface QuotaAllocator {
     /**
-     * True if no box has reported for so long that another box may have counted meanwhile. Where all boxes have given back their leases,
-     * nobody has asked since, as long as the same boxes count.
+     * True if no box has reported for so long that another coordinator may have allocated the quota in the meantime. If
+     * all boxes have returned their leases, no requests have come since, as long as the coordinators are the same.
      */
-    readonly isStale: (at: Milliseconds, countersUnchangedFor: number) => boolean;
+    readonly isStale: (at: Milliseconds, coordinatorsUnchangedFor: number) => boolean;
     /**
-     * True if the box is better served by the lease that it has of another counter: until this one has heard of all boxes, it gives out
-     * little more than equal parts. A box that has once had a lease of this one gets all later ones.
+     * True if the box should keep its lease of another coordinator: until this one has reports of all boxes, it
+     * allocates little more than equal shares. Once a box has had a lease of this coordinator, no lease is withheld
+     * from it.
      */
     readonly withholdsLease: (box: BoxId, report: QuotaReport, at: Milliseconds) => boolean;
-    /** Takes a box's report and answers with its part. */
+    /** Takes a box's report and returns the box's lease. */
     readonly onReport: (box: BoxId, report: QuotaReport, context: QuotaContext) => QuotaLease;
 }
 
-/** What a report is answered by, besides the reports. */
+/** What a lease depends on, besides the reports. */
 interface QuotaContext {
     readonly quota: CustomerQuota;
-    /** Boxes that callers are named. */
+    /** Number of boxes that the directory returns to callers. */
     readonly boxCount: number;
     readonly at: Milliseconds;
 }
@@ -41,53 +42,61 @@
 /** Milliseconds over which a box's demand is averaged: two rounds of reports. */
 const demandWindow = 500;
 /**
- * Milliseconds in which a level above or below zero is given out or made up for: several times the delay of a report and
- * its answer, 0.3 to 0.4 s, so that the level does not swing.
+ * Milliseconds over which a level above or below zero is allocated or compensated for: several times the delay from a
+ * report to its lease, 0.3 to 0.4 s, so that the level does not oscillate.
  */
 const levelWindow = 2000;
-/** Milliseconds after which a box that has not reported counts as silent: the interval of calm reports, two rounds and the way. */
+/**
+ * Milliseconds without a report after which a box is silent: the report interval with headroom, two rounds and the
+ * delay.
+ */
 const silentAfter = 2200;
-/** Part of the rate that is given out at least, however far the bucket is below zero. */
-const leastPartOfRate = 0.1;
+/** Fraction of the rate that is always allocated, however far the level is below zero. */
+const minRateFraction = 0.1;
 /**
- * Times the level that the bursts of all boxes make up together: a customer's callers use few boxes at a time, and what is
- * too much is charged within a round.
+ * The bursts of all boxes add up to this many times the level: a customer's callers use few boxes at a time, and
+ * requests beyond the quota are charged within one round.
  */
 const burstOvercommit = 2;
 /**
- * Part of the burst above which the level shows that the customer is calm. A measure by demand would take
- * single requests of small customers for much.
+ * Fraction of the burst above which the level means headroom. A criterion based on demand would overrate single
+ * requests of small customers.
+ */
+const headroomFraction = 0.5;
+/**
+ * The same for the first lease of a box: callers that move to another box bring their rate along at once, and what they
+ * used at the previous box is charged later.
  */
-const calmPart = 0.5;
+const firstLeaseHeadroomFraction = 0.4;
 /**
- * The same for the first lease of a box: callers that move to another box bring their rate along at once, and what they asked for where they
- * were is charged later.
+ * Milliseconds added to `demandWindow`, divided by one plus the reported requests: few requests say little about a
+ * rate.
  */
-const calmPartOfFirst = 0.4;
-/** Milliseconds added to the window of demand for a report of one request, less for more: single requests say little of a rate. */
 const fewRequestsWindow = 3000;
 
-/** Milliseconds without a report after which a counter knows too little: twice the interval of calm reports. */
+/**
+ * Milliseconds without any report after which an allocator knows too little: twice the report interval with headroom.
+ */
 const staleAfter = 3000;
 
 /**
- * Milliseconds for which a lease of another counter is better than one of a counter that has just begun: an older one has to last until the
- * next report of a calm customer.
+ * Age in milliseconds up to which another coordinator's lease is better than one of a new coordinator. An older lease
+ * might not last until the box's next report, which comes later while the customer has headroom.
  */
-const leaseFresh = 1000;
+const maxFreshLeaseAge = 1000;
 
-/** What a box asked for last, and what it was given. */
+/** The latest demand of a box, and its lease. */
 interface BoxDemand extends PresumedUse {
-    /** Requests a second. */
+    /** Demand in requests a second, refused ones included. */
     rate: number;
     reportedAt: Milliseconds;
 }
 
 /**
- * Starts to count at the given time.
+ * Creates the allocator of a box that becomes coordinator at the given time.
  *
- * @param earned requests that the customer has not used, since no box but this one can have counted for it; 0 where another one
- * may have, whose leases the boxes still use.
+ * @param earned requests that the customer has earned and not used, known because no other box can have been its
+ * coordinator; 0 if another one may have been, whose leases may still be in use.
  */
 export function createQuotaAllocator(startedAt: Milliseconds, earned = 0): QuotaAllocator {
     const demands = new Map<BoxId, BoxDemand>();
@@ -96,12 +105,12 @@
     let reportedAt = startedAt;
 
     return {
-        isStale(at, countersUnchangedFor) {
+        isStale(at, coordinatorsUnchangedFor) {
             const silentFor = at - reportedAt;
-            return silentFor > staleAfter && (demands.size > 0 || silentFor > countersUnchangedFor);
+            return silentFor > staleAfter && (demands.size > 0 || silentFor > coordinatorsUnchangedFor);
         },
         withholdsLease(box, { lastLevel }, at) {
-            const hasFreshLease = lastLevel !== undefined && lastLevel.age < leaseFresh;
+            const hasFreshLease = lastLevel !== undefined && lastLevel.age < maxFreshLeaseAge;
             if (isSettling(at) && hasFreshLease && !leasedTo.has(box)) {
                 return true;
             }
@@ -114,9 +123,9 @@
             level.advance(quota, at, [...demands.values()].filter(demand => isSilent(demand, at)));
             level.reconcile(report, quota, at, known === undefined);
             level.charge(report.admitted, known);
-            const own = noteDemand(box, report, at);
-            const lease = leaseOf(box, own.rate, known === undefined, report.customer, context);
-            own.leasedRate = lease.rate;
+            const boxDemand = updateDemand(box, report, at);
+            const lease = leaseFor(box, boxDemand.rate, known === undefined, report.customer, context);
+            boxDemand.leasedRate = lease.rate;
             reportedAt = at;
             if (report.requested === 0) {
                 demands.delete(box);
@@ -129,9 +138,9 @@
         return at - startedAt < coordinatorSettleTime;
     }
 
-    function leaseOf(
+    function leaseFor(
         box: BoxId,
-        own: number,
+        ownDemand: number,
         isFirst: boolean,
         customer: CustomerId,
         { at, boxCount, quota }: QuotaContext,
@@ -140,49 +149,50 @@
         const boxes = Math.max(1, boxCount, demands.size);
         const current = level.current();
         if (isSettling(at)) {
-            const rate = Math.min(partOf(own, demand, quota.rate, boxes), unleased(box, quota.rate, boxes));
-            const isCalm = earned > 0 && current > quota.burst * calmPart;
-            return { customer, rate, burst: Math.max(1, current / boxes), hasHeadroom: isCalm, level: current };
+            const rate = Math.min(shareOf(ownDemand, demand, quota.rate, boxes), unleasedRate(box, quota.rate, boxes));
+            const hasHeadroom = earned > 0 && current > quota.burst * headroomFraction;
+            return { customer, rate, burst: Math.max(1, current / boxes), hasHeadroom, level: current };
         }
-        // Below the rate the bursts give the level out.
+        // While demand is below the rate, the bursts alone allocate a positive level.
         const fromLevel = demand > quota.rate || current < 0 ? current * 1000 / levelWindow : 0;
-        const usable = Math.max(quota.rate * leastPartOfRate, quota.rate + fromLevel);
+        const usable = Math.max(quota.rate * minRateFraction, quota.rate + fromLevel);
         return {
             customer,
-            rate: partOf(own, demand, usable, boxes),
+            rate: shareOf(ownDemand, demand, usable, boxes),
             burst: Math.max(1, burstOvercommit * current / boxes),
-            hasHeadroom: current > quota.burst * (isFirst ? calmPartOfFirst : calmPart),
+            hasHeadroom: current > quota.burst * (isFirst ? firstLeaseHeadroomFraction : headroomFraction),
             level: current,
         };
     }
 
     /**
-     * What the leases of the other boxes leave of the rate, an equal part at least. A box that has not reported may have a lease of
-     * another box that counted, an equal part on average; else it has none and reports with its first request. With equal parts for all
-     * a customer far within its quota would be refused whose callers use few of the boxes.
+     * Returns the part of the rate that is not leased to other boxes, at least an equal share. If another box may have
+     * been coordinator, each box that has not reported is presumed to hold a lease of an equal share; otherwise it has
+     * no lease and will report with its first request. Equal shares for all boxes would refuse requests of a customer
+     * well within its quota if its callers use few of the boxes.
      */
-    function unleased(box: BoxId, rate: number, boxes: number): number {
-        const equalPart = rate / boxes;
-        const unheard = earned > 0 ? 0 : boxes - demands.size;
-        let left = rate - unheard * equalPart;
+    function unleasedRate(box: BoxId, rate: number, boxes: number): number {
+        const equalShare = rate / boxes;
+        const unreported = earned > 0 ? 0 : boxes - demands.size;
+        let left = rate - unreported * equalShare;
         for (const [other, { leasedRate }] of demands) {
             left -= other === box ? 0 : leasedRate;
         }
-        return Math.max(left, equalPart);
+        return Math.max(left, equalShare);
     }
 
-    function noteDemand(box: BoxId, report: QuotaReport, at: Milliseconds): BoxDemand {
+    function updateDemand(box: BoxId, report: QuotaReport, at: Milliseconds): BoxDemand {
         const since = Math.max(1, report.since);
-        const seen = report.requested * 1000 / since;
+        const observedRate = report.requested * 1000 / since;
         const demand = demands.get(box) ?? { rate: 0, leasedRate: 0, reportedAt: at, presumed: 0 };
         const window = demandWindow + fewRequestsWindow / (1 + report.requested);
-        demand.rate += (seen - demand.rate) * Math.min(1, since / window);
+        demand.rate += (observedRate - demand.rate) * Math.min(1, since / window);
         demand.reportedAt = at;
         demands.set(box, demand);
         return demand;
     }
 
-    /** Requests a second that boxes ask for; one that is silent may be gone. */
+    /** Returns the demand of all boxes in requests a second. Silent boxes don't count, since they may have stopped. */
     function sumDemand(at: Milliseconds): number {
         let sum = 0;
         for (const [box, known] of demands) {
@@ -197,12 +207,15 @@
     }
 }
 
-/** True for a box that may be cut off: it still has its lease. */
+/** True for a box that may be cut off while it still uses its lease. */
 function isSilent({ reportedAt }: BoxDemand, at: Milliseconds): boolean {
     return at - reportedAt > silentAfter && at - reportedAt <= leaseLifetime;
 }
 
-/** A box's part of what may be given out: its demand and an equal part of the rest, or as much less as all ask for more. */
-function partOf(own: number, demand: number, usable: number, boxes: number): number {
-    return demand > usable ? usable * own / demand : own + (usable - demand) / boxes;
+/**
+ * Returns a box's share of the usable rate: its demand and an equal part of what demand leaves over, or, if the total
+ * demand exceeds the usable rate, a share in proportion to its demand.
+ */
+function shareOf(ownDemand: number, demand: number, usable: number, boxes: number): number {
+    return demand > usable ? usable * ownDemand / demand : ownDemand + (usable - demand) / boxes;
 }
--- a/packages/decisions/src/limits/quota/quota-level.ts
+++ b/packages/decisions/src/limits/quota/quota-level.ts
@@ -1,23 +1,22 @@
 /**
- * The level of one customer's quota: a token bucket of all boxes together, charged
- * with what they tell, and with what silent ones may use.
+ * The level of one customer's quota: a token bucket over all boxes, charged with the requests that boxes report and
+ * with those that silent boxes may be admitting.
  *
- * It may go below zero, since boxes admit first and report later. A box that begins to
- * count starts with the level that boxes were told last, or an almost empty bucket: a
- * start grants no new burst.
+ * The level may go below zero, since boxes admit first and report later. A new coordinator starts with the level that
+ * boxes last received from the previous one, or with an almost empty bucket, so a restart grants no new burst.
  *
- * Owns the level; relies on the counter for who is silent.
+ * Owns the level; relies on the allocator to say which boxes are silent.
  */
 
 import type { Milliseconds } from "@chalkdale/kernel";
 import type { CustomerQuota } from "../../shared-state/configuration.js";
 import type { QuotaReport } from "./quota-messages.js";
 
-/** What a silent box may use. */
+/** What a silent box may be using. */
 export interface PresumedUse {
     /** Rate of its last lease, in requests a second. */
     leasedRate: number;
-    /** What it is taken to have let in since it fell silent, in requests. */
+    /** Requests that it is presumed to have admitted since its last report. */
     presumed: number;
 }
 
@@ -25,37 +24,40 @@
 export interface QuotaLevel {
     readonly current: () => number;
     /**
-     * Time goes on. A silent box may go on by its last lease, which nobody tells until it is back. Without that in the level, what it
-     * uses would be given out again.
+     * Refills the bucket up to the given time. Silent boxes may go on using their last leases and report it only once
+     * they are reachable again, so that use is charged here; otherwise it would be allocated a second time.
      */
     readonly advance: (quota: CustomerQuota, at: Milliseconds, silent: readonly PresumedUse[]) => void;
     /**
-     * A report tells what the box that counted before knew, and what nobody has counted since. Without that, what was let in
-     * too much would be forgotten whenever the box that counts is lost.
+     * Merges the level that a report carries from the previous coordinator, and the requests that no coordinator has
+     * acknowledged. Without this, requests admitted beyond the quota would be forgotten whenever a coordinator is lost.
      *
-     * @param isFirst the box has not reported to this one before.
+     * @param isFirst this is the box's first report to this coordinator.
      */
     readonly reconcile: (report: QuotaReport, quota: CustomerQuota, at: Milliseconds, isFirst: boolean) => void;
-    /** A box has told what it let in, which takes the place of what was presumed. */
+    /** Charges the requests that a box reports as admitted, in place of those presumed for it. */
     readonly charge: (admitted: number, use: PresumedUse | undefined) => void;
 }
 
 /**
- * Milliseconds in which a box that begins to count hears of all others: two rounds of reports and the way. Until then its leases stay
- * within the rate.
+ * Milliseconds in which a new coordinator receives reports from all boxes: two rounds of reports and their delay. Until
+ * then its leases add up to no more than the rate.
  */
 export const coordinatorSettleTime = 700;
-/** Requests in the bucket of a box that begins to count: what deployments tolerate besides, so that small customers need not wait. */
-const firstLevel = 10;
+/**
+ * Requests in a new coordinator's bucket. Deployments tolerate that many beyond the quota, and small customers need not
+ * wait.
+ */
+const initialLevel = 10;
 
-/** Creates the level of a box that begins to count; `earned` as for the counter. */
+/** Creates the level of a new coordinator; `earned` as for `createQuotaAllocator`. */
 export function createQuotaLevel(startedAt: Milliseconds, earned: number): QuotaLevel {
-    let level = firstLevel + earned;
+    let level = initialLevel + earned;
     let advancedAt = startedAt;
-    /** When reports came again after a pause. */
+    /** Time of the first report after a pause. */
     let resumedAt = -Infinity;
-    /** True once a box has told the level that another one knew which counted before. */
-    let knowsLevel = false;
+    /** True once a box has reported the level of the previous coordinator. */
+    let hasPreviousLevel = false;
 
     return {
         current: () => level,
@@ -70,16 +72,16 @@
             resumedAt = passed > coordinatorSettleTime ? at : resumedAt;
             advancedAt = at;
         },
-        reconcile({ lastLevel, unacknowledged: unanswered = 0 }, quota, at, isFirst) {
-            const told = lastLevel && Math.min(quota.burst, lastLevel.level + quota.rate * lastLevel.age / 1000);
+        reconcile({ lastLevel, unacknowledged = 0 }, quota, at, isFirst) {
+            const reported = lastLevel && Math.min(quota.burst, lastLevel.level + quota.rate * lastLevel.age / 1000);
             if (isFirst && at - startedAt < coordinatorSettleTime) {
-                level += told === undefined || knowsLevel ? 0 : told - firstLevel;
-                knowsLevel ||= told !== undefined;
-                level -= unanswered;
+                level += reported === undefined || hasPreviousLevel ? 0 : reported - initialLevel;
+                hasPreviousLevel ||= reported !== undefined;
+                level -= unacknowledged;
             }
-            // Another box may have counted while this one stood still.
-            if (told !== undefined && at - resumedAt < coordinatorSettleTime) {
-                level = Math.min(level, told);
+            // Another coordinator may have taken over while this process was paused.
+            if (reported !== undefined && at - resumedAt < coordinatorSettleTime) {
+                level = Math.min(level, reported);
             }
         },
         charge(admitted, use) {
--- a/packages/decisions/src/limits/quota/quota-share.ts
+++ b/packages/decisions/src/limits/quota/quota-share.ts
@@ -1,138 +1,147 @@
 /**
- * One box's part of one customer's quota: a token bucket by the lease of the box
- * that counts for the customer.
+ * One box's share of one customer's quota: a token bucket that follows the lease of the customer's coordinator.
  *
- * Without a lease, as after a start or when the counting box is lost, the part is
- * small enough that the parts of all boxes together stay within the quota.
+ * Without a lease, as after a start or the loss of the coordinator, the share is small enough that the shares of all
+ * boxes together stay within the quota.
  *
- * Owns the bucket and what was seen since the last report.
+ * Owns the bucket and the counts of requests since the last report.
  */
 
 import { type CustomerId, type Milliseconds, milliseconds } from "@chalkdale/kernel";
 import type { CustomerQuota } from "../../shared-state/configuration.js";
 import { leaseLifetime, type QuotaLease, type QuotaReport, type ReportedLevel } from "./quota-messages.js";
 
-/** What decides on a request, besides the bucket. */
+/** What the decision on a request depends on, besides the bucket. */
 interface QuotaShareContext {
     readonly quota: CustomerQuota;
-    /** Boxes that may admit requests of the customer. */
+    /** Number of boxes that may admit requests of the customer. */
     readonly boxCount: number;
-    /** Time since the start of this box while there may be none that counts; undefined after that. */
+    /** Time since the start of this box while there may be no coordinator yet; undefined after that. */
     readonly startingFor: Milliseconds | undefined;
     readonly at: Milliseconds;
 }
 
-/** A request that this box's part has no room for, and what that went by. */
+/** Why a request exceeds this box's share, for the answer and the log. */
 export interface QuotaDenial {
-    /** When there is room for one more. */
+    /** Time until the bucket holds a token again. */
     readonly retryAfter: Milliseconds;
     /** Requests a second that this box may admit now. */
     readonly shareRate: number;
-    /** Time since the lease came; undefined for an equal part of the boxes. */
+    /** Time since the lease was received; undefined without a lease. */
     readonly leaseAge: Milliseconds | undefined;
-    /** Boxes that may admit requests of the customer, as this box knows. */
+    /** Number of boxes that may admit requests of the customer, as far as this box knows. */
     readonly boxCount: number;
 }
 
-/** A customer's part on one box. */
+/** A customer's share on one box. */
 export interface QuotaShare {
-    /** Takes a token for a request; undefined if there was one. */
+    /** Consumes a token for a request; returns undefined if there was one. */
     readonly consume: (context: QuotaShareContext) => QuotaDenial | undefined;
-    /** True once a request came and no lease is there or on its way: the report is due at once. */
+    /**
+     * True if a request has come while there is no lease and no recent report asks for one: a report is due at once.
+     */
     readonly needsLease: (at: Milliseconds) => boolean;
-    /** A request that was admitted has not run. */
+    /** Returns the token of a request that was admitted and has not run. */
     readonly refund: () => void;
     /** True until a lease answers the last report. */
     readonly isReportPending: () => boolean;
     readonly onLease: (lease: QuotaLease, at: Milliseconds) => void;
-    /** This box stood still, and let nothing in by its lease. */
+    /** This box's process was paused and admitted nothing under its lease, which therefore ages by that much less. */
     readonly onProcessPause: (duration: Milliseconds) => void;
-    /** What to tell the box that counts, if it is time to. */
+    /** Returns the report for the coordinator if one is due. */
     readonly dueReport: (at: Milliseconds) => QuotaReport | undefined;
-    /** Requests let in and refused since the start. */
+    /** Requests admitted and refused since the start. */
     readonly counts: () => { readonly admitted: number; readonly refused: number; };
 }
 
-/** Milliseconds between two reports of a customer that is calm: few messages, and its demand is known for twice as long. */
-const calmReportInterval = 1500;
-/** Milliseconds for which a lease is awaited before it is asked for again: a round of messages. */
-const leaseAwaited = 300;
-/** Part of the burst below which a calm customer is reported at once. */
-const lowPartOfBurst = 0.5;
 /**
- * Part of the rate of a lease that is used after that, by a box that may be cut off. A third of the boxes that are cut off
- * then add a twelfth of the quota, within the tenth that deployments allow.
+ * Milliseconds between two reports while the customer has headroom. This keeps messages few, and the coordinator keeps
+ * its data for twice as long.
  */
-const partAfterLease = 0.25;
+const headroomReportInterval = 1500;
+/** Milliseconds for which a lease is awaited before it is requested again: one round of messages. */
+const leaseTimeout = 300;
+/** Fraction of the burst below which a report is sent at once, even if the customer has headroom. */
+const lowBurstFraction = 0.5;
 /**
- * Milliseconds for which the whole rate and the burst of a lease are used when nobody renews it and the boxes had let in too much: two rounds of
- * reports and the way.
+ * Fraction of a lease's rate that is used after the lease has expired, by a box that may be cut off. If a third of the
+ * boxes are cut off, they add a twelfth of the quota, which is within the tenth that deployments allow.
  */
-const debtLeaseUsed = 700;
+const expiredLeaseFraction = 0.25;
 /**
- * Part of the rate that is used after that. While demand rises, the leases of one round come to more than the quota, which the next round
- * takes back; if the boxes that count are lost, nobody does for some 3 s.
+ * Milliseconds without renewal for which the full rate and burst of a lease are used if the customer is in debt: two
+ * rounds of reports and their delay.
  */
-const partOfDebtLease = 0.2;
+const debtLeaseTime = 700;
 /**
- * Milliseconds for which the burst of a lease is used when nobody renews it otherwise: the interval of calm reports, the 1 s until a silent box is
- * passed over, and the ways. Less refuses requests within a quota while the box that counts stands still, more oversteps the quota when it is lost.
+ * Fraction of the rate that is used after that. While demand rises, the leases of one round add up to more than the
+ * quota, which the next round corrects; if the coordinators are lost, nothing corrects it for about 3 s.
  */
-const burstUsed = 2600;
-/** Seconds of its rate that a box may admit at once whatever the burst of its lease: what comes between two reports. */
-const smallestBurst = 0.5;
+const overdueDebtFraction = 0.2;
 /**
- * Requests that a box with a lease may admit at once at least: a small customer's come in pairs.
+ * Milliseconds without renewal for which the burst of any other lease is used: the report interval with headroom, the 1
+ * s until an unresponsive coordinator is passed over, and the message delays. With a shorter time, requests within the
+ * quota are refused while the coordinator's process is paused; with a longer one, the quota is exceeded when the
+ * coordinator is lost.
  */
-const fewest = 2;
-/** Seconds of an equal part that a box without a lease may admit at once: a start of all boxes grants that much anew. */
-const firstBurst = 0.25;
+const burstTime = 2600;
 /**
- * Equal parts that a box has while it starts and nobody counts yet: callers use few of the boxes. All boxes together may then let in so many
- * times what the quota earns in that time, 1.5 s at most; the box that counts takes the rest back within 2 s, which leaves 0.04 of a quota whose burst
- * is its rate over the 5 s after a start.
+ * Seconds of its rate that a box may admit at once, however small its lease's burst: the requests between two reports.
  */
-const partsAtStart = 1.5;
+const minBurstSeconds = 0.5;
+/** Requests that a box with a lease may always admit at once: the requests of a small customer come in pairs. */
+const minBurst = 2;
 /**
- * Requests that a box without a lease may admit at once where the bursts of all boxes allow it: the first ones of a small customer,
- * whose callers come to a box for the first time.
+ * Seconds of an equal share that a box without a lease may admit at once. A start of all boxes grants that burst again.
  */
-const firstFew = 3;
+const unleasedBurstSeconds = 0.25;
+/**
+ * Equal shares that a box may use while it starts and there is no coordinator yet, since callers use few of the boxes.
+ * All boxes together may then admit this many times what the quota earns in that time, which is at most 1.5 s. The
+ * coordinator compensates for the excess within 2 s. Over the 5 s after a start, that leaves an excess of 0.04 for a
+ * quota with a burst of one second of its rate.
+ */
+const startupShares = 1.5;
+/**
+ * Requests that a box without a lease may admit at once, where the bursts of all boxes allow it: the first requests of
+ * a small customer with callers new to the box.
+ */
+const maxSmallBurst = 3;
 
-/** Requests a second that a refused caller is told to wait for at least, so that it has a time to come back. */
-const slowestRate = 0.2;
+/** Requests a second, assumed at least when a refused caller's wait is computed, so that the wait stays finite. */
+const minRetryRate = 0.2;
 
 interface Bucket {
     tokens: number;
     refilledAt: Milliseconds;
 }
 
-/** Creates the part of a box that has no lease yet. */
+/** Creates the share of a box that has no lease yet. */
 export function createQuotaShare(customer: CustomerId, startedAt: Milliseconds): QuotaShare {
     let lease: QuotaLease | undefined;
     let leasedAt = startedAt;
     let bucket: Bucket | undefined;
     let reportedAt = startedAt;
-    let reported = { asked: 0, admitted: 0 };
-    /** The last report told of requests. */
-    let wasNews = false;
-    /** Requests that were told as let in since the last lease came. */
-    let unanswered = 0;
-    let asked = 0;
+    let reported = { requested: 0, admitted: 0 };
+    /** The last report contained requests. */
+    let didReportRequests = false;
+    /** Requests that were reported as admitted since the last lease was received. */
+    let unacknowledged = 0;
+    let requested = 0;
     let admitted = 0;
     let refused = 0;
 
     return {
         consume(context) {
             const { at, boxCount, quota } = context;
-            asked += 1;
-            bucket ??= { tokens: firstTokens(context), refilledAt: at };
+            requested += 1;
+            bucket ??= { tokens: initialTokens(context), refilledAt: at };
             const rate = lease === undefined ? unleasedRate(context) : Math.min(quota.rate, leasedRate(lease, at));
             refill(bucket, rate, lease === undefined ? unleasedBurst(context) : leasedBurst(lease, at), at);
             if (bucket.tokens < 1) {
                 refused += 1;
                 return {
-                    retryAfter: milliseconds((1 - bucket.tokens) * 1000 / Math.max(rate, slowestRate)),
+                    retryAfter: milliseconds((1 - bucket.tokens) * 1000 / Math.max(rate, minRetryRate)),
                     shareRate: rate,
                     leaseAge: lease && milliseconds(at - leasedAt),
                     boxCount,
@@ -143,7 +152,8 @@
             return undefined;
         },
         needsLease: at =>
-            lease === undefined && asked > reported.asked && (!wasNews || at - reportedAt >= leaseAwaited),
+            lease === undefined && requested > reported.requested
+            && (!didReportRequests || at - reportedAt >= leaseTimeout),
         refund() {
             admitted -= 1;
             if (bucket !== undefined) {
@@ -152,7 +162,7 @@
         },
         isReportPending: () => lease === undefined || leasedAt < reportedAt,
         onLease(next, at) {
-            if (!wasNews) {
+            if (!didReportRequests) {
                 return;
             }
             bucket ??= { tokens: 1, refilledAt: at };
@@ -162,7 +172,7 @@
             }
             lease = next;
             leasedAt = at;
-            unanswered = 0;
+            unacknowledged = 0;
         },
         onProcessPause(duration) {
             leasedAt = milliseconds(leasedAt + duration);
@@ -171,20 +181,20 @@
             if (!isReportDue(at)) {
                 return undefined;
             }
-            wasNews = asked > reported.asked;
+            didReportRequests = requested > reported.requested;
             const report = {
                 customer,
-                requested: asked - reported.asked,
+                requested: requested - reported.requested,
                 admitted: admitted - reported.admitted,
                 since: milliseconds(at - reportedAt),
-                unacknowledged: unanswered,
+                unacknowledged,
                 lastLevel: lastLevel(at),
             };
-            unanswered += report.admitted;
-            if (!wasNews) {
+            unacknowledged += report.admitted;
+            if (!didReportRequests) {
                 lease = undefined;
             }
-            reported = { asked, admitted };
+            reported = { requested, admitted };
             reportedAt = at;
             return report;
         },
@@ -195,67 +205,74 @@
         return lease?.level === undefined ? undefined : { level: lease.level, age: milliseconds(at - leasedAt) };
     }
 
-    /** The lease's rate, less of it once nobody has renewed it for long. */
+    /** Returns the lease's rate, reduced once the lease has not been renewed for too long. */
     function leasedRate(current: QuotaLease, at: Milliseconds): number {
         const age = at - leasedAt;
         if (age > leaseLifetime) {
-            return current.rate * partAfterLease;
+            return current.rate * expiredLeaseFraction;
         }
-        return isInDebt(current) && age > debtLeaseUsed ? current.rate * partOfDebtLease : current.rate;
+        return isInDebt(current) && age > debtLeaseTime ? current.rate * overdueDebtFraction : current.rate;
     }
 
     function leasedBurst(current: QuotaLease, at: Milliseconds): number {
-        return at - leasedAt <= (isInDebt(current) ? debtLeaseUsed : burstUsed) ? burstOf(current) : 1;
+        return at - leasedAt <= (isInDebt(current) ? debtLeaseTime : burstTime) ? burstOf(current) : 1;
     }
 
-    /** At once while the customer is near its quota or this box's burst is low; else at times, and once more when it asks no more. */
+    /**
+     * A report of new requests is due at once while the customer lacks headroom, this box's bucket is low or the last
+     * report is unanswered; otherwise at intervals. After the last requests, one report without requests returns the
+     * lease.
+     */
     function isReportDue(at: Milliseconds): boolean {
-        const isNews = asked > reported.asked || admitted !== reported.admitted;
-        if (at - reportedAt >= calmReportInterval) {
-            return isNews || wasNews;
+        const hasUnreported = requested > reported.requested || admitted !== reported.admitted;
+        if (at - reportedAt >= headroomReportInterval) {
+            return hasUnreported || didReportRequests;
         }
-        // A calm customer's next report must not wait while nobody has answered the last one: its lease would grow old.
-        const isOverdue = leasedAt < reportedAt && at - reportedAt >= leaseAwaited;
-        const isCalm = lease?.hasHeadroom === true && (bucket?.tokens ?? 0) >= lease.burst * lowPartOfBurst;
-        return isNews && (isOverdue || !isCalm);
+        // With headroom, the next report must not wait while the last one is unanswered, since the lease would expire.
+        const isOverdue = leasedAt < reportedAt && at - reportedAt >= leaseTimeout;
+        const isWellFilled = lease?.hasHeadroom === true && (bucket?.tokens ?? 0) >= lease.burst * lowBurstFraction;
+        return hasUnreported && (isOverdue || !isWellFilled);
     }
 }
 
-/** True if more had been let in than the quota allows: each box gives back its part of that until it hears more. */
-function isInDebt({ hasHeadroom: isCalm, level }: QuotaLease): boolean {
-    return level === undefined ? !isCalm : level <= 0;
+/**
+ * True if more was admitted than the quota allows. Each box then compensates for its share of the excess until its next
+ * lease.
+ */
+function isInDebt({ hasHeadroom, level }: QuotaLease): boolean {
+    return level === undefined ? !hasHeadroom : level <= 0;
 }
 
-function refill(bucket: Bucket, rate: number, most: number, at: Milliseconds): void {
+function refill(bucket: Bucket, rate: number, capacity: number, at: Milliseconds): void {
     const earned = rate * Math.max(0, at - bucket.refilledAt) / 1000;
-    bucket.tokens = Math.min(most, bucket.tokens + earned);
+    bucket.tokens = Math.min(capacity, bucket.tokens + earned);
     bucket.refilledAt = at;
 }
 
 /**
- * What a box without a lease begins with. While it starts, its part has been earned since. Without that, a customer whose callers use
- * few boxes is refused before any box counts.
+ * Returns the first tokens of a box without a lease. While the box starts, they include what its share has earned since
+ * the start. Otherwise a customer with callers on few boxes would be refused before there is a coordinator.
  */
-function firstTokens(context: QuotaShareContext): number {
+function initialTokens(context: QuotaShareContext): number {
     const earned = (context.startingFor ?? 0) / 1000 * unleasedRate(context);
-    return Math.min(unleasedBurst(context), firstPart(context) + earned);
+    return Math.min(unleasedBurst(context), baseBurst(context) + earned);
 }
 
 function unleasedRate({ boxCount, quota, startingFor }: QuotaShareContext): number {
-    return quota.rate / boxCount * (startingFor === undefined ? 1 : partsAtStart);
+    return quota.rate / boxCount * (startingFor === undefined ? 1 : startupShares);
 }
 
 function unleasedBurst(context: QuotaShareContext): number {
     const { boxCount, quota, startingFor } = context;
     return startingFor === undefined
-        ? firstPart(context)
-        : Math.max(firstPart(context), quota.burst / boxCount * partsAtStart);
+        ? baseBurst(context)
+        : Math.max(baseBurst(context), quota.burst / boxCount * startupShares);
 }
 
-function firstPart({ boxCount, quota }: QuotaShareContext): number {
-    return Math.max(1, quota.rate / boxCount * firstBurst, Math.min(firstFew, quota.burst / boxCount));
+function baseBurst({ boxCount, quota }: QuotaShareContext): number {
+    return Math.max(1, quota.rate / boxCount * unleasedBurstSeconds, Math.min(maxSmallBurst, quota.burst / boxCount));
 }
 
 function burstOf(lease: QuotaLease): number {
-    return Math.max(fewest, lease.burst, lease.rate * smallestBurst);
+    return Math.max(minBurst, lease.burst, lease.rate * minBurstSeconds);
 }
