--- a/packages/decisions/src/limits/body-memory.ts
+++ b/packages/decisions/src/limits/body-memory.ts
@@ -1,97 +1,100 @@
 /**
  * Bounds the memory of all request bodies that a box holds, from their first byte to the end of their requests.
  *
- * Beyond the bound bodies wait: the box reads no more from their callers, and their connections push back. The oldest
- * unfinished body reads on, so that bodies which are all half in can't wait for each other until their time is over.
- * A body that waits holds the one part that came with its head, so only so many may wait; a short one never does.
- * While others wait, a body that hardly comes on is stalled and loses its place; its request has reached no server.
+ * Once the bound is reached, bodies wait: the box stops reading from their callers, and TCP flow control slows the
+ * callers down. The oldest unfinished body may always continue, so half-received bodies can't block each other until
+ * they time out. A waiting body holds the one chunk that arrived with its head, so the number of waiting bodies is
+ * bounded too; a short body never waits. While others wait, a body that makes hardly any progress is stalled and ended;
+ * its request has reached no server.
  *
- * Owns the account of the bytes; relies on its user to read no more for a body that waits.
+ * Owns the account of the bytes; relies on its user to stop reading a body that has to wait.
  */
 
 import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
 
-/** The account of one box. */
+/** The body memory of one box. */
 export interface BodyMemory {
-    /** Opens the account of a body that begins to come. */
+    /** Opens the account of a body that begins to arrive. */
     readonly open: (at: Milliseconds) => BodyAccount;
-    /** Ends what has stalled, and hands their turn to those that may read. Due some times a second. */
+    /** Ends stalled bodies and resumes waiting ones as far as memory allows. To be called several times a second. */
     readonly sweep: (at: Milliseconds) => void;
-    /** Bytes held now. */
+    /** Bytes in use. */
     readonly held: () => number;
-    /** Bodies that wait. */
+    /** Number of waiting bodies. */
     readonly waitingCount: () => number;
-    /** False once so many wait that what came with their heads takes up as much again as all bodies may. */
+    /** False once the chunks that came with the heads of waiting bodies may take up as much again as the bound. */
     readonly mayWait: () => boolean;
 }
 
-/** The part of one body. */
+/** The account of one body. */
 export interface BodyAccount {
-    /** Counts bytes that were received and the memory, in bytes, that the body takes up now. */
+    /** Records the total bytes received so far and the memory, in bytes, that the body takes up now. */
     readonly recordReceived: (received: number, held: number, at: Milliseconds) => void;
-    /** False while the body must wait; `announced` is its whole size in bytes, if it was told. */
-    readonly mayRead: (announced?: number) => boolean;
-    /** The body is in, and its memory stays in use. */
+    /** False if the body has to wait; `totalBytes` is its full size, if known. */
+    readonly mayRead: (totalBytes?: number) => boolean;
+    /** The body has arrived in full; its memory stays in use until `close`. */
     readonly markComplete: () => void;
-    /** Gives the memory back. Later calls change nothing. */
+    /** Releases the memory. Further calls have no effect. */
     readonly close: (at: Milliseconds) => void;
-    /** Called when the turn comes after a wait. */
+    /** Called when a waiting body may be read again. */
     onResume: () => void;
     /** Called once if the body has stalled. */
     onStalled: () => void;
 }
 
 /**
- * Part of a box's memory that bodies may take up. A box of 250 MB takes some 60 MB without them; 31 MB are five hundred bodies
- * of 60 KB, four times what the 70 boxes of such a deployment have in progress together.
+ * Fraction of a box's memory that bodies may take up. A box with 250 MB uses about 60 MB without bodies. An eighth, 31
+ * MB, holds five hundred bodies of 60 KB, four times as many as 70 boxes of that size have in progress together.
  */
-const partForBodies = 1 / 8;
-/** Bytes for bodies where no memory limit is known. */
-const bytesWithoutLimit = 64 * 1024 * 1024;
-/** Milliseconds in which a body must come on while others wait. A link that lost packets resends within that. */
-const stallAfter = 1000;
-/** Bytes by which it must: 32 kbit/s, half of what the slowest of mobile links give. */
-const leastProgress = 4 * 1024;
-
-/** Returns the bytes that bodies may take up on a box with a memory limit in bytes; undefined if it has none. */
+const bodyMemoryFraction = 1 / 8;
+/** Bytes for bodies on a box without a known memory limit. */
+const defaultBodyMemory = 64 * 1024 * 1024;
+/** Milliseconds in which a body must progress while others wait. Links that lose packets resend within that time. */
+const stallTimeout = 1000;
+/** Bytes that have to arrive in that time: 32 kbit/s, half the rate of the slowest mobile links. */
+const minProgress = 4 * 1024;
+
+/** Returns the bytes that bodies may take up on a box with this memory limit in bytes; undefined if it has no limit. */
 export function bodyMemoryLimit(memoryLimit: number | undefined): number {
-    return memoryLimit === undefined ? bytesWithoutLimit : Math.floor(memoryLimit * partForBodies);
+    return memoryLimit === undefined ? defaultBodyMemory : Math.floor(memoryLimit * bodyMemoryFraction);
 }
 
-/** Bytes up to which a body does not wait: most have come with their heads, and memory was taken for them already. */
-const shortBody = 4 * 1024;
-/** Bytes that come with a head at most: what is read from a connection at once. */
-const readAtOnce = 64 * 1024;
+/**
+ * Bytes up to which a body never waits: most such bodies arrive with their heads, so their memory is in use already.
+ */
+const maxShortBody = 4 * 1024;
+/** Bytes that can arrive with a head: the most that is read from a connection at once. */
+const maxChunk = 64 * 1024;
 
 interface Entry {
     held: number;
     received: number;
-    /** Bytes that may come before the body is asked about again: its turn was given for them. */
-    promised: number;
-    /** Its whole size, if it was told. */
-    announced: number;
+    /** Bytes reserved for what may arrive before the next call of `mayRead`. */
+    reserved: number;
+    /** The full size of the body; infinite if unknown. */
+    totalBytes: number;
     isWaiting: boolean;
-    /** What was received, and when, at the last step forward that counts. */
-    mark: { readonly received: number; readonly at: number; };
+    /** Bytes received, and the time, at the last progress of `minProgress` or when the body was last resumed. */
+    progress: { readonly received: number; readonly at: number; };
     readonly account: BodyAccount;
 }
 
-/** Creates the account; it holds nothing. `most` is in bytes. */
-export function createBodyMemory(most: number): BodyMemory {
-    /** Bodies that are not in yet, the oldest first. */
+/** Creates the body memory of a box; nothing is in use yet. */
+export function createBodyMemory(maxBytes: number): BodyMemory {
+    /** Bodies that have not arrived in full, oldest first. */
     const unfinished = new Set<Entry>();
     let held = 0;
-    let promised = 0;
+    let reserved = 0;
 
     return {
         open,
         sweep,
         held: () => held,
-        waitingCount: waiting,
-        mayWait: () => waiting() * readAtOnce <= most,
+        waitingCount: countWaiting,
+        mayWait: () => countWaiting() * maxChunk <= maxBytes,
     };
 
-    function waiting(): number {
+    function countWaiting(): number {
         return [...unfinished].filter(entry => entry.isWaiting).length;
     }
 
@@ -99,35 +102,35 @@
         const entry: Entry = {
             held: 0,
             received: 0,
-            promised: 0,
-            announced: Infinity,
+            reserved: 0,
+            totalBytes: Infinity,
             isWaiting: false,
-            mark: { received: 0, at },
+            progress: { received: 0, at },
             account: {
                 recordReceived(received, bytes, now) {
                     held += bytes - entry.held;
                     entry.held = bytes;
                     entry.received = received;
-                    promise(entry, 0);
-                    if (received - entry.mark.received >= leastProgress) {
-                        entry.mark = { received, at: now };
+                    reserve(entry, 0);
+                    if (received - entry.progress.received >= minProgress) {
+                        entry.progress = { received, at: now };
                     }
                 },
-                mayRead(announced = Infinity) {
-                    entry.announced = announced;
-                    entry.isWaiting = announced > shortBody && !takeTurn(entry);
+                mayRead(totalBytes = Infinity) {
+                    entry.totalBytes = totalBytes;
+                    entry.isWaiting = totalBytes > maxShortBody && !tryReserve(entry);
                     return !entry.isWaiting;
                 },
                 markComplete() {
-                    promise(entry, 0);
+                    reserve(entry, 0);
                     unfinished.delete(entry);
                 },
                 close(now) {
                     held -= entry.held;
                     entry.held = 0;
-                    promise(entry, 0);
+                    reserve(entry, 0);
                     unfinished.delete(entry);
-                    giveTurns(now);
+                    resumeWaiting(now);
                 },
                 onResume: () => undefined,
                 onStalled: () => undefined,
@@ -137,29 +140,29 @@
         return entry.account;
     }
 
-    function takeTurn(entry: Entry): boolean {
+    function tryReserve(entry: Entry): boolean {
         const [oldest] = unfinished;
-        promise(entry, 0);
-        if (held + promised >= most && entry !== oldest) {
+        reserve(entry, 0);
+        if (held + reserved >= maxBytes && entry !== oldest) {
             return false;
         }
-        promise(entry, Math.min(readAtOnce, Math.max(0, entry.announced - entry.received)));
+        reserve(entry, Math.min(maxChunk, Math.max(0, entry.totalBytes - entry.received)));
         return true;
     }
 
-    function promise(entry: Entry, bytes: number): void {
-        promised += bytes - entry.promised;
-        entry.promised = bytes;
+    function reserve(entry: Entry, bytes: number): void {
+        reserved += bytes - entry.reserved;
+        entry.reserved = bytes;
     }
 
-    /** Those whose turn it is begin a new time to come on. */
-    function giveTurns(at: Milliseconds): void {
+    /** Resumes the waiting bodies for which there is memory. Their stall timeouts start again. */
+    function resumeWaiting(at: Milliseconds): void {
         for (const entry of [...unfinished]) {
-            if (!entry.isWaiting || !takeTurn(entry)) {
+            if (!entry.isWaiting || !tryReserve(entry)) {
                 continue;
             }
             entry.isWaiting = false;
-            entry.mark = { received: entry.received, at };
+            entry.progress = { received: entry.received, at };
             entry.account.onResume();
         }
     }
@@ -172,10 +175,10 @@
                 entry.account.onStalled();
             });
         }
-        giveTurns(at);
+        resumeWaiting(at);
     }
 
     function hasStalled(entry: Entry, at: Milliseconds): boolean {
-        return milliseconds(at - entry.mark.at) >= stallAfter;
+        return milliseconds(at - entry.progress.at) >= stallTimeout;
     }
 }
--- a/packages/decisions/src/limits/box-rank.ts
+++ b/packages/decisions/src/limits/box-rank.ts
@@ -1,35 +1,36 @@
 /**
- * The place of this box among others for one subject, by rendezvous hashing: all
- * boxes that know the same others find the same order.
+ * The rank of this box among others for one subject, by rendezvous hashing: boxes with the same list get the same
+ * order.
  *
- * Owns the latest place; relies on a list that stays the same array while it is the same.
+ * Owns the last rank; relies on the caller to pass the same array while the list is unchanged.
  */
 
 import { type BoxId, hashText } from "@chalkdale/kernel";
 import { rendezvousScore } from "../choose/rendezvous.js";
 
+/** Whose rank to compute, and for what. */
 export interface BoxRankOptions {
     readonly self: BoxId;
-    /** What the order is for; those of two subjects differ. */
+    /** What the boxes are ranked for; each subject has its own order. */
     readonly subject: string;
 }
 
-/** Returns the function that gives the place, from 0; undefined for a box that is not in the list. */
+/** Returns a function that computes the rank, from 0; undefined if this box is not in the list. */
 export function createBoxRank({ self, subject }: BoxRankOptions): (boxes: readonly BoxId[]) => number | undefined {
     const subjectHash = hashText(subject);
-    let latest: { readonly boxes: readonly BoxId[]; readonly rank: number | undefined; } | undefined;
+    let cached: { readonly boxes: readonly BoxId[]; readonly rank: number | undefined; } | undefined;
 
-    // Asked for with each choice of a server, so computed anew for another list only.
+    // Called for each choice of a server, so the rank is computed again only for another list.
     return function rankAmong(boxes) {
-        if (latest?.boxes !== boxes) {
-            latest = { boxes, rank: boxes.includes(self) ? countBetter(boxes) : undefined };
+        if (cached?.boxes !== boxes) {
+            cached = { boxes, rank: boxes.includes(self) ? countHigherRanked(boxes) : undefined };
         }
-        return latest.rank;
+        return cached.rank;
     };
 
-    function countBetter(boxes: readonly BoxId[]): number {
-        const own = scoreOf(self);
-        return boxes.filter(box => scoreOf(box) > own).length;
+    function countHigherRanked(boxes: readonly BoxId[]): number {
+        const ownScore = scoreOf(self);
+        return boxes.filter(box => scoreOf(box) > ownScore).length;
     }
 
     function scoreOf(box: BoxId): number {
--- a/packages/decisions/src/limits/shared-limits.ts
+++ b/packages/decisions/src/limits/shared-limits.ts
@@ -1,13 +1,12 @@
 /**
- * One box's part of the limits that hold for all boxes together: retries and
- * connections to servers, and who may send to cold and limited servers.
+ * One box's share of the limits that apply to all boxes together: retries and connections to servers, and which boxes
+ * may send to cold and limited servers.
  *
- * The parts are equal among the advertised boxes, those that the directory names. Any other box has
- * no part, since only callers with an old answer of the directory reach it.
- * Nobody counts for all: the sum of the parts is the limit as long as boxes
- * know each other; a box that is cut off takes the whole.
+ * The advertised boxes, those that the directory returns, have equal shares. Any other box has none, since only callers
+ * with an outdated answer of the directory reach it. The shares need no coordinator: they add up to the limit as long
+ * as the boxes know each other, and a box that is cut off uses the full limit.
  *
- * Owns the retry budgets; relies on the members that run.
+ * Owns the retry budgets; relies on the membership for the running boxes.
  */
 
 import { type BoxId, type Clock, milliseconds, type RegionId, type ServiceId } from "@chalkdale/kernel";
@@ -17,47 +16,54 @@
 import { createRetryBudget, type RetryBudget, type RetryBudgetOptions } from "../retry/retry-budget.js";
 import { createTimedCache } from "./timed-cache.js";
 
+/** The limits to share, and what the shares depend on. */
 export interface SharedLimitsOptions {
     readonly clock: Clock;
     readonly self: BoxId;
     readonly membership: Membership;
-    /** Bounds on the retries of all boxes together, for each service. */
+    /** Bounds on the retries of all boxes together, per service. */
     readonly retries: Omit<RetryBudgetOptions, "boxCount">;
-    /** Connections that one server of a service accepts from all boxes; undefined if that is not known. */
+    /** Connections that one server of a service accepts from all boxes together; undefined if unknown. */
     readonly serverConnectionLimit: (service: ServiceId) => number | undefined;
     /** Called when the number of advertised boxes has changed. */
     readonly onAdvertisedChanged: (advertisedCount: number, alive: readonly MemberRecord[]) => void;
 }
 
-/** The parts of one box. */
+/** The limits of one box. */
 export interface SharedLimits {
-    /** Boxes that callers are named; those that run, before any is in service. */
+    /** Boxes that the directory returns to callers; before any box is in service, those that run. */
     readonly advertised: () => readonly MemberRecord[];
-    /** Their ids; the same array while they are the same. */
+    /** Their ids; the same array while the advertised boxes are unchanged. */
     readonly advertisedIds: () => readonly BoxId[];
     readonly isAdvertised: (box: BoxId) => boolean;
-    /** Boxes that may send to a cold or limited server of a region; the same array while the advertised boxes are the same. */
+    /**
+     * Boxes that may send to a cold or limited server of a region; the same array while the advertised boxes are
+     * unchanged.
+     */
     readonly eligibleSenders: (region: RegionId) => readonly BoxId[];
     readonly retryBudgetOf: (service: ServiceId) => RetryBudget;
-    /** Connections to one server that this box may hold. */
+    /** Connections to one server that this box may open. */
     readonly maxConnectionsPerServer: (service: ServiceId) => number;
 }
 
-/** Milliseconds for which the advertised boxes are not computed anew: less than a round of gossip, which changes them. */
+/** Milliseconds for which the advertised boxes are cached: less than a round of gossip, which may change them. */
 const advertisedLifetime = milliseconds(250);
-/** Part of a server's connections that all boxes together use; the rest is for health checks and boxes that restart. */
-const usedPartOfConnections = 0.8;
-/** Connections of a box at least, so that it can serve while its part is small. */
-const leastConnections = 2;
-/** Connections that a server is taken to accept before its service is known; the brief's figure. */
-const assumedMostConnections = 100;
+/**
+ * Fraction of a server's connections that all boxes together use. The remainder is for health checks and restarting
+ * boxes.
+ */
+const usedConnectionsFraction = 0.8;
+/** Connections that a box may always open to a server, so that it can serve with a small share. */
+const minConnections = 2;
+/** Connections that a server is assumed to accept while its service is unknown. */
+const defaultConnectionLimit = 100;
 
-/** Lists of ids that stay the same while the advertised boxes are the same. */
+/** Lists that are kept while the advertised boxes are unchanged. */
 interface AdvertisedLists {
-    readonly among: readonly MemberRecord[];
+    readonly records: readonly MemberRecord[];
     readonly ids: readonly BoxId[];
-    /** By region; see `eligibleSenders`. */
-    readonly near: Map<RegionId, readonly BoxId[]>;
+    /** By region; see `SharedLimits.eligibleSenders`. */
+    readonly senders: Map<RegionId, readonly BoxId[]>;
 }
 
 /** Creates the limits of one box. */
@@ -66,43 +72,45 @@
     const budgets = new Map<ServiceId, RetryBudget>();
     const advertised = createTimedCache(clock, advertisedLifetime, findAdvertised);
     let lists: AdvertisedLists | undefined;
-    let knownCount = 0;
+    let lastAdvertisedCount = 0;
 
     return {
         advertised,
-        advertisedIds: () => listsOfAdvertised().ids,
+        advertisedIds: () => advertisedLists().ids,
         isAdvertised,
-        eligibleSenders: boxesNearRegion,
+        eligibleSenders: sendersOf,
         retryBudgetOf: budgetOf,
         maxConnectionsPerServer(service) {
-            const most = options.serverConnectionLimit(service) ?? assumedMostConnections;
-            return Math.max(leastConnections, Math.floor(most * usedPartOfConnections / sharingBoxes()));
+            const accepted = options.serverConnectionLimit(service) ?? defaultConnectionLimit;
+            return Math.max(minConnections, Math.floor(accepted * usedConnectionsFraction / sharingBoxCount()));
         },
     };
 
-    /** The advertised boxes; before any is in service, those that run. */
+    /**
+     * Returns the advertised boxes, or the running ones before any is in service, and reports a change of their number.
+     */
     function findAdvertised(): readonly MemberRecord[] {
         const alive = membership.alive(clock());
-        const named = advertisedBoxes(membership.inService(clock()));
-        if (named.length !== knownCount) {
-            knownCount = named.length;
-            options.onAdvertisedChanged(named.length, alive);
+        const inDirectory = advertisedBoxes(membership.inService(clock()));
+        if (inDirectory.length !== lastAdvertisedCount) {
+            lastAdvertisedCount = inDirectory.length;
+            options.onAdvertisedChanged(inDirectory.length, alive);
         }
-        return named.length > 0 ? named : alive;
+        return inDirectory.length > 0 ? inDirectory : alive;
     }
 
-    function listsOfAdvertised(): AdvertisedLists {
-        const among = advertised();
-        if (lists?.among !== among) {
-            lists = { among, ids: among.map(({ box }) => box), near: new Map() };
+    function advertisedLists(): AdvertisedLists {
+        const records = advertised();
+        if (lists?.records !== records) {
+            lists = { records, ids: records.map(({ box }) => box), senders: new Map() };
         }
         return lists;
     }
 
-    function boxesNearRegion(region: RegionId): readonly BoxId[] {
-        const { among, near } = listsOfAdvertised();
-        const known = near.get(region) ?? eligibleSenders(among, region);
-        near.set(region, known);
+    function sendersOf(region: RegionId): readonly BoxId[] {
+        const { records, senders } = advertisedLists();
+        const known = senders.get(region) ?? eligibleSenders(records, region);
+        senders.set(region, known);
         return known;
     }
 
@@ -110,15 +118,15 @@
         return advertised().some(record => record.box === box);
     }
 
-    /** Boxes with an equal part; without end for a box that has none. */
-    function sharingBoxes(): number {
+    /** Returns the number of boxes with an equal share; infinite if this box has none. */
+    function sharingBoxCount(): number {
         return isAdvertised(options.self) ? advertised().length : Infinity;
     }
 
     function budgetOf(service: ServiceId): RetryBudget {
         let budget = budgets.get(service);
         if (budget === undefined) {
-            budget = createRetryBudget({ ...options.retries, boxCount: sharingBoxes });
+            budget = createRetryBudget({ ...options.retries, boxCount: sharingBoxCount });
             budgets.set(service, budget);
         }
         return budget;
--- a/packages/decisions/src/limits/timed-cache.ts
+++ b/packages/decisions/src/limits/timed-cache.ts
@@ -1,12 +1,12 @@
 /**
- * A value that is computed anew only when it has grown old.
+ * A value that is computed again only after a given lifetime.
  *
- * Owns the last value; relies on the clock that is handed in.
+ * Owns the last value; relies on the given clock.
  */
 
 import type { Clock, Milliseconds } from "@chalkdale/kernel";
 
-/** Returns a function that gives the value, computed at most `lifetime` ago. */
+/** Returns a function that returns the value, computed less than `lifetime` ago. */
 export function createTimedCache<Value>(clock: Clock, lifetime: Milliseconds, compute: () => Value): () => Value {
     let cached: { readonly value: Value; readonly at: Milliseconds; } | undefined;
 
--- a/packages/decisions/src/limits/timeouts.ts
+++ b/packages/decisions/src/limits/timeouts.ts
@@ -1,59 +1,72 @@
 /**
- * How long a box waits: for a connection, for an answer, for a caller, and
- * how long a connection may rest before it carries the next request.
+ * Timeouts of a box: for connections, for answers, for callers, and for how long a connection may be idle before it
+ * carries the next request.
  *
- * Owns no state; whoever waits asks here for how long.
+ * Owns no state.
  */
 
 import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
 
-/** Milliseconds for a connection to come up, beside twice the way there and back. Servers take 1 ms to accept. */
-const connectBase = 250;
-/** A connection may use this part of the time that is left, so that a second server can still be tried. */
-const connectPartOfTimeLeft = 0.4;
+/** Milliseconds for establishing a connection, in addition to two round trips. Servers take 1 ms to accept. */
+const baseConnectTimeout = 250;
+/**
+ * Fraction of the remaining time that establishing a connection may take, so that a second server can still be tried.
+ */
+const connectFractionOfTimeLeft = 0.4;
 
-/** Returns how long a connection may take to come up over a way of this length, there and back. */
+/** Returns the timeout for establishing a connection over a network with this round-trip time. */
 export function connectTimeout(roundTrip: Milliseconds): Milliseconds {
-    return milliseconds(connectBase + 2 * roundTrip);
+    return milliseconds(baseConnectTimeout + 2 * roundTrip);
 }
 
-/** The same for a request that must be answered in so long. */
+/** Returns the same for a request that must be answered within `timeLeft`. */
 export function connectTimeoutOfRequest(roundTrip: Milliseconds, timeLeft: Milliseconds): Milliseconds {
-    return milliseconds(Math.min(connectTimeout(roundTrip), timeLeft * connectPartOfTimeLeft));
+    return milliseconds(Math.min(connectTimeout(roundTrip), timeLeft * connectFractionOfTimeLeft));
 }
 
 /**
- * A request counts as overdue after this many times the time that was expected for it: a silent server would else keep it
+ * A request is overdue after this many times its expected duration. Without that, an unresponsive server would keep it
  * until its deadline.
  */
-const overdueAfter = 3;
-/** Milliseconds before which no request is overdue: about the aim of the fastest routes, 300 to 400 ms. */
-const leastOverdue = 400;
+const overdueFactor = 3;
+/**
+ * Milliseconds before which no request is overdue: about the latency objective of the fastest routes, 300 to 400 ms.
+ */
+const minOverdueThreshold = 400;
 
-/** Returns the time after which a request without an answer counts as overdue. */
+/** Returns the time after which an unanswered request is overdue. */
 export function overdueThreshold(expected: Milliseconds): Milliseconds {
-    return milliseconds(Math.max(leastOverdue, expected * overdueAfter));
+    return milliseconds(Math.max(minOverdueThreshold, expected * overdueFactor));
 }
 
-/** Returns how long a request is held: the shorter of what its caller waits and what its route allows. */
-export function requestTimeout(callerWaits: number, routeTimeout: Milliseconds): Milliseconds {
-    const isGiven = Number.isFinite(callerWaits) && callerWaits > 0;
-    return milliseconds(isGiven ? Math.min(callerWaits, routeTimeout) : routeTimeout);
+/**
+ * Returns the timeout of a request: the lower of its caller's and its route's; the route's if the caller sent no valid
+ * one.
+ */
+export function requestTimeout(callerTimeout: number, routeTimeout: Milliseconds): Milliseconds {
+    const isValid = Number.isFinite(callerTimeout) && callerTimeout > 0;
+    return milliseconds(isValid ? Math.min(callerTimeout, routeTimeout) : routeTimeout);
 }
 
-/** Longest rest of a kept connection, in milliseconds; servers close idle ones after some seconds. */
-const longestRest = milliseconds(4000);
-/** The same before a request that may not run twice: if the server closes meanwhile, its fate would be unknown. */
-const longestRestBeforeUnsafe = milliseconds(2000);
-/** Part of the time that a server announces for idle connections, which is used: its clock started earlier. */
-const usedPartOfKeepAlive = 0.5;
+/** Milliseconds for which a connection may be idle. Servers close idle connections after a few seconds. */
+const maxIdleTime = milliseconds(4000);
+/**
+ * The same before a non-idempotent request: if the server closes the connection at that moment, it is unknown whether
+ * it ran.
+ */
+const maxIdleTimeBeforeUnsafe = milliseconds(2000);
+/** Fraction of a server's announced idle timeout that is used, since the server's timer started earlier. */
+const usedKeepAliveFraction = 0.5;
 
-/** Returns how long a connection may have rested before it carries a request. */
+/** Returns for how long a connection may have been idle when a request is sent on it. */
 export function maxIdleTimeBefore(isIdempotent: boolean): Milliseconds {
-    return isIdempotent ? longestRest : longestRestBeforeUnsafe;
+    return isIdempotent ? maxIdleTime : maxIdleTimeBeforeUnsafe;
 }
 
-/** Returns how long a connection is kept after an answer; `announced` is what the server said, if it did. */
+/**
+ * Returns for how long an idle connection is kept after an answer; `announced` is the server's idle timeout, if it sent
+ * one.
+ */
 export function idleTimeoutAfterAnswer(announced: Milliseconds | undefined): Milliseconds {
-    return milliseconds(Math.min(longestRest, (announced ?? longestRest) * usedPartOfKeepAlive));
+    return milliseconds(Math.min(maxIdleTime, (announced ?? maxIdleTime) * usedKeepAliveFraction));
 }
