--- a/packages/decisions/src/admit/admission.ts
+++ b/packages/decisions/src/admit/admission.ts
@@ -1,11 +1,12 @@
 /**
- * Whether a box takes a request at all, before a server is chosen for it, and
- * whose request it is.
+ * Decides whether a box admits a request, before a server is chosen for it, and identifies its customer.
  *
- * Who isn't ready or is closing says so at once: another box can serve. A 404
- * is given only with a configuration in force, since it is final for callers.
- * So is a 401, and keys change more often than routes: it is given only by a copy
- * that is fresh enough (`customers/copy-age`); else the caller may come back.
+ * A box that isn't ready or is closing refuses at once, since another box can serve the request. Callers take a 404 as
+ * final, so it is sent only with a configuration in force. So is a 401, and keys change more often than routes: it is
+ * sent only if the copy of the configuration is fresh enough (see `customers/copy-age`); otherwise the caller may
+ * retry.
+ *
+ * Owns no state.
  */
 
 import type { CustomerKey, Milliseconds } from "@chalkdale/kernel";
@@ -16,33 +17,33 @@
 import type { RouteTable } from "./route-table.js";
 import type { ShutdownPhase } from "./shutdown-schedule.js";
 
-/** What the box knows when a request comes. */
+/** What the box knows when a request arrives. */
 export interface AdmissionInputs {
-    /** Routes of the configuration in force; undefined before the first. */
+    /** Routes of the configuration in force; undefined before the first configuration. */
     readonly routes: RouteTable | undefined;
     /** Keys of the same configuration. */
     readonly keys: CustomerTable | undefined;
-    /** The box has a copy of every kind of shared state. */
+    /** True if the box has a copy of every kind of shared state that it replicates. */
     readonly isStateComplete: boolean;
     readonly phase: ShutdownPhase;
     readonly host: string;
     /** Path without the query. */
     readonly path: string;
-    /** The key that the caller sent, if it sent one. */
+    /** The key that the caller sent, if any. */
     readonly key: CustomerKey | undefined;
     /** Time since the store confirmed the copy of the configuration. */
     readonly configurationAge: Milliseconds;
     readonly bounds: CopyAgeBounds;
 }
 
-/** An admitted request: its route, and its customer unless it needs none. */
+/** An admitted request: its route, and its customer unless the request needs no key. */
 export interface AdmittedRequest {
     readonly kind: "admitted";
     readonly route: Route;
     readonly customer: Customer | undefined;
 }
 
-/** The outcome. */
+/** The decision on a request. */
 export type Admission =
     | AdmittedRequest
     | {
@@ -50,10 +51,10 @@
         readonly refusal: RefusalKind & ("notReady" | "leaving" | "noRoute" | "unknownKey" | "copyTooOld");
     };
 
-/** Decides whether a request is taken. */
+/** Decides whether a request is admitted. */
 export function admit(inputs: AdmissionInputs): Admission {
-    const { bounds, configurationAge, isStateComplete: isComplete, keys, phase, routes } = inputs;
-    if (routes === undefined || keys === undefined || !isComplete) {
+    const { bounds, configurationAge, isStateComplete, keys, phase, routes } = inputs;
+    if (routes === undefined || keys === undefined || !isStateComplete) {
         return { kind: "refused", refusal: "notReady" };
     }
     if (phase === "closing") {
--- a/packages/decisions/src/admit/caller-retry-detector.ts
+++ b/packages/decisions/src/admit/caller-retry-detector.ts
@@ -1,52 +1,58 @@
 /**
- * Tells callers that come back from those that ask for the first time: callers
- * of one route begin with the same deadline, so one with less time left has
- * spent the rest, on a refusal or on a box that it could not reach.
+ * Tells callers' own retries from first requests. Callers of one route start with the same deadline, so a caller with
+ * less time left has spent the difference on a refusal or on a box that it could not reach.
  *
  * Owns the longest deadline of each route over the last seconds.
  */
 
 import type { Milliseconds } from "@chalkdale/kernel";
 
-/** Knows the deadlines of the routes. */
+/** Detects callers' retries by the deadlines of their routes. */
 export interface CallerRetryDetector {
-    /** Notes a request and tells whether its caller has asked before. `deadline` is the time that the caller still waits. */
+    /**
+     * Records a request; returns true if it is a retry. `deadline` is the time in milliseconds that the caller still
+     * waits.
+     */
     readonly isCallerRetry: (route: string, deadline: number, at: Milliseconds) => boolean;
 }
 
-/** Milliseconds for which a deadline is remembered at least; long against the pause between two requests of a route. */
-const period = 10_000;
-/** Part of the longest deadline below which a caller has asked before: a quick refusal and its pause take a tenth at least. */
-const beganWith = 0.95;
+/** Milliseconds for which a deadline is kept at least: long compared with the time between two requests of a route. */
+const minRetention = 10_000;
+/**
+ * Fraction of the longest deadline below which a request is a retry: a quick refusal and its Retry-After take at least
+ * a tenth.
+ */
+const firstRequestFraction = 0.95;
 
-interface Longest {
+/** The longest deadline of a route, in the current period and in the one before. */
+interface LongestDeadline {
     deadline: number;
     previous: number;
     since: Milliseconds;
 }
 
-/** Creates the memory without routes. */
+/** Creates a detector that knows no routes yet. */
 export function createCallerRetryDetector(): CallerRetryDetector {
-    const byRoute = new Map<string, Longest>();
+    const byRoute = new Map<string, LongestDeadline>();
 
     return {
         isCallerRetry(route, deadline, at) {
             if (!Number.isFinite(deadline)) {
                 return false;
             }
-            const longest = longestOf(route, at);
+            const longest = longestDeadlineOf(route, at);
             longest.deadline = Math.max(longest.deadline, deadline);
-            return deadline < Math.max(longest.deadline, longest.previous) * beganWith;
+            return deadline < Math.max(longest.deadline, longest.previous) * firstRequestFraction;
         },
     };
 
-    function longestOf(route: string, at: Milliseconds): Longest {
+    function longestDeadlineOf(route: string, at: Milliseconds): LongestDeadline {
         let longest = byRoute.get(route);
         if (longest === undefined) {
             longest = { deadline: 0, previous: 0, since: at };
             byRoute.set(route, longest);
         }
-        if (at - longest.since > period) {
+        if (at - longest.since > minRetention) {
             longest.previous = longest.deadline;
             longest.deadline = 0;
             longest.since = at;
--- a/packages/decisions/src/admit/pipelining.ts
+++ b/packages/decisions/src/admit/pipelining.ts
@@ -1,46 +1,46 @@
 /**
- * Which requests of one connection may be in progress together when its caller
- * sends the next one before the last one has its answer, and what stops the
- * reading.
+ * Decides which pipelined requests of one connection may be in progress at the same time, and when reading from the
+ * connection pauses.
  *
- * Answers return in order, and whoever gets an answer that ends the connection
- * sends the requests behind it again, whatever their kind. So what must not run
- * twice is begun only once everything before it is answered, and nothing is begun
- * behind it: a read behind a write sees the write. A connection that is to end
- * begins nothing more, so that its last answer can end it.
+ * Answers return in order, and a caller that gets an answer that closes the connection resends all requests behind it,
+ * idempotent or not. A non-idempotent request is therefore started only once everything before it is answered, and
+ * nothing is started behind it: a read behind a write sees the write. On a connection that is closing, no more requests
+ * are started, so that its last answer can close it.
+ *
+ * Owns no state.
  */
 
-/** What one connection has in progress, and the next request. */
+/** The requests in progress on one connection, and the next one. */
 export interface PipelineState {
-    /** Requests that were begun and whose answers have not left. */
+    /** Number of requests that were started and whose answers have not been sent. */
     readonly inProgress: number;
-    /** All of them, and the next request, may run more than once. */
+    /** True if all of them and the next request are idempotent. */
     readonly isIdempotent: boolean;
-    /** Bytes of answers that are ready and wait for the ones before them. */
+    /** Bytes of ready answers that wait for slower ones before them. */
     readonly bufferedBytes: number;
-    /** The connection ends with the last answer of what is in progress. */
+    /** True if the connection closes with the last answer of the requests in progress. */
     readonly isClosing: boolean;
 }
 
-/** Requests of one connection in progress at once: as many as a browser opens connections, or few more. */
-const mostInProgress = 8;
-/** Bytes of ready answers behind a slower one at which no more work for that caller is begun: three downloads. */
-const mostWaitingBytes = 256 * 1024;
+/** Requests of one connection in progress at once: slightly more than the connections that a browser opens. */
+const maxInProgress = 8;
+/** Bytes of buffered answers from which no more requests of the connection are started: three downloads. */
+const maxBufferedBytes = 256 * 1024;
 /**
- * Requests of one connection that are read and not answered, at which its socket is not read: more than are in progress,
- * since callers give up what is not read within a second.
+ * Unanswered requests of one connection from which its socket is not read. It exceeds `maxInProgress`, since callers
+ * give up requests that are not read within a second.
  */
-const mostRead = 32;
+const maxUnanswered = 32;
 
-/** True if the next request of a connection may be begun; the first always may. */
+/** True if the next request of a connection may be started; always true if none is in progress. */
 export function mayStartNext(
-    { inProgress, isClosing: isEnding, isIdempotent, bufferedBytes: waitingBytes }: PipelineState,
+    { inProgress, isClosing, isIdempotent, bufferedBytes }: PipelineState,
 ): boolean {
-    const hasRoom = inProgress < mostInProgress && waitingBytes < mostWaitingBytes;
-    return inProgress === 0 || hasRoom && isIdempotent && !isEnding;
+    const hasRoom = inProgress < maxInProgress && bufferedBytes < maxBufferedBytes;
+    return inProgress === 0 || hasRoom && isIdempotent && !isClosing;
 }
 
-/** True if a connection with so many requests that are not answered is not read for now. */
+/** True if reading from a connection with that many unanswered requests should pause. */
 export function shouldPauseReading(unanswered: number): boolean {
-    return unanswered >= mostRead;
+    return unanswered >= maxUnanswered;
 }
--- a/packages/decisions/src/admit/route-table.ts
+++ b/packages/decisions/src/admit/route-table.ts
@@ -1,14 +1,14 @@
 /**
- * Finds the route of a request: of the routes of its host, the one with the
- * longest path prefix.
+ * Finds the route of a request: among the routes of its host, the one with the longest matching path prefix.
  *
  * Owns an index of one configuration; a new configuration gets a new table.
  */
 
 import type { Configuration, Route } from "../shared-state/configuration.js";
 
-/** Finds routes of one configuration. */
+/** The routes of one configuration. */
 export interface RouteTable {
+    /** Returns the route of a request; `host` may include a port, `path` has no query. */
     readonly match: (host: string, path: string) => Route | undefined;
 }
 
--- a/packages/decisions/src/admit/weighted-split.ts
+++ b/packages/decisions/src/admit/weighted-split.ts
@@ -1,8 +1,8 @@
 /**
- * Divides requests between destinations in proportion to their weights.
+ * Splits requests between destinations in proportion to their weights.
  *
- * Smooth weighted rotation: over any run of requests each destination gets its
- * share to within one request, and the order is spread out.
+ * Uses smooth weighted round robin: in any run of requests each destination gets its share to within one request,
+ * evenly spread.
  *
  * Owns the credit of each destination, on one box and for one configuration.
  */
@@ -10,10 +10,10 @@
 import type { ServiceId } from "@chalkdale/kernel";
 import type { WeightedService } from "../shared-state/configuration.js";
 
-/** Picks the next destination. */
+/** Returns the destination of the next request. */
 export type WeightedSplit = () => ServiceId;
 
-/** Creates a rotation. Destinations with weight 0 are never picked unless all have weight 0. */
+/** Creates a split. Destinations with weight 0 are never picked unless all have weight 0. */
 export function createWeightedSplit(destinations: readonly WeightedService[]): WeightedSplit {
     const total = destinations.reduce((sum, destination) => sum + destination.weight, 0);
     const credit = destinations.map(() => 0);
--- a/packages/decisions/src/customers/combined-priority.ts
+++ b/packages/decisions/src/customers/combined-priority.ts
@@ -1,15 +1,15 @@
 /**
- * How urgent a request is against others, where there is not enough for all:
- * its customer's priority goes before its route's, which decides among equals.
+ * Combines the priorities of a request's customer and route, for when capacity is short: the customer's goes first, and
+ * the route's decides among equals.
  *
  * Owns no state.
  */
 
 import type { Customer, Route } from "../shared-state/configuration.js";
 
-/** Returns a number; 0 is the most urgent. */
+/** Returns the combined priority; 0 is the most urgent. */
 export function combinedPriority(route: Route, customer: Customer | undefined): number {
-    const first = customer?.priority ?? route.priority;
-    const amongEquals = route.priority / (route.priority + 1);
-    return first + amongEquals;
+    const primary = customer?.priority ?? route.priority;
+    const tieBreaker = route.priority / (route.priority + 1);
+    return primary + tieBreaker;
 }
--- a/packages/decisions/src/customers/customer-table.ts
+++ b/packages/decisions/src/customers/customer-table.ts
@@ -1,5 +1,5 @@
 /**
- * Finds customers, by their keys above all: one look-up, however many keys there are.
+ * Finds customers by key and by id, with one look-up however many keys there are.
  *
  * Owns an index of one configuration; a new configuration gets a new table.
  */
@@ -7,9 +7,9 @@
 import type { CustomerId, CustomerKey } from "@chalkdale/kernel";
 import type { CallerAccess, Customer } from "../shared-state/configuration.js";
 
-/** Finds customers. */
+/** The customers of one configuration. */
 export interface CustomerTable {
-    /** True if a request needs a key, unless its route is public. */
+    /** True if requests need a key, except on public routes. */
     readonly isKeyRequired: boolean;
     readonly findByKey: (key: CustomerKey) => Customer | undefined;
     readonly findById: (id: CustomerId) => Customer | undefined;
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -1,6 +1,4 @@
-/**
- * Public names of the decisions of a box: no I/O, time and chance passed in.
- */
+/** Public API of the decisions package: a box's decision logic without I/O. Clocks and random sources are passed in. */
 
 export * from "./admit/admission.js";
 export * from "./admit/caller-retry-detector.js";
--- a/packages/decisions/src/locality/allowed-regions.ts
+++ b/packages/decisions/src/locality/allowed-regions.ts
@@ -1,6 +1,6 @@
 /**
- * The regions in which a request may be served, where its route or its customer
- * has homes. If both have, both bind.
+ * The regions in which a request may be served. Routes and customers may restrict it to home regions; if both do, both
+ * restrictions apply.
  *
  * Owns no state.
  */
@@ -8,11 +8,16 @@
 import type { RegionId } from "@chalkdale/kernel";
 import type { Customer, Route } from "../shared-state/configuration.js";
 
-/** Returns the regions, none if the homes of both have nothing in common; undefined when all regions may serve. */
+/**
+ * Returns the allowed regions: undefined if any region may serve, empty if route and customer have no home region in
+ * common.
+ */
 export function allowedRegionsOf(route: Route, customer: Customer | undefined): ReadonlySet<RegionId> | undefined {
-    const ofCustomer = customer?.homeRegions ?? [];
+    const customerRegions = customer?.homeRegions ?? [];
     if (route.homeRegions.length === 0) {
-        return ofCustomer.length === 0 ? undefined : new Set(ofCustomer);
+        return customerRegions.length === 0 ? undefined : new Set(customerRegions);
     }
-    return new Set(route.homeRegions.filter(region => ofCustomer.length === 0 || ofCustomer.includes(region)));
+    return new Set(
+        route.homeRegions.filter(region => customerRegions.length === 0 || customerRegions.includes(region)),
+    );
 }
--- a/packages/decisions/src/locality/directory.ts
+++ b/packages/decisions/src/locality/directory.ts
@@ -1,7 +1,6 @@
 /**
- * Chooses the boxes that the directory names to a caller: those of its availability
- * zone where they can bear its callers, else the advertised boxes of its region, or
- * those of the other regions if its own has none.
+ * Chooses the boxes that the directory returns to a caller: boxes of the caller's availability zone if they have the
+ * capacity, otherwise also advertised boxes of its region, or those of the other regions if its region has none.
  *
  * Owns no state; relies on the members in service.
  */
@@ -11,23 +10,23 @@
 import { advertisedBoxes, advertisedBoxesOfRegion } from "./advertised-boxes.js";
 import { boxesForZone } from "./zone-boxes.js";
 
-/** Where a caller is. */
+/** The region and availability zone of a caller, as far as known. */
 export interface CallerLocality {
     readonly region: RegionId | undefined;
     readonly zone: AvailabilityZoneId | undefined;
 }
 
-/** Boxes named in one answer at most; callers take no more. */
-const mostAddresses = 64;
+/** Maximum number of addresses in one answer; callers accept no more. */
+const maxAddresses = 64;
 
-/** Returns the addresses for a caller. */
-export function chooseBoxAddresses(inService: readonly MemberRecord[], place: CallerLocality): string[] {
-    const near = nearBoxes(inService, place);
-    const chosen = near.length > 0 ? near : advertisedBoxes(inService);
-    return chosen.slice(0, mostAddresses).map(record => record.callerAddress);
+/** Returns the addresses at which a caller can send requests. */
+export function chooseBoxAddresses(inService: readonly MemberRecord[], locality: CallerLocality): string[] {
+    const local = localBoxes(inService, locality);
+    const chosen = local.length > 0 ? local : advertisedBoxes(inService);
+    return chosen.slice(0, maxAddresses).map(record => record.callerAddress);
 }
 
-function nearBoxes(inService: readonly MemberRecord[], { region, zone }: CallerLocality): readonly MemberRecord[] {
+function localBoxes(inService: readonly MemberRecord[], { region, zone }: CallerLocality): readonly MemberRecord[] {
     if (region === undefined) {
         return [];
     }
--- a/packages/decisions/src/locality/locality-settings.ts
+++ b/packages/decisions/src/locality/locality-settings.ts
@@ -1,28 +1,26 @@
 /**
- * The tree of settings of places: the root, regions, and zones.
+ * Settings by locality: a tree of the root, regions and availability zones. A zone inherits each value from its region,
+ * and a region from the root, unless it overrides it.
  *
- * A zone inherits each value from its region and a region from the root unless
- * it says otherwise.
- *
- * Owns no state; relies on the copy of closed availability zones.
+ * Owns no state; relies on the copy of the closed availability zones.
  */
 
 import type { AvailabilityZoneId, RegionId } from "@chalkdale/kernel";
 
-/** Values that a place may state. */
+/** Values that can be set for a locality. */
 export interface LocalityValues {
-    /** False: no requests go to servers of the place. */
+    /** False if no requests may be sent to servers of the locality. */
     readonly admitsRequests: boolean;
 }
 
-/** What each place states for itself. */
+/** The values set at each level; regions and zones may set only some. */
 export interface LocalitySettings {
     readonly root: LocalityValues;
     readonly regions: ReadonlyMap<RegionId, Partial<LocalityValues>>;
     readonly zones: ReadonlyMap<AvailabilityZoneId, Partial<LocalityValues>>;
 }
 
-/** Settings in which every place admits requests. */
+/** Settings with which every locality admits requests. */
 export const defaultLocalitySettings: LocalitySettings = {
     root: { admitsRequests: true },
     regions: new Map(),
@@ -38,7 +36,7 @@
     return { ...settings.root, ...settings.regions.get(region), ...settings.zones.get(zone) };
 }
 
-/** Returns settings in which the given zones admit nothing and all else is inherited. */
+/** Returns settings in which the given zones admit no requests and all other zones inherit their values. */
 export function closeZones(settings: LocalitySettings, zones: Iterable<AvailabilityZoneId>): LocalitySettings {
     const closed = new Map([...zones].map(zone => [zone, { admitsRequests: false }] as const));
     return { ...settings, zones: closed };
--- a/packages/testing/src/promises/decision-mutations.ts
+++ b/packages/testing/src/promises/decision-mutations.ts
@@ -82,7 +82,7 @@
         promise: "P7",
         name: "nothing begun on a connection that is to end",
         file: decisionsFile("admit/pipelining"),
-        find: "&& !isEnding",
+        find: "&& !isClosing",
         replace: "",
         testFiles: [decisionsTestFile("pipelining"), integrationTestFile("box-pipelining")],
     },
