--- a/packages/decisions/test/admission.test.ts
+++ b/packages/decisions/test/admission.test.ts
@@ -50,7 +50,7 @@
 
 describe("admission", () => {
     const routes = createRouteTable(configuration);
-    const ask = (changes: Partial<AdmissionInputs> = {}) =>
+    const admitWith = (changes: Partial<AdmissionInputs> = {}) =>
         admit({
             routes,
             keys: createCustomerTable(configuration.access),
@@ -64,79 +64,79 @@
             ...changes,
         });
 
-    it("gives the route with the longest prefix of the host", () => {
-        expect(ask()).to.deep.equal({ kind: "admitted", route: configuration.routes[1], customer: undefined });
-        expect(ask({ path: "/other" })).to.deep.equal({
+    it("finds the route of the host with the longest matching prefix", () => {
+        expect(admitWith()).to.deep.equal({ kind: "admitted", route: configuration.routes[1], customer: undefined });
+        expect(admitWith({ path: "/other" })).to.deep.equal({
             kind: "admitted",
             route: configuration.routes[0],
             customer: undefined,
         });
     });
 
-    it("says that there is no route only with a configuration in force [P10]", () => {
-        expect(ask({ host: "other.example" })).to.deep.equal({ kind: "refused", refusal: "noRoute" });
+    it("refuses with noRoute only with a configuration in force [P10]", () => {
+        expect(admitWith({ host: "other.example" })).to.deep.equal({ kind: "refused", refusal: "noRoute" });
         for (const incomplete of [{ routes: undefined }, { isStateComplete: false }]) {
-            expect(ask({ ...incomplete, host: "other.example" })).to.deep.equal({
+            expect(admitWith({ ...incomplete, host: "other.example" })).to.deep.equal({
                 kind: "refused",
                 refusal: "notReady",
             });
         }
     });
 
-    it("takes new work while a box is leaving, and none once it is closing [P7]", () => {
-        expect(ask({ phase: "leaving" }).kind).to.equal("admitted");
-        expect(ask({ phase: "closing" })).to.deep.equal({ kind: "refused", refusal: "leaving" });
+    it("admits new requests while a box is leaving, and none once it is closing [P7]", () => {
+        expect(admitWith({ phase: "leaving" }).kind).to.equal("admitted");
+        expect(admitWith({ phase: "closing" })).to.deep.equal({ kind: "refused", refusal: "leaving" });
     });
 
     describe("with customers", () => {
         const keys = createCustomerTable({ kind: "customers", customers: [customer] });
         const outcome = (changes: Partial<AdmissionInputs>) => {
-            const admission = ask({ keys, ...changes });
+            const admission = admitWith({ keys, ...changes });
             return admission.kind === "refused" ? admission.refusal : admission.customer?.id ?? "nobody";
         };
         const known = customerKey("k-2");
         const unknown = customerKey("k-3");
 
-        it("tells the customer by any of its keys [P21]", () => {
+        it("identifies the customer by any of its keys [P21]", () => {
             expect(outcome({ key: customerKey("k-1") })).to.equal("club");
             expect(outcome({ key: known })).to.equal("club");
         });
 
-        it("needs no key on a public route, and has no customer there", () => {
+        it("requires no key on a public route, and finds no customer there", () => {
             expect(outcome({ path: "/open/1" })).to.equal("nobody");
             expect(outcome({ path: "/open/1", key: unknown })).to.equal("nobody");
             expect(outcome({ path: "/open/1", key: known })).to.equal("nobody");
         });
 
         for (
-            const { age, copy, revocation, whenKnown, whenUnknown } of [
+            const { age, copy, maxKeyCopyAge, whenKnown, whenUnknown } of [
                 { copy: "fresh", age: 0, whenKnown: "club", whenUnknown: "unknownKey" },
                 { copy: "at the bound on changes", age: 3000, whenKnown: "club", whenUnknown: "unknownKey" },
                 { copy: "older", age: 3001, whenKnown: "club", whenUnknown: "copyTooOld" },
                 { copy: "never confirmed", age: 1e9, whenKnown: "club", whenUnknown: "copyTooOld" },
-                { copy: "fresh and strict", age: 0, revocation: 5000, whenKnown: "club", whenUnknown: "unknownKey" },
+                { copy: "fresh and strict", age: 0, maxKeyCopyAge: 5000, whenKnown: "club", whenUnknown: "unknownKey" },
                 {
                     copy: "strict at its bound",
                     age: 5000,
-                    revocation: 5000,
+                    maxKeyCopyAge: 5000,
                     whenKnown: "club",
                     whenUnknown: "copyTooOld",
                 },
                 {
                     copy: "strict and older",
                     age: 5001,
-                    revocation: 5000,
+                    maxKeyCopyAge: 5000,
                     whenKnown: "copyTooOld",
                     whenUnknown: "copyTooOld",
                 },
             ]
         ) {
-            it(`by a copy that is ${copy}: known ${whenKnown}, unknown ${whenUnknown} [P21]`, () => {
+            it(`with a copy that is ${copy}: known key ${whenKnown}, unknown key ${whenUnknown} [P21]`, () => {
                 const inputs = {
                     configurationAge: milliseconds(age),
                     bounds: {
                         ...bounds,
-                        maxKeyCopyAge: revocation === undefined ? undefined : milliseconds(revocation),
+                        maxKeyCopyAge: maxKeyCopyAge === undefined ? undefined : milliseconds(maxKeyCopyAge),
                     },
                 };
                 expect(outcome({ ...inputs, key: known })).to.equal(whenKnown);
@@ -145,12 +145,12 @@
             });
         }
 
-        it("says that it isn't ready before any copy, whatever the key", () => {
+        it("refuses with notReady before the first copy, whatever the key", () => {
             expect(outcome({ keys: undefined, key: known })).to.equal("notReady");
             expect(outcome({ isStateComplete: false, key: unknown })).to.equal("notReady");
         });
 
-        it("lets no one in by a text that is no key [P21]", () => {
+        it("admits no request with a text that is not a key [P21]", () => {
             fc.assert(fc.property(fc.string(), text => {
                 fc.pre(!customer.keys.includes(customerKey(text)));
                 expect(outcome({ key: customerKey(text) })).to.equal("unknownKey");
@@ -159,8 +159,8 @@
     });
 });
 
-describe("homes of a request [P15]", () => {
-    const homes = (ofRoute: readonly string[], ofCustomer: readonly string[] | undefined) => {
+describe("allowed regions of a request [P15]", () => {
+    const allowedRegions = (ofRoute: readonly string[], ofCustomer: readonly string[] | undefined) => {
         const found = allowedRegionsOf(
             route("r", "/", { homeRegions: ofRoute.map(regionId) }),
             ofCustomer && { ...customer, homeRegions: ofCustomer.map(regionId) },
@@ -168,13 +168,13 @@
         return found && [...found];
     };
 
-    it("are those of the route, of the customer, or what both have in common", () => {
-        expect(homes([], undefined)).to.equal(undefined);
-        expect(homes([], [])).to.equal(undefined);
-        expect(homes(["north"], undefined)).to.deep.equal(["north"]);
-        expect(homes(["north", "south"], [])).to.deep.equal(["north", "south"]);
-        expect(homes([], ["south"])).to.deep.equal(["south"]);
-        expect(homes(["north", "south"], ["south", "west"])).to.deep.equal(["south"]);
-        expect(homes(["north"], ["south"])).to.deep.equal([]);
+    it("are the home regions of the route, of the customer, or those that both have in common", () => {
+        expect(allowedRegions([], undefined)).to.equal(undefined);
+        expect(allowedRegions([], [])).to.equal(undefined);
+        expect(allowedRegions(["north"], undefined)).to.deep.equal(["north"]);
+        expect(allowedRegions(["north", "south"], [])).to.deep.equal(["north", "south"]);
+        expect(allowedRegions([], ["south"])).to.deep.equal(["south"]);
+        expect(allowedRegions(["north", "south"], ["south", "west"])).to.deep.equal(["south"]);
+        expect(allowedRegions(["north"], ["south"])).to.deep.equal([]);
     });
 });
--- a/packages/decisions/test/body-memory.test.ts
+++ b/packages/decisions/test/body-memory.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "chai";
 import { type BodyAccount, type BodyMemory, bodyMemoryLimit, createBodyMemory } from "../src/index.js";
 
-const most = 1_000_000;
+const maxBytes = 1_000_000;
 const at = (time: number) => milliseconds(time);
 
 describe("the memory of request bodies", () => {
@@ -10,101 +10,101 @@
     let events: string[];
 
     beforeEach(() => {
-        memory = createBodyMemory(most);
+        memory = createBodyMemory(maxBytes);
         events = [];
     });
 
     function open(name: string, time = 0): BodyAccount {
         const account = memory.open(at(time));
-        account.onResume = () => events.push(`${name} turns`);
+        account.onResume = () => events.push(`${name} resumes`);
         account.onStalled = () => events.push(`${name} stalls`);
         return account;
     }
 
-    it("is an eighth of the box's limit", () => {
+    it("is an eighth of the box's memory limit", () => {
         expect(bodyMemoryLimit(250_000_000)).to.equal(31_250_000);
     });
 
-    it("lets all read below the bound, and the oldest beyond it", () => {
+    it("lets all bodies read below the bound, and only the oldest beyond it", () => {
         const [first, second] = [open("first"), open("second")];
-        first.recordReceived(most / 2, most / 2, at(1));
+        first.recordReceived(maxBytes / 2, maxBytes / 2, at(1));
         expect([first.mayRead(), second.mayRead()]).to.deep.equal([true, true]);
-        second.recordReceived(most / 2, most / 2, at(1));
+        second.recordReceived(maxBytes / 2, maxBytes / 2, at(1));
         expect([first.mayRead(), second.mayRead()]).to.deep.equal([true, false]);
         expect(memory.waitingCount()).to.equal(1);
     });
 
-    it("hands the turn on once memory is given back, and counts it once", () => {
+    it("resumes the next body once memory is released, and releases it only once", () => {
         const [first, second] = [open("first"), open("second")];
-        first.recordReceived(most, most, at(1));
+        first.recordReceived(maxBytes, maxBytes, at(1));
         first.markComplete();
-        second.recordReceived(1, most, at(1));
+        second.recordReceived(1, maxBytes, at(1));
         const third = open("third");
         expect([second.mayRead(), third.mayRead()]).to.deep.equal([true, false]);
         first.close(at(2));
         first.close(at(2));
         second.close(at(3));
-        expect(events).to.deep.equal(["third turns"]);
+        expect(events).to.deep.equal(["third resumes"]);
         expect(memory.held()).to.equal(0);
     });
 
-    it("hands the turn to the next of the unfinished when the oldest is whole", () => {
+    it("resumes the oldest unfinished body when the one before it is complete", () => {
         const [first, second] = [open("first"), open("second")];
-        first.recordReceived(most, most, at(1));
+        first.recordReceived(maxBytes, maxBytes, at(1));
         expect(second.mayRead()).to.equal(false);
         first.markComplete();
         memory.sweep(at(2));
-        expect(events).to.deep.equal(["second turns"]);
+        expect(events).to.deep.equal(["second resumes"]);
     });
 
-    it("ends a body that hardly comes on while others wait, and only then", () => {
+    it("ends a body that makes hardly any progress while others wait, and only then", () => {
         const first = open("first");
-        first.recordReceived(most, most, at(0));
+        first.recordReceived(maxBytes, maxBytes, at(0));
         memory.sweep(at(5000));
         expect(events).to.deep.equal([]);
         const second = open("second", 5000);
         second.mayRead();
-        first.recordReceived(most + 4095, most + 4095, at(5000));
+        first.recordReceived(maxBytes + 4095, maxBytes + 4095, at(5000));
         memory.sweep(at(5001));
-        expect(events).to.deep.equal(["first stalls", "second turns"]);
+        expect(events).to.deep.equal(["first stalls", "second resumes"]);
     });
 
-    it("never lets a short body wait", () => {
-        open("first").recordReceived(most, most, at(0));
+    it("never makes a short body wait", () => {
+        open("first").recordReceived(maxBytes, maxBytes, at(0));
         const second = open("second");
         expect([second.mayRead(4096), second.mayRead(4097)]).to.deep.equal([true, false]);
     });
 
-    it("lets only so many wait as hold as much as all bodies may with what came with their heads", () => {
-        open("first").recordReceived(most, most, at(0));
-        for (let count = 0; count <= most / 65_536; count++) {
+    it("lets only so many bodies wait that the chunks that came with their heads fill the bound once more", () => {
+        open("first").recordReceived(maxBytes, maxBytes, at(0));
+        for (let count = 0; count <= maxBytes / 65_536; count++) {
             expect(memory.mayWait()).to.equal(true);
             open("waiting").mayRead();
         }
         expect(memory.mayWait()).to.equal(false);
     });
 
-    it("gives no more turns at once than what they may bring has room for", () => {
+    it("resumes only as many bodies at once as have room for what they may receive", () => {
         const first = open("first");
-        first.recordReceived(most, most, at(0));
+        first.recordReceived(maxBytes, maxBytes, at(0));
         const others = Array.from({ length: 14 }, (_, index) => open(String(index)));
         others.forEach(other => other.mayRead());
-        first.recordReceived(most, most - 200_000, at(0));
+        first.recordReceived(maxBytes, maxBytes - 200_000, at(0));
         memory.sweep(at(1));
-        expect(events).to.deep.equal(["0 turns", "1 turns", "2 turns", "3 turns"]);
+        expect(events).to.deep.equal(["0 resumes", "1 resumes", "2 resumes", "3 resumes"]);
         memory.sweep(at(2));
         expect(events).to.have.length(4);
     });
 
-    it("leaves a body that comes on its time, and one whose turn has just come", () => {
+    it("does not end a body that makes progress or has just resumed", () => {
         const [first, second] = [open("first"), open("second")];
-        first.recordReceived(most, most, at(900));
+        first.recordReceived(maxBytes, maxBytes, at(900));
         expect(second.mayRead()).to.equal(false);
         memory.sweep(at(1000));
         expect(events).to.deep.equal([]);
         first.close(at(1100));
-        open("third", 1100).recordReceived(most, most, at(1100));
+        open("third", 1100).recordReceived(maxBytes, maxBytes, at(1100));
         memory.sweep(at(1200));
-        expect(events).to.deep.equal(["second turns"]);
+        expect(events).to.deep.equal(["second resumes"]);
     });
 });
--- a/packages/decisions/test/directory.test.ts
+++ b/packages/decisions/test/directory.test.ts
@@ -4,7 +4,7 @@
 import { createMember } from "./member.js";
 
 describe("directory [P19]", () => {
-    it("names the boxes of the caller's region, and others only if it has none", () => {
+    it("returns the boxes of the caller's region, and others only if it has none", () => {
         const north = createMember("n");
         const south = createMember("s", { region: regionId("south") });
         expect(chooseBoxAddresses([north, south], { region: regionId("south"), zone: undefined })).to.deep.equal([
--- a/packages/decisions/test/emulated-quota.ts
+++ b/packages/decisions/test/emulated-quota.ts
@@ -1,7 +1,7 @@
 /**
- * One customer's requests over many boxes, with three ways to keep its quota:
- * equal parts of the boxes, sums of what all boxes admitted passed on by gossip,
- * and leases of a box that counts. Time and chance are emulated.
+ * Simulates one customer's requests over many boxes, with three strategies to keep its quota: equal shares of the
+ * boxes, sums of admitted requests that boxes gossip, and leases of a quota coordinator. Time and randomness are
+ * simulated.
  */
 
 import { boxId, createSeededRandom, customerId, type Milliseconds, milliseconds } from "@chalkdale/kernel";
@@ -13,99 +13,107 @@
     type QuotaLease,
 } from "../src/index.js";
 
-/** How boxes share a quota. */
-export interface QuotaWay {
+/** A strategy by which boxes share a quota. */
+export interface QuotaStrategy {
     readonly name: string;
-    /** Decides on a request at a box. */
+    /** Returns true if a box admits a request. */
     readonly admit: (box: number, at: Milliseconds) => boolean;
-    /** One round of messages, every 300 ms. */
+    /** Runs one round of messages, every 300 ms. */
     readonly round: (at: Milliseconds) => void;
-    /** Messages sent so far, of all boxes. */
+    /** Messages that all boxes have sent so far. */
     readonly messages: () => number;
 }
 
-/** What is played. */
-export interface QuotaDay {
+/** What is simulated. */
+export interface QuotaScenario {
     readonly boxCount: number;
     readonly quota: () => CustomerQuota;
-    /** Requests a second at a time in seconds. */
+    /** Returns the requests a second at a time in seconds. */
     readonly demand: (second: number) => number;
-    /** Callers of the customer: each uses one box for a while. */
+    /** Number of the customer's callers; each uses one box for a while. */
     readonly callers: number;
     readonly seconds: number;
     readonly seed: number;
-    /** True while a box reaches no other. */
-    readonly isCut?: (box: number, second: number) => boolean;
-    /** The box that counts starts anew, or another one takes over, at this second. */
-    readonly counterLostAt?: number;
-    /** All boxes end at this second and start anew within one. */
+    /** True while a box is cut off from all others. */
+    readonly isCutOff?: (box: number, second: number) => boolean;
+    /** Second at which the coordinator is lost; 3 s later another one without its state takes over. */
+    readonly coordinatorLostAt?: number;
+    /** Second at which all boxes stop; they start again one second later, without their state. */
     readonly restartAt?: number;
 }
 
-/** What came of it. */
+/** The result of a simulation. */
 export interface QuotaResult {
-    /** The most that any 5 s admitted over what the quota allows in 5 s, as a part of that. */
+    /**
+     * Maximum excess of the requests admitted in any 5 s over what the quota allows in 5 s, as a fraction of the
+     * latter.
+     */
     readonly overshoot: number;
-    /** Requests refused that one bucket for all boxes would have admitted, as a part of those. */
+    /**
+     * Refused requests that a single bucket for all boxes would have admitted, as a fraction of those it would have
+     * admitted.
+     */
     readonly wronglyRefused: number;
-    /** Messages a second and box. */
+    /** Messages a second and per box. */
     readonly messageRate: number;
 }
 
-const round = 300;
+/** Milliseconds between two rounds of messages. */
+const roundInterval = 300;
 /** Milliseconds from a report to the lease that answers it, between regions. */
-const answerTime = 75;
+const leaseDelay = 75;
+/** Milliseconds of the window in which admitted requests are compared with the quota. */
 const window = 5000;
-/** Milliseconds for which a caller stays with a box. */
-const stay = 1000;
+/** Mean time in milliseconds for which a caller uses the same box. */
+const callerStay = 1000;
 
-/** Plays a day. `allowance` is added to the limit of a window, as deployments do. */
-export function playQuota(
-    day: QuotaDay,
-    createWay: (day: QuotaDay, second: () => number) => QuotaWay,
+/** Runs a simulation. `allowance` is added to the limit of a window, as deployments do. */
+export function simulateQuota(
+    scenario: QuotaScenario,
+    createStrategy: (scenario: QuotaScenario, second: () => number) => QuotaStrategy,
     allowance: number,
 ): QuotaResult {
-    const random = createSeededRandom(day.seed);
+    const random = createSeededRandom(scenario.seed);
     let now = 0;
-    let way = createWay(day, () => now / 1000);
+    let strategy = createStrategy(scenario, () => now / 1000);
     let restarted = false;
     const admittedAt: number[] = [];
-    const boxOfCaller = Array.from({ length: day.callers }, () => Math.floor(random() * day.boxCount));
-    let ideal = day.quota().burst;
+    const boxOfCaller = Array.from({ length: scenario.callers }, () => Math.floor(random() * scenario.boxCount));
+    let idealTokens = scenario.quota().burst;
     let idealAdmitted = 0;
     let wronglyRefused = 0;
     let overshoot = -Infinity;
     let messages = 0;
-    let nextRound = round;
-    while (now < day.seconds * 1000) {
-        const rate = Math.max(0.001, day.demand(now / 1000));
+    let nextRound = roundInterval;
+    while (now < scenario.seconds * 1000) {
+        const rate = Math.max(0.001, scenario.demand(now / 1000));
         const gap = -Math.log(1 - random()) * 1000 / rate;
         while (nextRound < now + gap) {
-            way.round(milliseconds(nextRound));
-            nextRound += round;
+            strategy.round(milliseconds(nextRound));
+            nextRound += roundInterval;
         }
         now += gap;
-        if (!restarted && now / 1000 >= (day.restartAt ?? Infinity) + 1) {
+        if (!restarted && now / 1000 >= (scenario.restartAt ?? Infinity) + 1) {
             restarted = true;
-            messages += way.messages();
-            way = createWay(day, () => now / 1000);
+            messages += strategy.messages();
+            strategy = createStrategy(scenario, () => now / 1000);
         }
-        if (now / 1000 > (day.restartAt ?? Infinity) && now / 1000 < day.restartAt! + 1) {
+        if (now / 1000 > (scenario.restartAt ?? Infinity) && now / 1000 < scenario.restartAt! + 1) {
             continue;
         }
-        const caller = Math.floor(random() * day.callers);
-        if (random() < gap * day.callers / stay) {
-            boxOfCaller[Math.floor(random() * day.callers)] = Math.floor(random() * day.boxCount);
+        const caller = Math.floor(random() * scenario.callers);
+        if (random() < gap * scenario.callers / callerStay) {
+            boxOfCaller[Math.floor(random() * scenario.callers)] = Math.floor(random() * scenario.boxCount);
         }
-        const quota = day.quota();
-        ideal = Math.min(quota.burst, ideal + quota.rate * gap / 1000);
-        const isWithin = ideal >= 1;
-        if (isWithin) {
-            ideal -= 1;
+        const quota = scenario.quota();
+        idealTokens = Math.min(quota.burst, idealTokens + quota.rate * gap / 1000);
+        const isWithinQuota = idealTokens >= 1;
+        if (isWithinQuota) {
+            idealTokens -= 1;
             idealAdmitted += 1;
         }
-        if (!way.admit(boxOfCaller[caller], milliseconds(now))) {
-            wronglyRefused += isWithin ? 1 : 0;
+        if (!strategy.admit(boxOfCaller[caller], milliseconds(now))) {
+            wronglyRefused += isWithinQuota ? 1 : 0;
             continue;
         }
         admittedAt.push(now);
@@ -115,24 +123,24 @@
         const limit = quota.rate * window / 1000 + quota.burst;
         overshoot = Math.max(overshoot, (admittedAt.length - allowance) / limit - 1);
     }
-    messages += way.messages();
+    messages += strategy.messages();
     return {
         overshoot,
         wronglyRefused: wronglyRefused / Math.max(1, idealAdmitted),
-        messageRate: messages / day.boxCount / day.seconds,
+        messageRate: messages / scenario.boxCount / scenario.seconds,
     };
 }
 
-/** Each box has an equal part of rate and burst. */
-export function equalParts(day: QuotaDay): QuotaWay {
-    const buckets = Array.from({ length: day.boxCount }, () => ({ tokens: 0, at: 0 }));
+/** Each box has an equal share of rate and burst. */
+export function equalShares(scenario: QuotaScenario): QuotaStrategy {
+    const buckets = Array.from({ length: scenario.boxCount }, () => ({ tokens: 0, at: 0 }));
     return {
-        name: "equal parts",
+        name: "equal shares",
         admit(box, at) {
-            const { burst, rate } = day.quota();
+            const { burst, rate } = scenario.quota();
             const bucket = buckets[box];
-            const most = Math.max(1, burst / day.boxCount);
-            bucket.tokens = Math.min(most, bucket.tokens + rate / day.boxCount * (at - bucket.at) / 1000);
+            const capacity = Math.max(1, burst / scenario.boxCount);
+            bucket.tokens = Math.min(capacity, bucket.tokens + rate / scenario.boxCount * (at - bucket.at) / 1000);
             bucket.at = at;
             if (bucket.tokens < 1) {
                 return false;
@@ -145,37 +153,40 @@
     };
 }
 
-/** Each box admits while the sums that it has heard of leave room; each round every box tells its sum to one other, with those it knows. */
-export function gossipedSums(day: QuotaDay, second: () => number): QuotaWay {
-    const random = createSeededRandom(day.seed + 1);
-    const known = Array.from({ length: day.boxCount }, () => new Map<number, number>());
-    const levels = Array.from({ length: day.boxCount }, () => ({ level: 0, charged: 0, at: 0 }));
+/**
+ * Each box admits while the sums that it knows leave room; in each round every box sends its own and all known sums to
+ * one other box.
+ */
+export function gossipedSums(scenario: QuotaScenario, second: () => number): QuotaStrategy {
+    const random = createSeededRandom(scenario.seed + 1);
+    const known = Array.from({ length: scenario.boxCount }, () => new Map<number, number>());
+    const levels = Array.from({ length: scenario.boxCount }, () => ({ level: 0, charged: 0, at: 0 }));
     let messages = 0;
     const sumOf = (box: number) => [...known[box].values()].reduce((sum, value) => sum + value, 0);
     return {
         name: "gossiped sums",
         admit(box, at) {
-            const { burst, rate } = day.quota();
-            const own = levels[box];
+            const { burst, rate } = scenario.quota();
+            const local = levels[box];
             const sum = sumOf(box);
-            own.level = Math.min(burst, own.level + rate * (at - own.at) / 1000) - (sum - own.charged);
-            own.charged = sum;
-            own.at = at;
-            if (own.level < 1) {
+            local.level = Math.min(burst, local.level + rate * (at - local.at) / 1000) - (sum - local.charged);
+            local.charged = sum;
+            local.at = at;
+            if (local.level < 1) {
                 return false;
             }
             known[box].set(box, (known[box].get(box) ?? 0) + 1);
             return true;
         },
         round() {
-            for (let box = 0; box < day.boxCount; box++) {
-                const other = Math.floor(random() * day.boxCount);
-                if (day.isCut?.(box, second()) || day.isCut?.(other, second())) {
+            for (let box = 0; box < scenario.boxCount; box++) {
+                const target = Math.floor(random() * scenario.boxCount);
+                if (scenario.isCutOff?.(box, second()) || scenario.isCutOff?.(target, second())) {
                     continue;
                 }
                 messages += 1;
-                for (const [teller, sum] of known[box]) {
-                    known[other].set(teller, Math.max(sum, known[other].get(teller) ?? 0));
+                for (const [origin, sum] of known[box]) {
+                    known[target].set(origin, Math.max(sum, known[target].get(origin) ?? 0));
                 }
             }
         },
@@ -183,18 +194,18 @@
     };
 }
 
-/** Leases of a box that counts. */
-export function leases(day: QuotaDay, second: () => number): QuotaWay {
+/** Leases of a quota coordinator. */
+export function leases(scenario: QuotaScenario, second: () => number): QuotaStrategy {
     const customer = customerId("c");
     const startedAt = milliseconds(second() * 1000);
-    const shares = Array.from({ length: day.boxCount }, () => createQuotaShare(customer, startedAt));
-    let counter = createQuotaAllocator(startedAt);
-    let counterLostAt = day.counterLostAt ?? Infinity;
-    const answers: { readonly box: number; readonly lease: QuotaLease; readonly due: number; }[] = [];
-    const quota = () => effectiveQuota(day.quota(), { over: 0.1, slack: 20 });
+    const shares = Array.from({ length: scenario.boxCount }, () => createQuotaShare(customer, startedAt));
+    let allocator = createQuotaAllocator(startedAt);
+    let coordinatorLostAt = scenario.coordinatorLostAt ?? Infinity;
+    const pendingLeases: { readonly box: number; readonly lease: QuotaLease; readonly due: number; }[] = [];
+    const quota = () => effectiveQuota(scenario.quota(), { over: 0.1, slack: 20 });
     const deliver = (at: Milliseconds) => {
-        while (answers.length > 0 && answers[0].due <= at) {
-            const { box, lease } = answers.shift()!;
+        while (pendingLeases.length > 0 && pendingLeases[0].due <= at) {
+            const { box, lease } = pendingLeases.shift()!;
             shares[box].onLease(lease, at);
         }
     };
@@ -204,7 +215,7 @@
         admit(box, at) {
             deliver(at);
             const isAdmitted =
-                shares[box].consume({ quota: quota(), boxCount: day.boxCount, startingFor: undefined, at })
+                shares[box].consume({ quota: quota(), boxCount: scenario.boxCount, startingFor: undefined, at })
                     === undefined;
             if (shares[box].needsLease(at)) {
                 report(box, at);
@@ -213,9 +224,9 @@
         },
         round(at) {
             deliver(at);
-            if (at / 1000 >= counterLostAt + 3) {
-                counterLostAt = Infinity;
-                counter = createQuotaAllocator(at);
+            if (at / 1000 >= coordinatorLostAt + 3) {
+                coordinatorLostAt = Infinity;
+                allocator = createQuotaAllocator(at);
             }
             shares.forEach((_, box) => report(box, at));
         },
@@ -224,16 +235,16 @@
 
     function report(box: number, at: Milliseconds): void {
         const due = shares[box].dueReport(at);
-        if (due === undefined || day.isCut?.(box, at / 1000) || isCounterAway(at)) {
+        if (due === undefined || scenario.isCutOff?.(box, at / 1000) || isCoordinatorLost(at)) {
             return;
         }
         messages += 2;
-        const context = { quota: quota(), boxCount: day.boxCount, at };
-        answers.push({ box, due: at + answerTime, lease: counter.onReport(boxId(`b-${box}`), due, context) });
+        const context = { quota: quota(), boxCount: scenario.boxCount, at };
+        pendingLeases.push({ box, due: at + leaseDelay, lease: allocator.onReport(boxId(`b-${box}`), due, context) });
     }
 
-    /** Nobody counts for 3 s, until the others know that the box is lost. */
-    function isCounterAway(at: Milliseconds): boolean {
-        return at / 1000 >= counterLostAt && at / 1000 < counterLostAt + 3;
+    /** True for 3 s, until the other boxes have detected the loss of the coordinator. */
+    function isCoordinatorLost(at: Milliseconds): boolean {
+        return at / 1000 >= coordinatorLostAt && at / 1000 < coordinatorLostAt + 3;
     }
 }
--- a/packages/decisions/test/timeouts.test.ts
+++ b/packages/decisions/test/timeouts.test.ts
@@ -12,7 +12,7 @@
     snapshotDelay,
 } from "../src/index.js";
 
-describe("time limits", () => {
+describe("timeouts", () => {
     it("hold a request as long as both its caller and its route allow [P13]", () => {
         const timeout = milliseconds(1500);
         expect(requestTimeout(900, timeout)).to.equal(900);
@@ -22,41 +22,41 @@
         }
     });
 
-    it("leave time for a second server while a connection comes up", () => {
+    it("leave time for a second server while a connection is established", () => {
         expect(connectTimeoutOfRequest(milliseconds(10), milliseconds(2000))).to.equal(270);
         expect(connectTimeoutOfRequest(milliseconds(10), milliseconds(100))).to.equal(40);
     });
 
-    it("call no request overdue before the least time", () => {
+    it("treat no request as overdue before the minimum threshold", () => {
         expect(overdueThreshold(milliseconds(10))).to.equal(400);
         expect(overdueThreshold(milliseconds(300))).to.equal(900);
     });
 
-    it("use rested connections sooner for requests that may not run twice [P5]", () => {
+    it("are shorter for idle connections before non-idempotent requests [P5]", () => {
         expect(maxIdleTimeBefore(false)).to.be.lessThan(maxIdleTimeBefore(true));
         expect(idleTimeoutAfterAnswer(milliseconds(2000))).to.equal(1000);
         expect(idleTimeoutAfterAnswer(undefined)).to.be.at.most(maxIdleTimeBefore(true));
     });
 });
 
-describe("the schedule of a planned stop [P7]", () => {
+describe("the schedule of a graceful shutdown [P7]", () => {
     const schedule = createShutdownSchedule(milliseconds(6000));
 
-    it("takes new work at first, then waits for work in flight, and ends before the kill", () => {
+    it("admits new requests at first, then waits for those in flight, and ends before the kill", () => {
         expect(schedule.acceptRequestsFor).to.equal(2400);
         expect(schedule.isDrainOver(milliseconds(2400), 1)).to.equal(false);
         expect(schedule.isDrainOver(milliseconds(2400), 0)).to.equal(true);
         expect(schedule.isDrainOver(milliseconds(5700), 1)).to.equal(true);
     });
 
-    it("lets callers read the last answer as far as the grace allows", () => {
+    it("lets callers read the last answer as far as the grace period allows", () => {
         expect(schedule.lingerFor(milliseconds(2400))).to.equal(600);
         expect(schedule.lingerFor(milliseconds(5500))).to.be.closeTo(200, 1e-6);
         expect(schedule.lingerFor(milliseconds(5900))).to.equal(0);
     });
 });
 
-describe("the refresh of a copy [P8]", () => {
+describe("the refresh of a replica [P8]", () => {
     const inputs = {
         hasCopy: true,
         alwaysFollowsStore: false,
@@ -65,11 +65,11 @@
         isSameRegion: true,
     };
 
-    it("waits for nothing without a copy [P17]", () => {
+    it("does not delay a snapshot without a copy [P17]", () => {
         expect(snapshotDelay({ ...inputs, hasCopy: false })).to.equal(0);
     });
 
-    it("leaves the ordinary way a head start, the shortest where it is nearest", () => {
+    it("delays snapshots to let ordinary propagation finish first, least where propagation is fastest", () => {
         const relay = snapshotDelay(inputs);
         const watch = snapshotDelay({ ...inputs, alwaysFollowsStore: true });
         const otherRegion = snapshotDelay({ ...inputs, isSameRegion: false });
@@ -80,7 +80,7 @@
         expect(snapshotDelay({ ...inputs, alwaysFollowsStore: true, isStoreUnavailable: true })).to.equal(relay);
     });
 
-    it("doubles the pauses between failed calls up to a bound, and spreads them", () => {
+    it("doubles the back-off after failed calls up to a maximum, and adds jitter", () => {
         expect(nextBackoff(milliseconds(150), true)).to.equal(300);
         expect(nextBackoff(milliseconds(1000), true)).to.equal(1200);
         expect(nextBackoff(milliseconds(2000), false)).to.equal(2500);
