--- a/packages/decisions/src/refusals/caller-retry-pacer.ts
+++ b/packages/decisions/src/refusals/caller-retry-pacer.ts
@@ -10,7 +10,10 @@
 
 /** Schedules the retries of callers at one box. */
 export interface CallerRetryPacer {
-    /** Returns the time until the next caller may retry. `rate`: this box's part of the service's rate, in requests per second. */
+    /**
+     * Returns the time until the next caller may retry. `rate`: this box's part of the service's rate, in requests per
+     * second.
+     */
     readonly nextRetryAfter: (service: ServiceId, rate: number, at: Milliseconds) => Milliseconds;
 }
 
--- a/packages/decisions/src/refusals/refusals.ts
+++ b/packages/decisions/src/refusals/refusals.ts
@@ -45,8 +45,8 @@
 /** Seconds before a retry while something has to start or recover first; a box normally starts in 0.6 s. */
 const afterUnavailability = 0.5;
 /**
- * Seconds before a retry while servers are full. Most callers retry only once, so work in progress, which takes 0.4 to 0.8 s, should
- * have ended by then.
+ * Seconds before a retry while servers are full. Most callers retry only once, so work in progress, which takes 0.4 to
+ * 0.8 s, should have ended by then.
  */
 const afterOverload = 0.7;
 
--- a/packages/decisions/src/refusals/retry-after.ts
+++ b/packages/decisions/src/refusals/retry-after.ts
@@ -27,14 +27,20 @@
 const minRetryAfter = 50;
 /** Milliseconds per second. */
 const second = 1000;
-/** Milliseconds over which callers are spread after a back-off: the first server available again would otherwise get all of them. */
+/**
+ * Milliseconds over which callers are spread after a back-off: the first server available again would otherwise get all
+ * of them.
+ */
 const backoffSpread = 500;
-/** Maximum time after a back-off, in milliseconds: the caller may reach another box, from which the servers accept requests sooner. */
+/**
+ * Maximum time after a back-off, in milliseconds: the caller may reach another box, from which the servers accept
+ * requests sooner.
+ */
 const maxAfterBackoff = 2000;
 
 /**
- * Returns the time for a request whose servers have all asked this box to back off: until the first back-off ends, in `firstEndsIn`,
- * plus a random part of the spread. `random` is from 0 to 1.
+ * Returns the time for a request whose servers have all asked this box to back off: until the first back-off ends, in
+ * `firstEndsIn`, plus a random part of the spread. `random` is from 0 to 1.
  */
 export function retryAfterBackoff(firstEndsIn: Milliseconds, random: number): Milliseconds {
     const earliest = Math.max(minRetryAfter, Math.min(firstEndsIn, maxAfterBackoff - backoffSpread));
--- a/packages/decisions/src/retry/answer-class.ts
+++ b/packages/decisions/src/retry/answer-class.ts
@@ -31,8 +31,8 @@
     /** The request did not run. `isFailure`: the server has free slots, so it is failing rather than full. */
     | { readonly kind: "full"; readonly isFailure: boolean; }
     /**
-     * The server refused the request and asks for back-off, which does not count as a failure. `mayHaveRun`: it did not report that the
-     * request was not run.
+     * The server refused the request and asks for back-off, which does not count as a failure. `mayHaveRun`: it did not
+     * report that the request was not run.
      */
     | { readonly kind: "backedOff"; readonly mayHaveRun: boolean; }
     /** The server ran the request. */
@@ -40,7 +40,10 @@
 
 /** HTTP 421 Misdirected Request: the server is not the one that the request was meant for. */
 const statusMisdirected = 421;
-/** HTTP 504 Gateway Timeout: the deadline passed at the server. This is no failure if the server had less time than it usually needs. */
+/**
+ * HTTP 504 Gateway Timeout: the deadline passed at the server. This is no failure if the server had less time than it
+ * usually needs.
+ */
 const statusDeadline = 504;
 /** Lowest HTTP status of server errors; lower error statuses are the caller's fault. */
 const minFailureStatus = 500;
--- a/packages/decisions/src/retry/retry-budget.ts
+++ b/packages/decisions/src/retry/retry-budget.ts
@@ -32,13 +32,16 @@
 export interface RetryBudget {
     /** Counts a request to the service. */
     readonly onRequest: (at: Milliseconds) => void;
-    /** Consumes one retry; false if none is left for a request of this priority (0 is the most urgent, see `combinedPriority`). */
+    /**
+     * Consumes one retry; false if none is left for a request of this priority (0 is the most urgent, see
+     * `combinedPriority`).
+     */
     readonly tryConsume: (at: Milliseconds, priority: number) => boolean;
 }
 
 /**
- * Fraction of the ratio that is used. The rest is a margin for what boxes don't know about each other, such as a box that has just
- * started.
+ * Fraction of the ratio that is used. The rest is a margin for what boxes don't know about each other, such as a box
+ * that has just started.
  */
 const usedRatioFraction = 0.8;
 /** Fraction of the allowance that is used, for the same reason. */
--- a/packages/decisions/src/retry/retry-decision.ts
+++ b/packages/decisions/src/retry/retry-decision.ts
@@ -14,7 +14,10 @@
 
 /** How an attempt ended, as far as a retry depends on it. */
 export type AttemptEnd =
-    /** The server answered. `isVerified`: the answer carries the server's stamp, so a success really comes from the server. */
+    /**
+     * The server answered. `isVerified`: the answer carries the server's stamp, so a success really comes from the
+     * server.
+     */
     | { readonly kind: "answered"; readonly status: number; readonly isVerified: boolean; }
     /** The server reports that it did not run the request. */
     | { readonly kind: "notRun"; }
@@ -35,7 +38,10 @@
     readonly notSent: number;
     /** Time until the request's deadline. */
     readonly timeLeft: Milliseconds;
-    /** Consumes one retry of the service's budget; false if none is left. Called only if everything else allows the retry. */
+    /**
+     * Consumes one retry of the service's budget; false if none is left. Called only if everything else allows the
+     * retry.
+     */
     readonly consumeRetry: () => boolean;
 }
 
@@ -49,8 +55,8 @@
     | { readonly kind: "giveUp"; readonly refusal: RefusalKind; };
 
 /**
- * Maximum number of attempts that reach no server. They consume no budget, only time: at 250 ms per connection, four of them take a
- * second, about a third of the shortest deadline of callers.
+ * Maximum number of attempts that reach no server. They consume no budget, only time: at 250 ms per connection, four of
+ * them take a second, about a third of the shortest deadline of callers.
  */
 const maxNotSent = 4;
 /** Minimum time left for another attempt, in milliseconds: a round trip within a region. */
--- a/packages/decisions/test/retry-budget.test.ts
+++ b/packages/decisions/test/retry-budget.test.ts
@@ -34,7 +34,10 @@
 });
 
 describe("retry budget while servers refuse more requests than it can retry", () => {
-    /** Simulates 100 requests per second for 12 s, of which 57 % are urgent and `refusedFraction` are refused; returns the retries granted to each priority. */
+    /**
+     * Simulates 100 requests per second for 12 s, of which 57 % are urgent and `refusedFraction` are refused; returns
+     * the retries granted to each priority.
+     */
     const countRetries = (refusedFraction: number) => {
         const options = { ratio: 0.2, window: milliseconds(10_000), allowance: 10, boxCount: () => 1 };
         const budget = createRetryBudget(options);
