--- a/packages/box/src/requests/active-request.ts
+++ b/packages/box/src/requests/active-request.ts
@@ -1,7 +1,8 @@
 /**
- * One request of a caller while it is served, and how it ends.
+ * State of one caller's request while it is served, and how it ends.
  *
- * Owns what is counted for the request; one handler and its attempts use it.
+ * Owns the request's counts and flags; the request handler and the attempts of
+ * the request update them.
  */
 
 import {
@@ -29,58 +30,62 @@
 import { forwardableHeaders } from "./headers.js";
 import { hostOf, urlOf } from "./request-target.js";
 
-/** What is known of a request. */
+/** A request that is being served. */
 export interface ActiveRequest {
     readonly route: Route;
-    /** Whose request it is; undefined where callers need no key. */
+    /** The customer whose key the request carries; undefined on routes that need no key. */
     readonly customer: Customer | undefined;
-    /** The only regions whose servers may have it; undefined when all may. */
+    /** Regions whose servers may get the request; undefined if all may. */
     readonly allowedRegions: ReadonlySet<RegionId> | undefined;
     readonly service: ServiceId;
     readonly host: string;
     readonly method: string;
-    /** With its query. */
+    /** Path with the query. */
     readonly path: string;
     /** Hash of the affinity key, or of a random number for a request without one. */
     readonly keyHash: number;
     readonly requestId: string | undefined;
     readonly startedAt: Milliseconds;
-    /** The caller has asked before. */
+    /** The caller retries a request that failed or was refused before; see `CallerRetryDetector`. */
     readonly isCallerRetry: boolean;
     /** The earlier of the caller's deadline and the route's time limit. */
     readonly deadlineAt: number;
-    /** Names and values in turn, with the customer's, without the key, those of the connection and those that each attempt sets. */
+    /**
+     * Headers for a server, names and values alternating: with the customer's id, but without the caller's key,
+     * hop-by-hop headers and those that each attempt sets.
+     */
     readonly rawHeaders: readonly string[];
+    /** Servers that were chosen for the request and may not be chosen again. */
     readonly tried: Set<BackendServerId>;
     /** Attempts that reached a server. */
     sent: number;
-    /** Attempts that reached none. */
+    /** Attempts that reached no server. */
     notSent: number;
-    /** A server that turned the request away with free slots may have it again. */
+    /** The one repeat at a server that refused the request despite free slots was used. */
     retriedSameServer: boolean;
     /** An attempt broke off after it had reached a server. */
     mayHaveRun: boolean;
-    /** The latest answer of a server, a failure as long as the request goes on. */
+    /** The latest answer of a server; while the request goes on, a failure or an unverified success. */
     lastAnswer: ServerAnswer | undefined;
-    /** What the latest choice of a server went by, for the log. */
+    /** The latest choice of a server with its inputs, for the log. */
     latestChoice: ChosenServer | undefined;
-    /** Version of the server of the latest try, where versions are compared; for the log. */
+    /** Version of the server of the latest attempt, while versions of the service are compared; for the log. */
     latestVersion: ServerVersion | undefined;
-    /** Set once servers have ended under requests of its kind; for the log. */
+    /** Set once servers have crashed under requests with this fingerprint; for the log. */
     fingerprint: RequestFingerprint | undefined;
 }
 
-/** The end of a request: a server's answer, or the box's own. */
+/** How a request ends: with a server's answer, with a refusal, or because its caller left. */
 export type RequestOutcome =
     | { readonly kind: "answer"; readonly answer: ServerAnswer; }
     | { readonly kind: "refusal"; readonly refusal: RefusalKind; }
     | { readonly kind: "callerLeft"; };
 
-/** Where a request goes, and when it came. */
+/** Inputs of `createActiveRequest` besides the request itself. */
 export interface ActiveRequestInputs {
     readonly route: Route;
     readonly customer: Customer | undefined;
-    /** Callers of the deployment have keys, whether this route needs one or not. */
+    /** Callers of the deployment have keys, whether or not this route needs one. */
     readonly isKeyRequired: boolean;
     readonly service: ServiceId;
     readonly startedAt: Milliseconds;
@@ -88,15 +93,15 @@
     readonly random: () => number;
 }
 
-/** Reads a request's head. */
+/** Creates the state of a request from its head. */
 export function createActiveRequest(
     request: IncomingMessage,
     headers: HeaderNames,
-    activation: ActiveRequestInputs,
+    inputs: ActiveRequestInputs,
 ): ActiveRequest {
-    const { customer, random, route, service, startedAt } = activation;
-    const callerWaits = Number(request.headers[headers.deadline]);
-    const limit = requestTimeout(callerWaits, route.timeout);
+    const { customer, random, route, service, startedAt } = inputs;
+    const callerTimeout = Number(request.headers[headers.deadline]);
+    const timeout = requestTimeout(callerTimeout, route.timeout);
     const key = request.headers[headers.affinityKey];
     return {
         route,
@@ -111,9 +116,9 @@
             : hashText(String(random())),
         requestId: singleValue(request.headers[headers.requestId]),
         startedAt,
-        isCallerRetry: activation.callerRetryDetector.isCallerRetry(route.name, callerWaits, startedAt),
-        deadlineAt: startedAt + limit,
-        rawHeaders: headersToServer(request, headers, activation),
+        isCallerRetry: inputs.callerRetryDetector.isCallerRetry(route.name, callerTimeout, startedAt),
+        deadlineAt: startedAt + timeout,
+        rawHeaders: headersToServer(request, headers, inputs),
         tried: new Set(),
         sent: 0,
         notSent: 0,
@@ -127,20 +132,20 @@
 }
 
 /**
- * The caller's headers as a server gets them. Where callers have keys, the key is taken off, and the customer is what the box
- * found, whatever the caller wrote.
+ * Returns the caller's headers as a server gets them. Where callers have keys, the key is removed, and the customer
+ * header is set by the box, or left out on a route that needs no key, whatever the caller sent.
  */
-function headersToServer(request: IncomingMessage, headers: HeaderNames, activation: ActiveRequestInputs): string[] {
-    const { customer, isKeyRequired: isKeyed } = activation;
+function headersToServer(request: IncomingMessage, headers: HeaderNames, inputs: ActiveRequestInputs): string[] {
+    const { customer, isKeyRequired } = inputs;
     const replaced = new Set([headers.deadline, headers.expectedServer]);
-    if (isKeyed) {
+    if (isKeyRequired) {
         replaced.add(headers.customerKey).add(headers.customer);
     }
     const kept = forwardableHeaders(request.rawHeaders, replaced);
     return customer === undefined ? kept : [...kept, headers.customer, customer.id];
 }
 
-/** Returns the first value of a header. */
+/** Returns the value of a header, the first one if it has several. */
 export function singleValue(value: string | string[] | undefined): string | undefined {
     return Array.isArray(value) ? value[0] : value;
 }
--- a/packages/box/src/requests/caller-answers.ts
+++ b/packages/box/src/requests/caller-answers.ts
@@ -1,5 +1,5 @@
 /**
- * Answers to callers: a server's, unchanged, or the box's own.
+ * Answers to callers: a server's answer, forwarded unchanged, or a refusal.
  *
  * Owns nothing; relies on the table of refusals.
  */
@@ -11,24 +11,27 @@
 import type { ServerAnswer } from "../servers/exchange.js";
 import { forwardableHeaders } from "./headers.js";
 
-/** A server's answer as it is. `onFault`: it can't be written, and the caller gets a failure instead. */
+/**
+ * Forwards a server's answer unchanged. `onFault` is called if it can't be written; the caller then gets
+ * `internalFault` instead.
+ */
 export function forwardAnswer(answer: ServerAnswer, onFault: (error: unknown) => void): CallerAnswer {
     const { body, framed, status } = answer;
     return {
         bytes: body.length,
         closesConnection: !framed,
         write(response, isLast) {
-            const back = forwardableHeaders(answer.rawHeaders, new Set());
+            const forwardedHeaders = forwardableHeaders(answer.rawHeaders, new Set());
             if (framed) {
-                back.push("Content-Length", String(body.length));
+                forwardedHeaders.push("Content-Length", String(body.length));
             }
             if (isLast) {
-                back.push("Connection", "close");
+                forwardedHeaders.push("Connection", "close");
             }
             response.sendDate = false;
             response.useChunkedEncodingByDefault = false;
             try {
-                response.writeHead(status, back);
+                response.writeHead(status, forwardedHeaders);
             }
             catch (error) {
                 onFault(error);
@@ -40,34 +43,34 @@
     };
 }
 
-/** How a refusal is given. */
+/** Options of a refusal. */
 export interface RefusalOptions {
-    /** Goes before the time of the table. */
+    /** Overrides the table's value of Retry-After. */
     readonly retryAfter?: Milliseconds;
-    /** The rest of the request can't be waited for. */
+    /** The connection closes with the refusal, because the rest of the request is not waited for. */
     readonly closesConnection?: boolean;
 }
 
-/** An answer of the box's own. */
+/** Builds the answer for a refusal. */
 export function refusalAnswer(
     kind: RefusalKind,
-    { retryAfter: comeBackAfter, closesConnection: endsConnection = false }: RefusalOptions = {},
+    { retryAfter, closesConnection = false }: RefusalOptions = {},
 ): CallerAnswer {
     return {
         bytes: 0,
-        closesConnection: endsConnection,
-        write: (response, isLast) => writeRefusal(response, kind, comeBackAfter, isLast),
+        closesConnection,
+        write: (response, isLast) => writeRefusal(response, kind, retryAfter, isLast),
     };
 }
 
 function writeRefusal(
     response: ServerResponse,
     kind: RefusalKind,
-    comeBackAfter: Milliseconds | undefined,
+    retryAfter: Milliseconds | undefined,
     isLast: boolean,
 ): void {
-    const { status, retryAfterSeconds: retryAfter } = refusals[kind];
-    const seconds = comeBackAfter === undefined ? retryAfter : toSeconds(comeBackAfter);
+    const { status, retryAfterSeconds } = refusals[kind];
+    const seconds = retryAfter === undefined ? retryAfterSeconds : toSeconds(retryAfter);
     response.sendDate = false;
     response.setHeader("Content-Length", "0");
     if (seconds !== undefined) {
@@ -79,7 +82,7 @@
     response.writeHead(status).end();
 }
 
-/** Seconds with three digits after the point. */
+/** Converts to seconds with three decimal places, rounded up to whole milliseconds. */
 function toSeconds(duration: Milliseconds): number {
     return Math.ceil(duration) / 1000;
 }
--- a/packages/box/src/requests/data-plane.ts
+++ b/packages/box/src/requests/data-plane.ts
@@ -1,8 +1,9 @@
 /**
- * Composes the way of a request through a box: the choice of a server, the
- * attempts, and what is learned from them.
+ * The data plane of a box: wires up the choice of servers, the attempts, and the
+ * estimates that are learned from them.
  *
- * Owns what a box learns of servers, keys, work and ways; all of it may be lost.
+ * Owns the learned estimates (idle timeouts, keys, work, transfer sizes, round
+ * trips, load of services), which may all be lost, and the connections to servers.
  */
 
 import {
@@ -60,9 +61,9 @@
     readonly limits: SharedLimits;
     readonly quotas: CustomerQuotas;
     readonly evidence: OutlierReports;
-    /** Keeps requests that end servers from them. */
+    /** Keeps poison requests from servers. */
     readonly poisonRequestGuard: PoisonRequestGuard;
-    /** Which versions may have which requests. */
+    /** Which server versions may get which requests. */
     readonly versions: Pick<ServedVersions, "admits" | "version">;
     readonly trials: TrialHooks;
     readonly phase: () => ShutdownPhase;
@@ -72,35 +73,38 @@
     readonly recentSends: RecentSends;
     readonly limitedServers: Pick<LimitedServers, "onAnswer">;
     readonly serverNotices: Pick<ServerNotices, "onAnswer">;
-    /** Called with a server whose new life was in doubt until now. */
+    /** Called with a server whose restart was uncertain until now. */
     readonly onServerRestarted: (restarted: RestartedServer) => void;
     readonly copyAgeBounds: CopyAgeBounds;
-    readonly countTraffic: (purpose: TrafficPurpose, place: TrafficLocality, bytes: number) => void;
+    readonly countTraffic: (purpose: TrafficPurpose, locality: TrafficLocality, bytes: number) => void;
 }
 
-/** The way of requests through one box. */
+/** Serves callers' requests at one box. */
 export interface DataPlane {
     /** Serves the requests of callers. */
     readonly handler: RequestHandler;
-    /** A server has started again: closes the connections to its earlier life, and forgets what that knew. */
+    /**
+     * Called after a restart of a server: closes idle connections to its earlier incarnation and forgets the keys that
+     * this one knew.
+     */
     readonly onServerRestarted: (server: BackendServerId) => void;
-    /** Closes connections that have rested too long, and forgets servers that are gone. Due some times a second. */
+    /** Closes connections idle for too long, and forgets servers that are gone. Due several times per second. */
     readonly sweep: () => void;
-    /** Connections to servers that are open. */
+    /** Number of open connections to servers. */
     readonly connectionCount: () => number;
-    /** Bytes of request bodies that are held. */
+    /** Bytes of request bodies in memory. */
     readonly bodyBytes: () => number;
 }
 
-/** Creates the way of requests; nothing is learned yet. */
+/** Creates the data plane; nothing is learned yet. */
 export function createDataPlane(options: DataPlaneOptions): DataPlane {
     const { catalog, clock, evidence, limits, log, protocol, settings, state } = options;
     const bodyMemory = createBodyMemory(bodyMemoryLimit(settings.memoryLimit));
     const recentKeys = createRecentKeys();
     const serviceLoad = createServiceLoad();
-    const work = createWorkEstimate();
-    const movedBytes = createTransferSizes();
-    const limitedReturns = createCallerRetryPacer(options.random);
+    const workEstimate = createWorkEstimate();
+    const transferSizes = createTransferSizes();
+    const callerRetryPacer = createCallerRetryPacer(options.random);
     const roundTrips = createRoundTrips(settings.region, settings.zone);
     const connections = createServerConnections({
         clock,
@@ -129,13 +133,13 @@
             zone: settings.zone,
             catalog,
             recentKeys,
-            workEstimate: work,
-            transferSizes: movedBytes,
+            workEstimate,
+            transferSizes,
             roundTrip: roundTrips.estimate,
             loadPerSlot: serviceLoad.perSlot,
             severity: ({ id, state: server }, at) => {
-                const own = server.severity(at);
-                return Math.max(own, evidence.severity(id, own, at));
+                const ownSeverity = server.severity(at);
+                return Math.max(ownSeverity, evidence.severity(id, ownSeverity, at));
             },
             admitsZone: state.admitsZone,
             admitsVersion: options.versions.admits,
@@ -158,10 +162,10 @@
         }),
         retryBudgetOf: limits.retryBudgetOf,
         loadPerSlot: serviceLoad.perSlot,
-        retryAfter: returnTimeOf,
+        retryAfter: retryAfterOf,
         recentKeys,
-        workEstimate: work,
-        transferSizes: movedBytes,
+        workEstimate,
+        transferSizes,
         roundTrip: roundTripTo,
         bodyMemory,
     });
@@ -187,26 +191,29 @@
         bodyBytes: bodyMemory.held,
     };
 
-    function returnTimeOf({ route, service }: ActiveRequest, refusal: RefusalKind): Milliseconds | undefined {
+    function retryAfterOf({ route, service }: ActiveRequest, refusal: RefusalKind): Milliseconds | undefined {
         if (refusal === "serversLimited") {
-            return limitedReturns.nextRetryAfter(service, limitedRate(service), clock());
+            return callerRetryPacer.nextRetryAfter(service, rateLimitShare(service), clock());
         }
         if (refusal === "serversBackedOff") {
-            return retryAfterBackoff(firstBackIn(service), options.random());
+            return retryAfterBackoff(firstBackoffEndsIn(service), options.random());
         }
         const loadPerSlot = serviceLoad.perSlot(service);
-        return retryAfterRefusal(refusal, { loadPerSlot, queuedWork: work.expectedOfQueued(service, route) });
+        return retryAfterRefusal(refusal, { loadPerSlot, queuedWork: workEstimate.expectedOfQueued(service, route) });
     }
 
-    /** Requests a second that the servers of a service name together, as an equal part of the advertised boxes. */
-    function limitedRate(service: ServiceId): number {
-        const words = catalog.ofService(service).map(({ state: server }) => server.limit());
-        const total = words.reduce((sum, word) => sum + (word?.kind === "named" ? word.rate : 0), 0);
+    /**
+     * Returns this box's part, equal for all advertised boxes, of the rate limits of a service's servers in requests
+     * per second.
+     */
+    function rateLimitShare(service: ServiceId): number {
+        const limitUpdates = catalog.ofService(service).map(({ state: server }) => server.limit());
+        const total = limitUpdates.reduce((sum, update) => sum + (update?.kind === "named" ? update.rate : 0), 0);
         return total / Math.max(1, limits.advertised().length);
     }
 
-    /** Time until the first server of a service is over with the back-off that it asked this box for. */
-    function firstBackIn(service: ServiceId): Milliseconds {
+    /** Returns the time until the first back-off ends that a server of the service asked this box for. */
+    function firstBackoffEndsIn(service: ServiceId): Milliseconds {
         const now = clock();
         const ends = catalog.ofService(service).map(({ state: server }) => server.backoffUntil()).filter(end =>
             end > now
--- a/packages/box/src/requests/growing-buffer.ts
+++ b/packages/box/src/requests/growing-buffer.ts
@@ -1,53 +1,56 @@
 /**
- * Collects the bytes of a body in one piece of memory that doubles as they come: parts of a few bytes each, kept one by
+ * Collects the bytes of a body in one block of memory, which doubles as needed: chunks of a few bytes each, kept one by
  * one, would take up a hundred times their own size.
  *
- * Owns the memory; `held` says how much it is.
+ * Owns the memory; `held` returns its size.
  */
 
-/** Bytes in the order in which they came. */
+/** Bytes in the order in which they were received. */
 export interface GrowingBuffer {
-    readonly add: (part: Buffer) => void;
-    /** Bytes that have come. */
+    readonly add: (chunk: Buffer) => void;
+    /** Bytes received. */
     readonly size: () => number;
-    /** Bytes of memory in use. */
+    /** Bytes of memory allocated. */
     readonly held: () => number;
-    /** Returns what has come, and holds nothing any more. */
+    /** Returns the received bytes and leaves the buffer empty. */
     readonly take: () => Buffer;
 }
 
-/** Bytes of memory that the first part takes at least. */
-const firstRoom = 4 * 1024;
+/** Minimum size of the first allocation, in bytes. */
+const minAllocation = 4 * 1024;
 
-const nothing = Buffer.alloc(0);
+const emptyBuffer = Buffer.alloc(0);
 
-/** Creates an empty buffer. `expected` is the size that was announced, if one was: no more memory is taken for it before bytes come. */
+/**
+ * Creates an empty buffer. `expected` is the announced size of the body, if any: it caps allocations, but is not
+ * allocated in advance.
+ */
 export function createGrowingBuffer(expected: number | undefined): GrowingBuffer {
-    let memory: Buffer = nothing;
+    let memory: Buffer = emptyBuffer;
     let size = 0;
 
     return {
-        add(part) {
-            makeRoom(size + part.length);
-            part.copy(memory, size);
-            size += part.length;
+        add(chunk) {
+            ensureCapacity(size + chunk.length);
+            chunk.copy(memory, size);
+            size += chunk.length;
         },
         size: () => size,
         held: () => memory.length,
         take() {
             const taken = memory.subarray(0, size);
-            memory = nothing;
+            memory = emptyBuffer;
             size = 0;
             return taken;
         },
     };
 
-    function makeRoom(needed: number): void {
-        if (needed <= memory.length) {
+    function ensureCapacity(required: number): void {
+        if (required <= memory.length) {
             return;
         }
-        const doubled = Math.max(needed, firstRoom, 2 * memory.length);
-        const larger = Buffer.allocUnsafeSlow(Math.max(needed, Math.min(doubled, expected ?? Infinity)));
+        const doubled = Math.max(required, minAllocation, 2 * memory.length);
+        const larger = Buffer.allocUnsafeSlow(Math.max(required, Math.min(doubled, expected ?? Infinity)));
         memory.copy(larger, 0, 0, size);
         memory = larger;
     }
--- a/packages/box/src/requests/headers.ts
+++ b/packages/box/src/requests/headers.ts
@@ -1,10 +1,13 @@
 /**
- * Which headers go on to a server, and which go back to the caller.
+ * Selects the headers that are forwarded to a server or to a caller.
  *
  * Owns nothing; names are compared in lower case.
  */
 
-/** Headers that concern one connection only. */
+/**
+ * Hop-by-hop headers, and others that concern one connection only; `Content-Length` and `Expect` are set or handled by
+ * the box.
+ */
 const connectionHeaders = new Set([
     "connection",
     "keep-alive",
@@ -18,7 +21,7 @@
     "http2-settings",
 ]);
 
-/** Returns names and values in turn without the headers of the connection and those in `replaced` (lower case). */
+/** Returns names and values, alternating, without hop-by-hop headers and those in `replaced` (lower case). */
 export function forwardableHeaders(rawHeaders: readonly string[], replaced: ReadonlySet<string>): string[] {
     const named = namesInConnection(rawHeaders);
     const kept: string[] = [];
@@ -31,7 +34,7 @@
     return kept;
 }
 
-/** Headers that a `Connection` header names belong to the connection too. */
+/** Returns the headers that are named in `Connection` headers; they are hop-by-hop too. */
 function namesInConnection(rawHeaders: readonly string[]): ReadonlySet<string> {
     const names = new Set<string>();
     for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
--- a/packages/box/src/requests/request-body.ts
+++ b/packages/box/src/requests/request-body.ts
@@ -1,9 +1,9 @@
 /**
- * Reads a caller's request body whole, within the bounds on one body and on all bodies of the box.
+ * Reads a caller's complete request body, within the limits on one body and on the memory of all bodies of the box.
  *
- * Owns the parts until the body is whole; relies on the signal for its end, and on the account of all bodies for when to
- * read. Nothing is read of a body that is announced as too large, and a caller that asks first whether to send it is told
- * to only once it is wanted.
+ * Owns the chunks until the body is complete; relies on the signal for cancellation, and on the account of all bodies
+ * for when to read. A body that is announced as too large is not read, and a caller that expects 100 Continue gets it
+ * only once its body can be read.
  */
 
 import type { BodyMemory } from "@chalkdale/decisions";
@@ -14,39 +14,41 @@
 
 /** A body, or why there is none. */
 export type BodyOutcome =
-    /** `release` gives its memory back to the account; due once the request is over. */
+    /** `release` returns its memory to the account; to be called once the request is over. */
     | { readonly kind: "whole"; readonly body: Buffer; readonly release: () => void; }
     | { readonly kind: "tooLarge"; }
-    /** It hardly came on while others waited for the memory that it holds. */
+    /** It made hardly any progress while others waited for the memory that it holds. */
     | { readonly kind: "stalled"; }
-    /** The memory for bodies is spent, and so many wait already that this one can't. */
+    /** The memory for bodies is used up, and too many bodies wait for it already. */
     | { readonly kind: "noRoom"; }
-    /** The caller went away, or the time was over, before the body was in. */
+    /** The caller disconnected, or time ran out, before the body was complete. */
     | { readonly kind: "cut"; };
 
-/** Bounds and the end of a body. */
+/** Options of `readBody`. */
 export interface ReadBodyOptions {
     readonly clock: Clock;
-    /** Bytes of this body at most. */
+    /** Maximum size of this body in bytes. */
     readonly maxBytes: number;
+    /** Account of all bodies of the box. */
     readonly memory: BodyMemory;
+    /** Ends the reading when it aborts. */
     readonly signal: AbortSignal;
 }
 
-const noBody = Buffer.alloc(0);
+const emptyBody = Buffer.alloc(0);
 
-/** Reads the body until the signal aborts. Never rejects. */
+/** Reads a request's body. Never rejects. */
 export function readBody(
     { request, sendContinue }: Pick<CallerExchange, "request" | "sendContinue">,
-    reading: ReadBodyOptions,
+    options: ReadBodyOptions,
 ): Promise<BodyOutcome> {
-    const { clock, memory, maxBytes: mostBytes, signal } = reading;
+    const { clock, memory, maxBytes, signal } = options;
     const length = contentLengthOf(request);
     if (length === 0) {
         request.resume();
-        return Promise.resolve({ kind: "whole", body: noBody, release: () => undefined });
+        return Promise.resolve({ kind: "whole", body: emptyBody, release: () => undefined });
     }
-    if (length !== undefined && length > mostBytes) {
+    if (length !== undefined && length > maxBytes) {
         return Promise.resolve({ kind: "tooLarge" });
     }
     if (signal.aborted) {
@@ -56,33 +58,33 @@
         const buffer = createGrowingBuffer(length);
         const account = memory.open(clock());
         const release = () => account.close(clock());
-        let isTold = !expectsContinue(request);
+        let mayCallerSend = !expectsContinue(request);
         account.onResume = () => {
-            tellToSend();
+            continueOnce();
             request.resume();
             request.socket.resume();
         };
         account.onStalled = () => settle({ kind: "stalled" });
         request.on("data", onData);
         request.on("end", onEnd);
-        request.on("error", onCut);
-        request.on("close", onCut);
-        signal.addEventListener("abort", onCut, { once: true });
-        waitForTurn();
+        request.on("error", onAborted);
+        request.on("close", onAborted);
+        signal.addEventListener("abort", onAborted, { once: true });
+        readOrWait();
 
-        function onData(part: Buffer): void {
-            if (buffer.size() + part.length > mostBytes) {
+        function onData(chunk: Buffer): void {
+            if (buffer.size() + chunk.length > maxBytes) {
                 settle({ kind: "tooLarge" });
                 return;
             }
-            buffer.add(part);
+            buffer.add(chunk);
             account.recordReceived(buffer.size(), buffer.held(), clock());
-            waitForTurn();
+            readOrWait();
         }
 
-        function waitForTurn(): void {
+        function readOrWait(): void {
             if (buffer.size() === length || account.mayRead(length)) {
-                tellToSend();
+                continueOnce();
                 return;
             }
             if (!memory.mayWait()) {
@@ -90,14 +92,17 @@
                 return;
             }
             request.pause();
-            // The request alone would take in one more part before it stops.
+            // Pausing only the request would still read one more chunk from the connection.
             request.socket.pause();
         }
 
-        /** Not before: a caller that sends a body that is refused, or has to wait, sends it in vain. */
-        function tellToSend(): void {
-            if (!isTold) {
-                isTold = true;
+        /**
+         * Sends 100 Continue once if the caller expects it. Earlier, the caller would send a body that may be refused
+         * or has to wait.
+         */
+        function continueOnce(): void {
+            if (!mayCallerSend) {
+                mayCallerSend = true;
                 sendContinue();
             }
         }
@@ -107,7 +112,7 @@
             settle({ kind: "whole", body: buffer.take(), release });
         }
 
-        function onCut(): void {
+        function onAborted(): void {
             settle({ kind: "cut" });
         }
 
@@ -116,13 +121,13 @@
             account.onStalled = () => undefined;
             request.off("data", onData);
             request.off("end", onEnd);
-            request.off("close", onCut);
-            signal.removeEventListener("abort", onCut);
+            request.off("close", onAborted);
+            signal.removeEventListener("abort", onAborted);
             if (outcome.kind !== "whole") {
                 release();
-                // Listeners of the request would hold it until the connection ends.
+                // The request's remaining listeners would keep the memory until the connection ends.
                 buffer.take();
-                // Node keeps what nobody reads; the rest is thrown away.
+                // Node buffers what is not read, so the rest is read and discarded.
                 request.resume();
                 request.socket.resume();
             }
@@ -131,12 +136,12 @@
     });
 }
 
-/** True if the caller sends its body only once it is told to. */
+/** True if the caller sends its body only after 100 Continue. */
 export function expectsContinue(request: IncomingMessage): boolean {
     return request.headers.expect?.toLowerCase() === "100-continue";
 }
 
-/** Bytes that the head announces; undefined if the body comes in chunks. */
+/** Returns the size of the body in bytes as announced in the head; undefined for a chunked body. */
 export function contentLengthOf(request: IncomingMessage): number | undefined {
     if (request.headers["transfer-encoding"] !== undefined) {
         return undefined;
--- a/packages/box/src/requests/request-fingerprint.ts
+++ b/packages/box/src/requests/request-fingerprint.ts
@@ -1,10 +1,10 @@
 /**
- * Fingerprint of what a request asks for: the same at every box and for every
- * repeat, whatever its id, its connection and the address that it came from.
+ * Fingerprint of a request's content: the same at every box and for every repeat,
+ * whatever the request's id, its connection and the caller's address.
  *
- * Host, method, path with query, customer and body make it. The address of the
- * caller does not: a proxy or a phone changes it between two repeats, and many
- * callers share one behind a gateway.
+ * It is computed from host, method, path with query, customer and body. The caller's
+ * address is left out: behind a proxy or on a phone it may change between two
+ * repeats, and many callers share one behind a gateway.
  *
  * Owns nothing.
  */
@@ -13,37 +13,40 @@
 import { hashText, type RequestFingerprint, requestFingerprint } from "@chalkdale/kernel";
 import { createHash } from "node:crypto";
 
-/** What of a request counts, the body apart. */
+/** The parts of a request's head that the fingerprint covers. */
 export interface FingerprintedHead {
     readonly host: string;
     readonly method: string;
-    /** With its query. */
+    /** Path with the query. */
     readonly path: string;
     readonly customer: Pick<Customer, "id"> | undefined;
 }
 
-/** Hexadecimal digits of the hash of the head, by which a fingerprint begins. */
+/** Hexadecimal digits of the hash of the head, with which a fingerprint begins. */
 const headDigits = 8;
-/** Hexadecimal digits of the digest: 64 bits, so that of a million requests no two are mistaken for each other. */
+/** Hexadecimal digits of the digest: 64 bits make a collision among a million requests very unlikely. */
 const digestDigits = 16;
 
-/** Returns the part of the fingerprint that the head makes. It costs far less than the whole, which reads the body. */
+/**
+ * Returns the part of the fingerprint that depends on the head only. It costs far less than the whole, which hashes the
+ * body.
+ */
 export function fingerprintOfHead(head: FingerprintedHead): string {
-    return hashText(textOf(head)).toString(16).padStart(headDigits, "0");
+    return hashText(serializeHead(head)).toString(16).padStart(headDigits, "0");
 }
 
-/** Returns the head's part of a fingerprint. */
+/** Extracts the head's part from a fingerprint. */
 export function headOfFingerprint(fingerprint: RequestFingerprint): string {
     return fingerprint.slice(0, headDigits);
 }
 
-/** Returns the fingerprint of a request whose body is whole. */
+/** Returns the fingerprint of a request with its complete body. */
 export function fingerprintOf(head: FingerprintedHead, body: Buffer): RequestFingerprint {
-    const digest = createHash("sha256").update(textOf(head)).update(body).digest("hex");
+    const digest = createHash("sha256").update(serializeHead(head)).update(body).digest("hex");
     return requestFingerprint(fingerprintOfHead(head) + digest.slice(0, digestDigits));
 }
 
-/** The length stands before each part, so that no two heads have one text. */
-function textOf({ customer, host, method, path }: FingerprintedHead): string {
+/** Each part is prefixed with its length, so that no two heads have the same text. */
+function serializeHead({ customer, host, method, path }: FingerprintedHead): string {
     return [host.toLowerCase(), method, path, customer?.id ?? ""].map(part => `${part.length}:${part}`).join("");
 }
--- a/packages/box/src/requests/request-handler.ts
+++ b/packages/box/src/requests/request-handler.ts
@@ -1,10 +1,10 @@
 /**
- * One request of a caller from its head to its answer: admission, body,
- * attempts, and the answer. Every request that is given up gets its answer at
- * once.
+ * Serves a caller's request from its head to its answer: admission, quota, body,
+ * attempts, answer. A request that is given up is refused at once.
  *
- * Owns the request's time limit; relies on the admission and the attempt loop for
- * what is decided, and on the request's turn for its end when the caller leaves.
+ * Owns the timer of the request's deadline; relies on the admission and the attempt
+ * loop for decisions, and on the caller's exchange to abort the request when the
+ * caller leaves.
  */
 
 import {
@@ -43,36 +43,38 @@
     /** Time since the store confirmed the copy of the configuration. */
     readonly configurationAge: () => Milliseconds;
     readonly copyAgeBounds: CopyAgeBounds;
-    /** When the caller of a request may come back; undefined when that cannot help. */
+    /** Returns the time after which the caller may retry; undefined if a retry cannot help. */
     readonly retryAfter: (active: ActiveRequest, refusal: RefusalKind) => Milliseconds | undefined;
     readonly quotas: Pick<CustomerQuotas, "consume" | "refund">;
-    /** Of all bodies that the box holds. */
+    /** Account of the memory of all request bodies of the box. */
     readonly bodyMemory: BodyMemory;
 }
 
 /** Serves the requests of callers. */
 export interface RequestHandler {
-    readonly serve: (turn: CallerExchange) => void;
-    /** True if a request may run more than once, by the configuration in force. */
+    readonly serve: (exchange: CallerExchange) => void;
+    /**
+     * True if the request may run more than once according to the configuration in force, or if no route matches it.
+     */
     readonly isIdempotent: (request: IncomingMessage) => boolean;
 }
 
-/** Bytes of a body that are taken in at most, whatever the configuration allows: a box has 350 MB. */
-const largestBody = 16 * 1024 * 1024;
+/** Maximum size of a body in bytes, whatever the configuration allows; sized for boxes with 350 MB of memory. */
+const maxBodySize = 16 * 1024 * 1024;
 
-/** Creates the handler of requests. */
+/** Creates the request handler of a box. */
 export function createRequestHandler(options: RequestHandlerOptions): RequestHandler {
     const { clock, log, state } = options;
     const { headers } = options.protocol;
     const requestLog = createRequestLog(options);
-    const returningCallers = createCallerRetryDetector();
+    const callerRetryDetector = createCallerRetryDetector();
     const runAttempts = createAttemptLoop({ ...options, requestLog, isVerified });
 
     return {
-        serve(turn) {
-            void handle(turn).catch(error => {
-                logFault(turn, error);
-                refuseCaller(turn, "internalFault");
+        serve(exchange) {
+            void handle(exchange).catch(error => {
+                logFault(exchange, error);
+                refuseCaller(exchange, "internalFault");
             });
         },
         isIdempotent(request) {
@@ -81,8 +83,8 @@
         },
     };
 
-    async function handle(turn: CallerExchange): Promise<void> {
-        const { request } = turn;
+    async function handle(exchange: CallerExchange): Promise<void> {
+        const { request } = exchange;
         const key = singleValue(request.headers[headers.customerKey]);
         const admission = admit({
             routes: state.routes(),
@@ -97,28 +99,28 @@
         });
         if (admission.kind === "refused") {
             requestLog.notAdmitted(describe(request), admission.refusal);
-            refuseCaller(turn, admission.refusal);
+            refuseCaller(exchange, admission.refusal);
             return;
         }
         const { customer } = admission;
         const quotaDenied = customer && options.quotas.consume(customer);
         if (quotaDenied !== undefined) {
             requestLog.notAdmitted({ ...describe(request), customer: customer?.id, quotaDenied }, "quotaSpent");
-            refuseCaller(turn, "quotaSpent", quotaDenied.retryAfter);
+            refuseCaller(exchange, "quotaSpent", quotaDenied.retryAfter);
             return;
         }
-        await serveAdmitted(turn, admission);
+        await serveAdmitted(exchange, admission);
     }
 
-    async function serveAdmitted(turn: CallerExchange, { customer, route }: AdmittedRequest): Promise<void> {
-        const { controller, request } = turn;
+    async function serveAdmitted(exchange: CallerExchange, { customer, route }: AdmittedRequest): Promise<void> {
+        const { controller, request } = exchange;
         const active = createActiveRequest(request, headers, {
             route,
             customer,
             isKeyRequired: state.keys()?.isKeyRequired ?? false,
             service: state.pickDestination(route),
-            startedAt: turn.arrivedAt,
-            callerRetryDetector: returningCallers,
+            startedAt: exchange.arrivedAt,
+            callerRetryDetector,
             random: options.random,
         });
         let timedOut = false;
@@ -126,26 +128,26 @@
             timedOut = true;
             controller.abort();
         }, Math.max(0, active.deadlineAt - clock()));
-        options.retryBudgetOf(active.service).onRequest(turn.arrivedAt);
+        options.retryBudgetOf(active.service).onRequest(exchange.arrivedAt);
         try {
-            const ending = await readAndRun();
-            finish(turn, active, ending.kind === "callerLeft" && timedOut ? timeoutEnding(active) : ending);
+            const outcome = await readBodyAndRun();
+            finish(exchange, active, outcome.kind === "callerLeft" && timedOut ? timeoutOutcome(active) : outcome);
         }
         finally {
             clearTimeout(timer);
         }
 
-        async function readAndRun(): Promise<RequestOutcome> {
+        async function readBodyAndRun(): Promise<RequestOutcome> {
             const { bodyMemory } = options;
             const { signal } = controller;
-            const body = await readBody(turn, {
+            const body = await readBody(exchange, {
                 clock,
-                maxBytes: mostBodyBytes(),
+                maxBytes: bodySizeLimit(),
                 memory: bodyMemory,
                 signal,
             });
             if (body.kind !== "whole") {
-                return endingWithoutBody(body.kind);
+                return outcomeWithoutBody(body.kind);
             }
             try {
                 return await runAttempts(active, body.body, controller);
@@ -156,25 +158,25 @@
         }
     }
 
-    function mostBodyBytes(): number {
-        return Math.min(largestBody, state.configuration()?.limits.maxBodyBytes ?? largestBody);
+    function bodySizeLimit(): number {
+        return Math.min(maxBodySize, state.configuration()?.limits.maxBodyBytes ?? maxBodySize);
     }
 
-    function timeoutEnding(active: ActiveRequest): RequestOutcome {
+    function timeoutOutcome(active: ActiveRequest): RequestOutcome {
         return { kind: "refusal", refusal: active.sent > 0 ? "timedOut" : "timedOutUnsent" };
     }
 
-    function finish(turn: CallerExchange, active: ActiveRequest, ending: RequestOutcome): void {
-        switch (ending.kind) {
+    function finish(exchange: CallerExchange, active: ActiveRequest, outcome: RequestOutcome): void {
+        switch (outcome.kind) {
             case "answer":
-                finishAnswered(turn, active, ending.answer);
+                finishAnswered(exchange, active, outcome.answer);
                 return;
             case "refusal":
-                if (active.customer !== undefined && promisesNotRun(ending.refusal)) {
+                if (active.customer !== undefined && promisesNotRun(outcome.refusal)) {
                     options.quotas.refund(active.customer);
                 }
-                requestLog.refused(active, ending.refusal);
-                refuseCaller(turn, ending.refusal, options.retryAfter(active, ending.refusal));
+                requestLog.refused(active, outcome.refusal);
+                refuseCaller(exchange, outcome.refusal, options.retryAfter(active, outcome.refusal));
                 return;
             case "callerLeft":
                 requestLog.callerLeft(active);
@@ -182,26 +184,26 @@
         }
     }
 
-    function finishAnswered(turn: CallerExchange, active: ActiveRequest, answer: ServerAnswer): void {
-        const refusal = refusalOfAnswer(turn, answer);
+    function finishAnswered(exchange: CallerExchange, active: ActiveRequest, answer: ServerAnswer): void {
+        const refusal = refusalOfAnswer(exchange, answer);
         if (refusal !== undefined) {
             requestLog.refused(active, refusal);
-            refuseCaller(turn, refusal);
+            refuseCaller(exchange, refusal);
             return;
         }
         requestLog.served(active, answer);
-        turn.respond(forwardAnswer(answer, error => logFault(turn, error)));
+        exchange.respond(forwardAnswer(answer, error => logFault(exchange, error)));
     }
 
-    /** Why an answer can't be passed back; undefined if it can. */
-    function refusalOfAnswer(turn: CallerExchange, answer: ServerAnswer): RefusalKind | undefined {
+    /** Returns why an answer can't be forwarded; undefined if it can. */
+    function refusalOfAnswer(exchange: CallerExchange, answer: ServerAnswer): RefusalKind | undefined {
         if (isSuccess(answer) && !isVerified(answer)) {
             return "unprovenAnswer";
         }
-        return !answer.framed && turn.hasStartedSuccessors() ? "unframedAnswer" : undefined;
+        return !answer.framed && exchange.hasStartedSuccessors() ? "unframedAnswer" : undefined;
     }
 
-    /** A success must carry the server's stamp, and a body in the coding that was asked for. */
+    /** A success must carry the server's stamp and have no content coding. */
     function isVerified(answer: ServerAnswer): boolean {
         return answer.headers[headers.serverStamp] !== undefined && answer.headers["content-encoding"] === undefined;
     }
@@ -220,18 +222,18 @@
         log.error("request.fault", { request: requestIdOf(request), reason });
     }
 
-    function refuseCaller(turn: CallerExchange, kind: RefusalKind, comeBackAfter?: Milliseconds): void {
-        const endsConnection = shouldCloseAfterRefusal(turn.request);
-        turn.respond(
+    function refuseCaller(exchange: CallerExchange, kind: RefusalKind, retryAfter?: Milliseconds): void {
+        const closesConnection = shouldCloseAfterRefusal(exchange.request);
+        exchange.respond(
             withUnreadBodyTimeout(
-                turn.request,
-                refusalAnswer(kind, { retryAfter: comeBackAfter, closesConnection: endsConnection }),
+                exchange.request,
+                refusalAnswer(kind, { retryAfter, closesConnection }),
             ),
         );
     }
 }
 
-function endingWithoutBody(kind: Exclude<BodyOutcome["kind"], "whole">): RequestOutcome {
+function outcomeWithoutBody(kind: Exclude<BodyOutcome["kind"], "whole">): RequestOutcome {
     switch (kind) {
         case "tooLarge":
             return { kind: "refusal", refusal: "bodyTooLarge" };
--- a/packages/box/src/requests/request-log.ts
+++ b/packages/box/src/requests/request-log.ts
@@ -1,6 +1,9 @@
 /**
- * The lines and counts of each request: what was decided, on which inputs, and
- * how it ended. Every refusal leaves a line with the request's id, within the budget of lines.
+ * Logs and counts requests: the decisions with their inputs, and how each request
+ * ended. Every refusal is logged with the request's id, within the budget of log
+ * lines.
+ *
+ * Owns no state; relies on the shared state for the versions that it logs.
  */
 
 import { type ChosenServer, describePosition, type QuotaDenial, type RefusalKind } from "@chalkdale/decisions";
@@ -13,32 +16,35 @@
 
 /** Log of the requests of one box. */
 export interface RequestLog {
-    /** `fingerprint`: of a request that broke off at the server, so that repeats of one request are seen to be the same. */
+    /**
+     * `fingerprint` is given for a request that broke off at the server, so that its repeats can be recognized in the
+     * log.
+     */
     readonly attemptFailed: (
         active: ActiveRequest,
         server: BackendServerId,
         reason: string,
         fingerprint?: RequestFingerprint,
     ) => void;
-    /** A second server has the request beside one that is overdue. */
+    /** The request is sent to the server `second` while the answer of the server `overdue` is outstanding. */
     readonly hedged: (active: ActiveRequest, overdue: BackendServerId, second: BackendServerId) => void;
     readonly served: (active: ActiveRequest, answer: ServerAnswer) => void;
     readonly refused: (active: ActiveRequest, refusal: RefusalKind) => void;
-    /** A request was refused before it was taken. */
+    /** A request was refused at admission or by its customer's quota. */
     readonly notAdmitted: (request: UnadmittedRequest, refusal: RefusalKind) => void;
     readonly callerLeft: (active: ActiveRequest) => void;
 }
 
-/** A request that was not admitted. */
+/** A request that was refused before it became active. */
 export interface UnadmittedRequest {
     readonly requestId: string | undefined;
     readonly host: string;
-    /** With its query. */
+    /** Path with the query. */
     readonly path: string;
-    /** Time since the store confirmed the configuration by which it was refused. */
+    /** Time since the store confirmed the configuration on which the refusal is based. */
     readonly copyAge: Milliseconds;
     readonly customer?: CustomerId;
-    /** What was left of the customer's quota here, where that was the reason. */
+    /** This box's part of the customer's quota, if the request exceeded it. */
     readonly quotaDenied?: QuotaDenial;
 }
 
@@ -137,7 +143,7 @@
         },
     };
 
-    /** How far the copy of the servers reaches, and how long ago the store confirmed that. */
+    /** Returns the revision of the replica of the servers, and the time since the store confirmed it. */
     function serversFields(): LogFields {
         const revision = state.replica("servers").revision();
         return {
@@ -151,21 +157,27 @@
     }
 }
 
-/** By which part of the customer's quota a request was refused: a lease, whose age tells how old it is, or an equal part of the boxes. */
+/**
+ * Returns the part of the customer's quota that the request exceeded: a lease, with its age, or an equal part of the
+ * quota per box.
+ */
 function quotaFields(denied: QuotaDenial | undefined): LogFields {
     if (denied === undefined) {
         return {};
     }
-    const { boxCount, retryAfter: comeBackAfter, leaseAge, shareRate: partRate } = denied;
+    const { boxCount, retryAfter, leaseAge, shareRate } = denied;
     return {
-        quotaPart: partRate.toFixed(1),
+        quotaPart: shareRate.toFixed(1),
         quotaBoxes: boxCount,
         leaseAge: leaseAge && Math.round(leaseAge),
-        comeBackAfter: Math.round(comeBackAfter),
+        comeBackAfter: Math.round(retryAfter),
     };
 }
 
-/** What the choice of the last server went by: its rank for the key, times in milliseconds, and the server that came second. */
+/**
+ * Returns the inputs of the latest choice: the server's rank for the key, expected times in milliseconds, and the
+ * runner-up.
+ */
 function choiceFields(choice: ChosenServer | undefined): LogFields {
     if (choice === undefined) {
         return {};
--- a/packages/box/src/requests/request-target.ts
+++ b/packages/box/src/requests/request-target.ts
@@ -1,12 +1,12 @@
 /**
- * Where a request is to go, as its head says.
+ * Reads the target of a request, its host and path, from its head.
  *
  * Owns nothing.
  */
 
 import type { IncomingMessage } from "node:http";
 
-/** Returns the host, with its port if the caller wrote one; empty without one. */
+/** Returns the host, with its port if the caller sent one; empty if there is no Host header. */
 export function hostOf(request: IncomingMessage): string {
     return request.headers.host ?? "";
 }
--- a/packages/box/src/requests/unread-body.ts
+++ b/packages/box/src/requests/unread-body.ts
@@ -1,10 +1,10 @@
 /**
- * What becomes of a connection whose request is refused before its body is in.
+ * Decides whether a connection is kept after its request was refused before the body was complete.
  *
- * The rest of the body is thrown away as it comes, so that the next request begins where it should. Where the rest may be
- * long, or may not come at all, the connection ends with the refusal instead.
+ * On a kept connection, the rest of the body is read and discarded, so that the next request on it can be parsed. If
+ * the rest may be long, or may never arrive, the connection closes with the refusal instead.
  *
- * Owns the timers of connections that are kept; relies on Node to throw away what nobody reads, and on the pipeline to end a
+ * Owns the timers of kept connections; relies on Node to discard what is not read, and on the pipeline to close a
  * connection so that the refusal still arrives.
  */
 
@@ -13,47 +13,50 @@
 import { contentLengthOf, expectsContinue } from "./request-body.js";
 
 /**
- * Bytes of an unread body up to which its connection is kept: a body somewhat beyond the limit that deployments set leaves
- * the requests behind it alone.
+ * Maximum size, in bytes, of a body for whose rest the connection is kept: a body slightly above the usual limit of a
+ * deployment then does not affect the requests behind it.
  */
-const longestKept = 1024 * 1024;
-/** Milliseconds for which the rest of a body may come on a connection that is kept, then it ends. */
-const keptFor = 5000;
+const maxDiscardedBytes = 1024 * 1024;
+/** Milliseconds within which the rest of a body must arrive on a kept connection before the connection is closed. */
+const discardTimeout = 5000;
 
-/** True if the connection should end with a refusal that is given now. */
+/** True if the connection should close with a refusal that is sent now. */
 export function shouldCloseAfterRefusal(request: IncomingMessage): boolean {
-    if (isIn(request)) {
+    if (isBodyComplete(request)) {
         return false;
     }
-    return expectsContinue(request) || (contentLengthOf(request) ?? Infinity) > longestKept;
+    return expectsContinue(request) || (contentLengthOf(request) ?? Infinity) > maxDiscardedBytes;
 }
 
-/** Ends the connection if it is kept after the answer and the rest of the body does not come. */
+/**
+ * Wraps an answer so that, if the connection is kept after it, the connection is closed unless the rest of the body
+ * arrives in time.
+ */
 export function withUnreadBodyTimeout(request: IncomingMessage, answer: CallerAnswer): CallerAnswer {
-    if (isIn(request)) {
+    if (isBodyComplete(request)) {
         return answer;
     }
     return {
         ...answer,
         write(response: ServerResponse, isLast: boolean) {
-            response.once("finish", () => endIfStalled(request));
+            response.once("finish", () => closeIfStalled(request));
             answer.write(response, isLast);
         },
     };
 }
 
-function isIn(request: IncomingMessage): boolean {
+function isBodyComplete(request: IncomingMessage): boolean {
     return request.complete || contentLengthOf(request) === 0;
 }
 
-function endIfStalled(request: IncomingMessage): void {
+function closeIfStalled(request: IncomingMessage): void {
     if (request.complete) {
         return;
     }
-    const timer = setTimeout(() => request.socket.destroy(), keptFor);
+    const timer = setTimeout(() => request.socket.destroy(), discardTimeout);
     const stop = () => clearTimeout(timer);
     request.once("end", stop);
     request.once("close", stop);
-    // Node does not tell a request that its socket has closed once its answer has left.
+    // Node emits no "close" on a request for its closed socket once the answer has been sent.
     request.socket.once("close", stop);
 }
--- a/packages/box/test/incident-lines.test.ts
+++ b/packages/box/test/incident-lines.test.ts
@@ -1,6 +1,6 @@
 /**
- * Lines by which a request that reached a leaving server is traced: the latest
- * sends to each server, and a process that stood still.
+ * Log lines that trace why a request reached a server that was leaving: the most
+ * recent sends to each server, and pauses of the process.
  */
 
 import { backendServerId, type Milliseconds, milliseconds } from "@chalkdale/kernel";
@@ -9,7 +9,7 @@
 import { createRecentSends } from "../src/servers/recent-sends.js";
 import { createStallDetector } from "../src/stall-detector.js";
 
-describe("lines that trace a late request", () => {
+describe("log lines that trace a late request", () => {
     let now: Milliseconds;
     const clock = () => now;
 
@@ -17,7 +17,7 @@
         now = milliseconds(1000);
     });
 
-    describe("the latest sends to a server", () => {
+    describe("the most recent sends to a server", () => {
         const server = backendServerId("i-1");
         const sendOf = (requestId: string | undefined) => ({
             requestId,
@@ -26,7 +26,7 @@
             listAge: milliseconds(8200),
         });
 
-        it("tell of each its id, its age, its wait for a connection, and the age of the list", () => {
+        it("are logged with request id, age, wait for a connection, and age of the server list", () => {
             const sends = createRecentSends(clock);
             sends.add(server, sendOf("r-1"));
             now = milliseconds(1500);
@@ -35,7 +35,7 @@
             expect(sends.describe(server)).to.equal("unnamed:100:3:8200,r-1:600:3:8200");
         });
 
-        it("keep the latest eight, and nothing of a server that is forgotten", () => {
+        it("are bounded to eight, and dropped when the server is forgotten", () => {
             const sends = createRecentSends(clock);
             for (let index = 0; index < 20; index++) {
                 sends.add(server, sendOf(`r-${index}`));
@@ -47,8 +47,8 @@
         });
     });
 
-    describe("a process that stood still", () => {
-        it("leaves a line, and one that is merely busy none", () => {
+    describe("a process pause", () => {
+        it("is logged, while a delay of a merely busy process is not", () => {
             const lines: string[] = [];
             const onTick = createStallDetector(clock, createLog({ write: line => lines.push(line) }), 250);
             now = milliseconds(1900);
--- a/packages/box/test/request-fingerprint.test.ts
+++ b/packages/box/test/request-fingerprint.test.ts
@@ -1,5 +1,5 @@
 /**
- * Which requests count as the same.
+ * Which requests have the same fingerprint.
  */
 
 import { customerId } from "@chalkdale/kernel";
@@ -15,7 +15,7 @@
 const body = Buffer.from("a climb");
 
 describe("the fingerprint of a request", () => {
-    it("is the same for a repeat, in whatever letters the host is written", () => {
+    it("is the same for a repeat, whatever the case of the host", () => {
         expect(fingerprintOf({ ...head, host: "App.Example" }, Buffer.from(body))).to.equal(fingerprintOf(head, body));
     });
 
@@ -26,7 +26,11 @@
         ["another query", { ...head, path: "/save/1?a=c" }, body],
         ["a customer", { ...head, customer: { id: customerId("school") } }, body],
         ["another body", head, Buffer.from("another climb")],
-        ["the same letters divided otherwise", { ...head, method: "POST/", path: "save/1?a=b" }, body],
+        ["the same characters split differently between method and path", {
+            ...head,
+            method: "POST/",
+            path: "save/1?a=b",
+        }, body],
     ];
     for (const [what, otherHead, otherBody] of others) {
         it(`differs for ${what}`, () => {
@@ -34,7 +38,7 @@
         });
     }
 
-    it("begins with what the head alone tells", () => {
+    it("begins with the fingerprint of the head", () => {
         expect(headOfFingerprint(fingerprintOf(head, body))).to.equal(fingerprintOfHead(head));
         expect(fingerprintOfHead({ ...head, path: "/save/2" })).not.to.equal(fingerprintOfHead(head));
     });
--- a/packages/box/test/request-handler.test.ts
+++ b/packages/box/test/request-handler.test.ts
@@ -1,6 +1,6 @@
 /**
- * Refusals before a server is chosen, through the handler alone: what the caller
- * gets, and the line that the box writes.
+ * Refusals before a server is chosen, with the request handler alone: the answer to
+ * the caller and the line in the log.
  */
 
 import {
@@ -39,7 +39,7 @@
     isPublic: false,
 };
 
-describe("the handler of requests", () => {
+describe("the request handler", () => {
     let server: Server;
     let lines: string[];
     let phase: ShutdownPhase;
@@ -72,7 +72,7 @@
             replica: () => ({ revision: () => 12 }),
         } as unknown as SharedState;
         const unused = () => {
-            throw new Error("no server is chosen here");
+            throw new Error("unexpected call: no server is chosen in this test");
         };
         const clock = () => milliseconds(performance.now());
         server = createServer();
@@ -112,7 +112,7 @@
         server.closeAllConnections();
     });
 
-    async function ask(
+    async function sendRequest(
         requestId: string,
         path = "/a/?b",
     ): Promise<{ readonly status?: number; readonly connection?: string; }> {
@@ -124,24 +124,24 @@
         return { status: response.statusCode, connection: response.headers.connection };
     }
 
-    it("says that there is no route while the box runs", async () => {
-        expect(await ask("r-1")).to.include({ status: 404 });
+    it("answers 404 and logs request.noRoute if no route matches", async () => {
+        expect(await sendRequest("r-1")).to.include({ status: 404 });
         expect(lines[0]).to.include("event=request.noRoute request=r-1").and.include("path=/a/?b version=7");
     });
 
-    it("denies a key by a fresh copy only, and tells the copy's age [P21]", async () => {
+    it("rejects an unknown key only if its copy of the keys is fresh, and logs the copy's age [P21]", async () => {
         access = { kind: "customers", customers: [] };
         age = milliseconds(2000);
-        expect(await ask("r-3", "/open/")).to.include({ status: 401 });
+        expect(await sendRequest("r-3", "/open/")).to.include({ status: 401 });
         age = milliseconds(2001);
-        expect(await ask("r-4", "/open/")).to.include({ status: 503 });
+        expect(await sendRequest("r-4", "/open/")).to.include({ status: 503 });
         expect(lines[0]).to.include("refusal=unknownKey version=7 copyAge=2000");
         expect(lines[1]).to.include("refusal=copyTooOld version=7 copyAge=2001");
     });
 
-    it("refuses unrun, ends the connection, and leaves a line, once the box is closing [P7]", async () => {
+    it("refuses with 503, closes the connection, and logs the refusal once the box is closing [P7]", async () => {
         phase = "closing";
-        expect(await ask("r-2")).to.deep.equal({ status: 503, connection: "close" });
+        expect(await sendRequest("r-2")).to.deep.equal({ status: 503, connection: "close" });
         expect(lines[0]).to.include(
             "event=request.refused request=r-2 refusal=leaving version=7 copyAge=0 serversRevision=12 serversAge=40",
         );
