--- a/packages/box/src/requests/attempt-loop.ts
+++ b/packages/box/src/requests/attempt-loop.ts
@@ -1,8 +1,8 @@
 /**
- * Sends a request to one server after the other until it has an answer, or may
- * not be sent again.
+ * Sends a request to one server after the other until it has a final answer, or
+ * may not be sent again.
  *
- * Carries out the choice of a server and the decision on retries; owns the
+ * Applies the choice of a server and the decisions on retries and hedging; owns the
  * attempts of one request.
  */
 
@@ -40,60 +40,60 @@
     readonly poisonRequestGuard: Pick<PoisonRequestGuard, "track">;
 }
 
-/** The loop's other needs. */
+/** What the request handler passes to the loop besides its own options. */
 export interface AttemptLoopDependencies extends Pick<SingleAttemptOptions, "isVerified"> {
     readonly requestLog: RequestLog;
 }
 
-/** Runs the attempts of one request; `controller` ends them. Never rejects. */
+/** Runs the attempts of one request; `controller` aborts them. Never rejects. */
 export type AttemptLoop = (active: ActiveRequest, body: Buffer, controller: AbortController) => Promise<RequestOutcome>;
 
-/** Creates the loop. */
+/** Creates the loop that makes the attempts of a box's requests. */
 export function createAttemptLoop(options: AttemptLoopOptions & AttemptLoopDependencies): AttemptLoop {
     const { clock, requestLog, trials } = options;
     const attemptOnce = createSingleAttempt(options);
 
     return async function runAttempts(active, body, controller) {
-        // Known by what it asks for: by its id alone each repeat of a request that ends servers is a new one to each box.
-        const followed = options.poisonRequestGuard.track(active, body, controller);
+        // Tracked by its content: by its id alone, each repeat of a poison request would be a new request to every box.
+        const tracked = options.poisonRequestGuard.track(active, body, controller);
         try {
-            return await tryServers(active, body, followed, controller.signal);
+            return await tryServers(active, body, tracked, controller.signal);
         }
         finally {
-            followed.end();
+            tracked.end();
         }
     };
 
     async function tryServers(
         active: ActiveRequest,
         body: Buffer,
-        followed: TrackedRequest,
+        tracked: TrackedRequest,
         signal: AbortSignal,
     ): Promise<RequestOutcome> {
         for (;;) {
-            const clearance = await followed.waitForPermission();
-            if (clearance === "refuse") {
+            const permission = await tracked.waitForPermission();
+            if (permission === "refuse") {
                 return giveUpStopped(active);
             }
-            if (clearance === "callerLeft") {
+            if (permission === "callerLeft") {
                 return { kind: "callerLeft" };
             }
-            const isFirstTry = active.sent + active.notSent === 0;
-            const choice = (isFirstTry ? chooseForTrial(active) : undefined)
+            const isFirstAttempt = active.sent + active.notSent === 0;
+            const choice = (isFirstAttempt ? chooseForTrial(active) : undefined)
                 ?? options.choose(choiceRequest(active, false));
             if (choice.kind !== "chosen") {
                 return giveUp(active, refusalOf(choice));
             }
-            const ended = await attemptOnceOrTwice(active, choice, body, followed, signal);
+            const ended = await attemptWithHedge(active, choice, body, tracked, signal);
             const { outcome } = ended;
             if (outcome.kind === "cancelled") {
-                return followed.isStopped() ? giveUpStopped(active) : { kind: "callerLeft" };
+                return tracked.isStopped() ? giveUpStopped(active) : { kind: "callerLeft" };
             }
-            noteEnd(active, body, ended);
-            if (mayAskAgain(active, ended.choice, outcome)) {
+            recordOutcome(active, body, ended);
+            if (mayRetrySameServer(active, ended.choice, outcome)) {
                 active.tried.delete(ended.choice.server.id);
             }
-            const decision = decideRetry(endOf(outcome), retryInputs(active));
+            const decision = decideRetry(attemptEndOf(outcome), retryInputs(active));
             if (decision.kind === "giveUp") {
                 return giveUp(active, decision.refusal);
             }
@@ -103,17 +103,17 @@
         }
     }
 
-    /** Attempts that were ended under way may have run. */
+    /** Ends a poison request that was stopped. Attempts that were sent and then aborted may have run. */
     function giveUpStopped(active: ActiveRequest): RequestOutcome {
         active.mayHaveRun ||= active.sent > 0;
         return giveUp(active, "endsServers");
     }
 
     /**
-     * True once for a server that turned the request away though it has free slots: it knows the key, and takes the next try as
-     * likely as any other server, where the work would be cold and its answer late.
+     * True once for a server that refused the request although it has free slots: it accepts the next attempt as likely
+     * as any other server does, and at another server the key would be cold and the answer late.
      */
-    function mayAskAgain(active: ActiveRequest, { server }: ChosenServer, outcome: AttemptOutcome): boolean {
+    function mayRetrySameServer(active: ActiveRequest, { server }: ChosenServer, outcome: AttemptOutcome): boolean {
         if (outcome.kind !== "notRun" || !outcome.hasFreeSlots || active.retriedSameServer) {
             return false;
         }
@@ -121,7 +121,10 @@
         return active.tried.has(server.id);
     }
 
-    /** A trial's server for a request at its first try. One that finds none goes where other requests go, at once. */
+    /**
+     * Returns a server of the trial version if the request is assigned to the trial; called for its first attempt only.
+     * If there is no such server now, the request is served like others.
+     */
     function chooseForTrial(active: ActiveRequest): ChosenServer | undefined {
         if (!trials.assign(active.service, active.route)) {
             return undefined;
@@ -164,7 +167,7 @@
         };
     }
 
-    /** `beforeFirst`: the attempt that is about to be made counts as sent. */
+    /** `beforeFirst`: counts the attempt that is about to be made as sent. */
     function hedgeInputs(active: ActiveRequest, { beforeFirst = false } = {}): HedgeInputs {
         const inputs = retryInputs(active);
         return {
@@ -175,7 +178,7 @@
         };
     }
 
-    function endOf(outcome: Exclude<AttemptOutcome, { readonly kind: "cancelled"; }>): AttemptEnd {
+    function attemptEndOf(outcome: Exclude<AttemptOutcome, { readonly kind: "cancelled"; }>): AttemptEnd {
         if (outcome.kind !== "answered") {
             return { kind: outcome.kind };
         }
@@ -183,12 +186,12 @@
         return { kind: "answered", status: answer.status, isVerified: options.isVerified(answer) };
     }
 
-    /** A request that may be repeated gets a second server beside one that is overdue, where that helps. */
-    async function attemptOnceOrTwice(
+    /** Makes an attempt, and a hedged one beside it if it becomes overdue and the hedge decision allows it. */
+    async function attemptWithHedge(
         active: ActiveRequest,
         choice: ChosenServer,
         body: Buffer,
-        followed: TrackedRequest,
+        tracked: TrackedRequest,
         signal: AbortSignal,
     ): Promise<EndedAttempt> {
         if (!mayBeHedged(hedgeInputs(active, { beforeFirst: true }))) {
@@ -197,7 +200,7 @@
         return attemptHedged(choice, signal, {
             attemptOnce: attempt,
             secondChoice: () => {
-                const second = followed.isSuspect() ? undefined : decideHedge(hedgeInputs(active));
+                const second = tracked.isSuspect() ? undefined : decideHedge(hedgeInputs(active));
                 if (second !== undefined) {
                     requestLog.hedged(active, choice.server.id, second.server.id);
                 }
@@ -206,20 +209,20 @@
             isFinal: outcome =>
                 outcome.kind === "answered" && !isFailureStatus(outcome.answer.status)
                 && options.isVerified(outcome.answer),
-            onFirstFailure: ended => noteEnd(active, body, ended),
+            onFirstFailure: ended => recordOutcome(active, body, ended),
         });
 
         async function attempt(at: ChosenServer, attemptSignal: AbortSignal): Promise<AttemptOutcome> {
             const outcome = await attemptOnce(active, at, body, attemptSignal);
-            followed.onAttemptEnded(at.server, outcome);
+            tracked.onAttemptEnded(at.server, outcome);
             return outcome;
         }
     }
 
-    function noteEnd(active: ActiveRequest, body: Buffer, { choice, outcome }: EndedAttempt): void {
+    function recordOutcome(active: ActiveRequest, body: Buffer, { choice, outcome }: EndedAttempt): void {
         logFailure(active, body, choice, outcome);
         active.latestChoice = choice;
-        // Of two attempts the one that ends the request may not be the one that was made last.
+        // Of two concurrent attempts, the one that ends the request need not be the one that was made last.
         active.latestVersion &&= choice.server.state.record().version;
         active.mayHaveRun ||= outcome.kind === "broken";
         active.lastAnswer = outcome.kind === "answered" ? outcome.answer : active.lastAnswer;
@@ -243,7 +246,10 @@
     }
 }
 
-/** A failure that a server gave goes back before a refusal of the box's own, which must not promise what isn't known. */
+/**
+ * Ends a request without a final answer: with the latest failure of a server if there is one, else with a refusal,
+ * which must not guarantee that the request has not run if it may have.
+ */
 function giveUp(active: ActiveRequest, refusal: RefusalKind): RequestOutcome {
     if (active.lastAnswer !== undefined) {
         return { kind: "answer", answer: active.lastAnswer };
--- a/packages/box/src/requests/attempt-observer.ts
+++ b/packages/box/src/requests/attempt-observer.ts
@@ -1,13 +1,13 @@
 /**
- * Watches a try for what it says of the version of its server: a success with
- * its time, a failure, or nothing.
+ * Observes attempts as evidence for or against the version of their server: a
+ * success with its duration, a failure, or no evidence.
  *
- * Refusals for the load, and connections that were never up or had rested too
- * long, say nothing of a version. A try that takes several times as long as
- * expected is told then, not at its end: the slow answers of a slow version would
- * come last, and its quick ones count alone until then.
+ * Refusals because of load, and connections that failed or had been idle for too
+ * long, are no evidence. An attempt that takes several times as long as expected
+ * is reported at that moment and not at its end: the slow answers of a slow version
+ * arrive last, and until then only its fast ones would count.
  *
- * Owns a timer for each try of a service with a trial.
+ * Owns a timer for each attempt at a service with a trial.
  */
 
 import {
@@ -25,13 +25,13 @@
 import type { ActiveRequest } from "./active-request.js";
 import type { AttemptOutcome } from "./attempt-request.js";
 
-/** A try whose end is awaited. */
+/** An attempt under observation. */
 export interface ObservedAttempt {
     /** The request is about to be sent. */
     readonly onSent: () => void;
-    /** The server gave a success after so long, without the way there and back. */
+    /** The server answered with a success after `duration`, without the round trip. */
     readonly onServed: (duration: Milliseconds) => void;
-    /** The try ended, sent or not. */
+    /** The attempt ended, whether or not it was sent. */
     readonly onEnded: (outcome: AttemptOutcome) => void;
 }
 
@@ -40,41 +40,41 @@
     readonly trials: TrialHooks;
     readonly workEstimate: WorkEstimate;
     readonly roundTrip: (server: BackendServer) => Milliseconds;
-    /** True if a success is the server's own and in the coding that was asked for. */
+    /** True if a success carries the server's stamp and has no content coding. */
     readonly isVerified: (answer: ServerAnswer) => boolean;
 }
 
-/** HTTP's status of a server whose request ran out of time: its fault only once it is overdue. */
+/** HTTP 504 Gateway Timeout: the deadline passed at the server, which is a failure only of an overdue request. */
 const statusDeadline = 504;
 
-/** What a try of a service without a trial is watched by. */
-const unwatched: ObservedAttempt = { onSent: () => undefined, onServed: () => undefined, onEnded: () => undefined };
+/** Observer of attempts at a service without a trial: does nothing. */
+const unobserved: ObservedAttempt = { onSent: () => undefined, onServed: () => undefined, onEnded: () => undefined };
 
-/** Returns the function that watches a try which is about to be made. */
+/** Returns the function that begins to observe an attempt; called before the attempt is made. */
 export function createAttemptObserver(
     options: AttemptObserverOptions,
 ): (active: ActiveRequest, choice: ChosenServer) => ObservedAttempt {
-    const { clock, trials, workEstimate: work } = options;
+    const { clock, trials, workEstimate } = options;
 
-    return function watchTry({ route, service }, { server, expectedAtNormalSpeed: usual, wait, warm }) {
+    return function observeAttempt({ route, service }, { server, expectedAtNormalSpeed, wait, warm }) {
         if (!trials.hasTrial(service)) {
-            return unwatched;
+            return unobserved;
         }
         const wasCold = server.state.isCold(clock());
         let sentAt: Milliseconds | undefined;
         let slowness: number | undefined;
-        let isTold = false;
+        let isReported = false;
         let timer: NodeJS.Timeout | undefined;
         return {
             onSent() {
                 sentAt = clock();
                 trials.onSent(service, server);
-                const tellAfter = work.durationAtSlowness(route, warm, earlyReportSlowness, wait)
+                const reportAfter = workEstimate.durationAtSlowness(route, warm, earlyReportSlowness, wait)
                     + options.roundTrip(server);
-                timer = setTimeout(() => tell({ isFailure: false, slowness: earlyReportSlowness }), tellAfter);
+                timer = setTimeout(() => report({ isFailure: false, slowness: earlyReportSlowness }), reportAfter);
             },
             onServed(duration) {
-                slowness = work.slownessOf(route, warm, duration, wait);
+                slowness = workEstimate.slownessOf(route, warm, duration, wait);
             },
             onEnded(outcome) {
                 clearTimeout(timer);
@@ -82,17 +82,17 @@
                     return;
                 }
                 trials.onEnded(service, server);
-                const isOverdue = clock() - sentAt >= overdueThreshold(usual);
+                const isOverdue = clock() - sentAt >= overdueThreshold(expectedAtNormalSpeed);
                 const evidence = evidenceOf(outcome, isOverdue, slowness);
                 if (evidence !== undefined) {
-                    tell(evidence);
+                    report(evidence);
                 }
             },
         };
 
-        function tell(evidence: Evidence): void {
-            if (!isTold) {
-                isTold = true;
+        function report(evidence: Evidence): void {
+            if (!isReported) {
+                isReported = true;
                 trials.onAnswer(service, { server, routeName: route.name, wasCold, ...evidence });
             }
         }
--- a/packages/box/src/requests/attempt-request.ts
+++ b/packages/box/src/requests/attempt-request.ts
@@ -1,6 +1,6 @@
 /**
- * What one attempt is asked to do, and how it can end: what the attempt, the loop
- * that makes attempts and the feedback on servers have in common.
+ * Types shared by the attempt, the loop that makes attempts, and the feedback on
+ * servers: the request of one attempt, and how an attempt can end.
  */
 
 import type { BackendServer, Route } from "@chalkdale/decisions";
@@ -9,15 +9,20 @@
 
 /** How an attempt ended. */
 export type AttemptOutcome =
-    /** The server's own answer, success or failure. `requestsBackoff`: a failure by which it only asks for back-off, though the request may have run. */
+    /**
+     * The server's answer, success or failure. `requestsBackoff`: a failure that only asks for back-off, though the
+     * request may have run.
+     */
     | { readonly kind: "answered"; readonly answer: ServerAnswer; readonly requestsBackoff?: true; }
     /** Nothing reached the server. */
     | { readonly kind: "notSent"; readonly reason: string; }
-    /** The server says that it did not run the request. `hasFreeSlots`: though it has free slots. */
+    /** The server reports that it did not run the request. `hasFreeSlots`: it refused although it has free slots. */
     | { readonly kind: "notRun"; readonly status: number; readonly hasFreeSlots: boolean; }
     /**
-     * The request may have run; there is no whole answer. `wasStaleConnection`: most likely as the connection had rested too long.
-     * `serverTerminatedAt` resolves with when the server ended, or undefined if it lives, and never rejects; left out where nothing speaks for an end.
+     * The request may have run, but there is no complete answer. `wasStaleConnection`: most likely because the
+     * connection had been idle for too long. `serverTerminatedAt` resolves with the time at which the server process
+     * ended, or with undefined if it still runs, and never rejects; it is left out if nothing suggests that the server
+     * has ended.
      */
     | {
         readonly kind: "broken";
@@ -25,27 +30,28 @@
         readonly wasStaleConnection: boolean;
         readonly serverTerminatedAt?: Promise<Milliseconds | undefined>;
     }
+    /** The attempt was aborted: the caller left, time ran out, another attempt answered, or the request was stopped. */
     | { readonly kind: "cancelled"; };
 
-/** What is sent. */
+/** A request as it is sent to one server, with the callbacks of its sender. */
 export interface AttemptRequest {
     readonly route: Route;
     readonly service: ServiceId;
     readonly server: BackendServer;
     readonly method: string;
     readonly path: string;
-    /** Names and values in turn, without those that an attempt sets. */
+    /** Names and values alternating, without the headers that an attempt sets. */
     readonly rawHeaders: readonly string[];
     readonly body: Buffer;
     readonly requestId: string | undefined;
-    /** Time until the request must be answered. */
+    /** Returns the time until the request's deadline. */
     readonly timeLeft: () => Milliseconds;
     readonly roundTrip: Milliseconds;
-    /** Expected time until the answer of a server of ordinary speed. */
+    /** Expected time until the answer of a server at normal speed. */
     readonly expected: Milliseconds;
     readonly signal: AbortSignal;
-    /** Called once the request is about to be sent. */
+    /** Called immediately before the request is sent. */
     readonly onSend: () => void;
-    /** Called with how long the server took for a success, without the way there and back. */
+    /** Called after a success with the time that the server took, without the round trip. */
     readonly onServed: (duration: Milliseconds) => void;
 }
--- a/packages/box/src/requests/attempt.ts
+++ b/packages/box/src/requests/attempt.ts
@@ -1,8 +1,9 @@
 /**
- * One attempt: a connection to the chosen server, and the request on it.
+ * One attempt: acquires a connection to the chosen server and sends the request on
+ * it.
  *
- * Owns the connection while the request is on it; hands how it ended to the
- * feedback on the server.
+ * Owns the connection while the request is in progress; passes the outcome to the
+ * feedback on servers.
  */
 
 import {
@@ -35,24 +36,24 @@
     readonly clock: Clock;
     readonly protocol: CallerProtocol;
     readonly connections: ServerConnections;
-    /** Connections to one server that this box may hold. */
+    /** Maximum number of connections that this box may hold to one server of the service. */
     readonly maxConnectionsPerServer: (service: ServiceId) => number;
     readonly livenessCheck: LivenessCheck;
-    /** True once another life of the server is listed. */
+    /** True once another incarnation of the server is listed. */
     readonly hasNewIncarnation: (server: BackendServer) => boolean;
-    /** The same, or once a later server is listed at its address. */
+    /** True once another incarnation, or a later server at the same address, is listed. */
     readonly hasSuccessor: (server: BackendServer) => boolean;
-    /** False for an availability zone that is to get no requests. */
+    /** False for an availability zone that is closed to requests. */
     readonly admitsZone: (zone: AvailabilityZoneId) => boolean;
     readonly serviceLoad: ServiceLoad;
     readonly limitedServers: Pick<LimitedServers, "onAnswer">;
     readonly serverNotices: Pick<ServerNotices, "onAnswer">;
     readonly idleTimeoutEstimate: IdleTimeoutEstimate;
-    /** Counts the bodies of a request and its answer. */
+    /** Counts the bytes of the bodies of a request and its answer. */
     readonly countBytes: (server: BackendServer, bytes: number) => void;
 }
 
-/** Returns the function that makes attempts. Never rejects. */
+/** Returns the function that makes attempts; its promise never rejects. */
 export function createAttempt(options: AttemptOptions): (request: AttemptRequest) => Promise<AttemptOutcome> {
     const { clock, connections, protocol } = options;
     const feedback = createServerFeedback(options);
@@ -103,24 +104,27 @@
     }
 
     /**
-     * Why a server must get nothing now, whatever it was when it was chosen: a connection takes seconds to come up if packets are lost.
+     * Returns why the server must not get the request after all. Its state may have changed since it was chosen,
+     * because a connection takes seconds to open if packets are lost.
      */
     function reasonNotToSend(server: BackendServer): string | undefined {
         const { state } = server;
         if (state.isOutOfService() || options.hasNewIncarnation(server) || !options.admitsZone(state.record().zone)) {
-            return "left while its connection came up";
+            return "server went out of service while its connection was being opened";
         }
-        return clock() < state.backoffUntil() ? "asked for back-off while its connection came up" : undefined;
+        return clock() < state.backoffUntil()
+            ? "server asked for back-off while its connection was being opened"
+            : undefined;
     }
 
     async function send(
         request: AttemptRequest,
-        { idleTime: rested, socket }: ServerConnection,
+        { idleTime, socket }: ServerConnection,
     ): Promise<AttemptOutcome> {
         const sentAt = clock();
         request.onSend();
         request.server.state.onSent();
-        const silence = watchForSilence(request);
+        const overdueCheck = startOverdueCheck(request);
         const outcome = await exchange({
             socket,
             method: request.method,
@@ -129,70 +133,78 @@
             body: request.body,
             requestId: request.requestId,
             headers: protocol.headers,
-            signal: AbortSignal.any([request.signal, silence.signal]),
-            onHead: silence.end,
+            signal: AbortSignal.any([request.signal, overdueCheck.signal]),
+            onHead: overdueCheck.end,
         });
-        silence.end();
-        const answered = outcome.kind === "answer" ? outcome.answer.body.length : 0;
-        options.countBytes(request.server, request.body.length + answered);
+        overdueCheck.end();
+        const answerBytes = outcome.kind === "answer" ? outcome.answer.body.length : 0;
+        options.countBytes(request.server, request.body.length + answerBytes);
         switch (outcome.kind) {
             case "answer":
                 return feedback.onAnswer(request, socket, outcome.answer, sentAt);
             case "broken": {
-                const broken = feedback.onBroken(request, outcome.reason, wasForgotten(request, rested, sentAt));
+                const broken = feedback.onBroken(
+                    request,
+                    outcome.reason,
+                    isStaleConnection(request, idleTime, sentAt),
+                );
                 return broken.wasStaleConnection || outcome.closedByServer !== true
                     ? broken
-                    : { ...broken, serverTerminatedAt: serverEnded(request.server) };
+                    : { ...broken, serverTerminatedAt: findTermination(request.server) };
             }
             case "cancelled":
-                return feedback.onCancelled(request, sentAt, rested);
+                return feedback.onCancelled(request, sentAt, idleTime);
         }
     }
 
-    /** A server that ended the connection and takes none now has ended, unless it was leaving as planned. Never rejects. */
-    async function serverEnded(server: BackendServer): Promise<Milliseconds | undefined> {
+    /**
+     * Resolves with the time at which the server ended; undefined if it still runs. A server that closed the connection
+     * and accepts none now has ended, unless it was leaving service as planned. Never rejects.
+     */
+    async function findTermination(server: BackendServer): Promise<Milliseconds | undefined> {
         const brokenAt = clock();
         if (server.state.isOutOfService()) {
             return undefined;
         }
-        const isAlive = await options.livenessCheck(server, milliseconds(brokenAt - sameEndWithin));
+        const isAlive = await options.livenessCheck(server, milliseconds(brokenAt - sharedCheckWindow));
         return isAlive ? undefined : brokenAt;
     }
 
-    /** True if the server most likely no longer knew the connection, since it had rested. */
-    function wasForgotten(request: AttemptRequest, rested: Milliseconds, sentAt: Milliseconds): boolean {
-        const after = milliseconds(clock() - sentAt - request.roundTrip);
-        return options.idleTimeoutEstimate.onReset(request.service, rested, after, clock());
+    /** True if the server had most likely dropped the connection because it was idle. */
+    function isStaleConnection(request: AttemptRequest, idleTime: Milliseconds, sentAt: Milliseconds): boolean {
+        const resetAfter = milliseconds(clock() - sentAt - request.roundTrip);
+        return options.idleTimeoutEstimate.onReset(request.service, idleTime, resetAfter, clock());
     }
 
     /**
-     * Aborts a request once it is overdue and its server turns out to have ended: it has started again, a later one has its address or, for an
-     * idempotent request, which another server may run as well, it takes no connection. A test connection alone is answered by
-     * whoever has the address; a request waited 12.5 s so, until its caller's deadline.
+     * Aborts a request that is overdue once its server turns out to have ended: a new incarnation is listed, a later
+     * server has its address or, for an idempotent request, which another server may run as well, the server accepts no
+     * connection. A liveness check alone is not enough, because whichever server has the address now accepts the
+     * connection: a request then waits until its caller's deadline, 12.5 s in one case.
      */
-    function watchForSilence(request: AttemptRequest): { readonly signal: AbortSignal; readonly end: () => void; } {
+    function startOverdueCheck(request: AttemptRequest): { readonly signal: AbortSignal; readonly end: () => void; } {
         const controller = new AbortController();
         let timer = setTimeout(() => void check(), overdueThreshold(request.expected));
-        let isOver = false;
+        let isStopped = false;
         return {
             signal: controller.signal,
             end() {
-                isOver = true;
+                isStopped = true;
                 clearTimeout(timer);
             },
         };
 
         async function check(): Promise<void> {
-            if (await hasEnded(request) && !isOver) {
+            if (await hasEnded(request) && !isStopped) {
                 controller.abort();
             }
-            else if (!isOver) {
+            else if (!isStopped) {
                 timer = setTimeout(() => void check(), checkInterval);
             }
         }
     }
 
-    /** Never rejects. */
+    /** True if the server of an overdue request has ended, as far as the request may act on it. Never rejects. */
     async function hasEnded({ route, server }: AttemptRequest): Promise<boolean> {
         if (options.hasSuccessor(server)) {
             return true;
@@ -217,8 +229,13 @@
     }
 }
 
-/** Milliseconds between two checks of a server whose answer is overdue: few for a request, each a new connection. */
+/**
+ * Milliseconds between two checks of a server whose answer is overdue; long, because each check opens a new connection.
+ */
 const checkInterval = 1000;
-/** Milliseconds within which the connections to a server end that has ended: one check tells for all of them. */
-const sameEndWithin = 100;
+/**
+ * Milliseconds within which all connections to a server that has ended break: a liveness check that began within this
+ * time before the break still counts, so that one check serves all of them.
+ */
+const sharedCheckWindow = 100;
 const methodsWithoutBody = new Set(["GET", "HEAD", "DELETE", "OPTIONS"]);
--- a/packages/box/src/requests/hedged-attempt.ts
+++ b/packages/box/src/requests/hedged-attempt.ts
@@ -1,9 +1,9 @@
 /**
- * One attempt, and a second one beside it once the first is overdue. The first
- * good answer counts, and ends the other attempt.
+ * An attempt that is hedged with a second one once it is overdue. The first final
+ * answer wins, and aborts the other attempt.
  *
- * Owns both attempts until one of them has decided; relies on the hedge decision
- * for whether there is a second one.
+ * Owns both attempts until the outcome is known; relies on the hedge decision for
+ * whether there is a second one.
  */
 
 import { type ChosenServer, overdueThreshold } from "@chalkdale/decisions";
@@ -17,40 +17,43 @@
 
 export interface HedgedAttemptOptions {
     readonly attemptOnce: (choice: ChosenServer, signal: AbortSignal) => Promise<AttemptOutcome>;
-    /** The second server, now that the first is overdue; undefined if the request goes on waiting. */
+    /** Chooses the second server, once the first attempt is overdue; undefined if the request keeps waiting. */
     readonly secondChoice: () => ChosenServer | undefined;
     /** True for an outcome that ends the request. */
     readonly isFinal: (outcome: AttemptOutcome) => boolean;
-    /** One of two attempts failed while the other goes on. */
+    /** Called when one of two attempts has failed and the other continues. */
     readonly onFirstFailure: (ended: EndedAttempt) => void;
 }
 
-/** An attempt that can be ended by itself. */
+/** An attempt that can be cancelled on its own. */
 interface RunningAttempt {
     readonly ended: Promise<EndedAttempt>;
     readonly cancel: () => void;
 }
 
-/** Attempts a request at a server, and at a second one where that helps. Rejects only if the choice of the second one throws. */
+/**
+ * Makes an attempt, and a second one if the first is overdue and a second server is chosen. Rejects only if
+ * `secondChoice` throws.
+ */
 export async function attemptHedged(
     choice: ChosenServer,
     signal: AbortSignal,
     options: HedgedAttemptOptions,
 ): Promise<EndedAttempt> {
-    const first = start(choice, signal, options);
-    const early = await endedWithin(first, overdueThreshold(choice.expectedAtNormalSpeed));
-    if (early !== undefined) {
-        return early;
+    const first = startAttempt(choice, signal, options);
+    const endedInTime = await endedWithin(first, overdueThreshold(choice.expectedAtNormalSpeed));
+    if (endedInTime !== undefined) {
+        return endedInTime;
     }
     const secondChoice = chooseSecond(first, options);
     if (secondChoice === undefined) {
         return first.ended;
     }
-    const second = start(secondChoice, signal, options);
-    return firstToDecide(first, second, options);
+    const second = startAttempt(secondChoice, signal, options);
+    return raceAttempts(first, second, options);
 }
 
-function start(choice: ChosenServer, signal: AbortSignal, options: HedgedAttemptOptions): RunningAttempt {
+function startAttempt(choice: ChosenServer, signal: AbortSignal, options: HedgedAttemptOptions): RunningAttempt {
     const controller = new AbortController();
     const outcome = options.attemptOnce(choice, AbortSignal.any([signal, controller.signal]));
     return {
@@ -59,7 +62,7 @@
     };
 }
 
-/** An attempt whose outcome nobody takes must not run on. */
+/** Chooses the second server. If that throws, cancels the first attempt, since nothing would handle its outcome. */
 function chooseSecond(first: RunningAttempt, options: HedgedAttemptOptions): ChosenServer | undefined {
     try {
         return options.secondChoice();
@@ -70,18 +73,19 @@
     }
 }
 
-/** Returns how the attempt ended, or undefined if it goes on for longer than `duration` milliseconds. */
+/** Resolves with the end of the attempt, or with undefined if it takes longer than `duration` milliseconds. */
 async function endedWithin({ ended }: RunningAttempt, duration: number): Promise<EndedAttempt | undefined> {
     let timer: NodeJS.Timeout | undefined;
     const overdue = new Promise<undefined>(resolve => {
         timer = setTimeout(() => resolve(undefined), duration);
     });
-    const early = await Promise.race([ended, overdue]);
+    const endedInTime = await Promise.race([ended, overdue]);
     clearTimeout(timer);
-    return early;
+    return endedInTime;
 }
 
-async function firstToDecide(
+/** Resolves with the attempt that ends first if its outcome is final or cancelled, else with the other one. */
+async function raceAttempts(
     first: RunningAttempt,
     second: RunningAttempt,
     options: HedgedAttemptOptions,
--- a/packages/box/src/requests/server-feedback.ts
+++ b/packages/box/src/requests/server-feedback.ts
@@ -1,8 +1,8 @@
 /**
- * What a box learns of a server from how an attempt ended, and what becomes of
- * the connection.
+ * Applies the outcome of an attempt to the state of its server, and decides whether
+ * the connection is kept.
  *
- * Carries out the verdict on an answer; owns no state.
+ * Applies the classification of answers; owns no state.
  */
 
 import {
@@ -29,11 +29,11 @@
     readonly serviceLoad: ServiceLoad;
     readonly limitedServers: Pick<LimitedServers, "onAnswer">;
     readonly serverNotices: Pick<ServerNotices, "onAnswer">;
-    /** True once another life of the server is listed. */
+    /** True once another incarnation of the server is listed. */
     readonly hasNewIncarnation: (server: BackendServer) => boolean;
 }
 
-/** Takes each way in which an attempt can end, and returns its outcome. */
+/** Handles each way in which an attempt can end, and returns its outcome. */
 export interface ServerFeedback {
     readonly onConnectFailure: (request: AttemptRequest, failure: ConnectFailure) => AttemptOutcome;
     readonly onAnswer: (
@@ -42,17 +42,23 @@
         answer: ServerAnswer,
         sentAt: Milliseconds,
     ) => AttemptOutcome;
-    /** `wasStaleConnection`: the server forgot a connection that rested, which says nothing of its health; a lost one refuses the next. */
+    /**
+     * `wasStaleConnection`: the server had dropped the idle connection, which says nothing about its health. If the
+     * server is down nevertheless, it will refuse the next connection.
+     */
     readonly onBroken: (
         request: AttemptRequest,
         reason: string,
-        wasForgotten: boolean,
+        wasStaleConnection: boolean,
     ) => Extract<AttemptOutcome, { readonly kind: "broken"; }>;
-    /** The caller left, the request's time is over, or its server is silent. `rested`: its connection's rest before; 0 for a new one. */
-    readonly onCancelled: (request: AttemptRequest, sentAt: Milliseconds, rested: Milliseconds) => AttemptOutcome;
+    /**
+     * The caller left, the request's time ran out, another attempt answered, or the server of an overdue request has
+     * ended. `idleTime`: how long the connection had been idle before; 0 for a new one.
+     */
+    readonly onCancelled: (request: AttemptRequest, sentAt: Milliseconds, idleTime: Milliseconds) => AttemptOutcome;
 }
 
-/** Creates the feedback of one box. */
+/** Creates the feedback on the servers of one box. */
 export function createServerFeedback(options: ServerFeedbackOptions): ServerFeedback {
     const { clock, connections, protocol } = options;
 
@@ -76,102 +82,102 @@
             if (load !== undefined) {
                 options.serviceLoad.onReport(request.service, load);
             }
-            // A connection of an earlier life is gone with it, and a request on it would be lost.
+            // A connection to an earlier incarnation died with it, and a request sent on it would be lost.
             if (answer.reusable && options.hasNewIncarnation(request.server)) {
                 socket.destroy();
             }
             else if (answer.reusable) {
                 connections.release(id, socket, idleTimeoutAfterAnswer(readKeepAlive(answer.headers)));
             }
-            const verdict = classifyAnswer({
+            const answerClass = classifyAnswer({
                 status: answer.status,
                 saysNotRun: answer.headers[protocol.headers.notRun] !== undefined,
-                requestsBackoff: asksBackoff(answer),
+                requestsBackoff: requestsBackoff(answer),
                 load,
                 isCold: state.isCold(clock()),
                 isOverdue: isOverdue(request, sentAt),
             });
-            // What another server says of itself is not this one's.
-            if (verdict.kind !== "otherServer") {
+            // Notices and limits in an answer of another server don't concern this one.
+            if (answerClass.kind !== "otherServer") {
                 options.serverNotices.onAnswer(request.server, answer);
                 options.limitedServers.onAnswer(request.server, answer, sentAt);
             }
-            return applyVerdict(request, answer, verdict, sentAt);
+            return applyAnswerClass(request, answer, answerClass, sentAt);
         },
-        onBroken(request, reason, wasForgotten) {
+        onBroken(request, reason, wasStaleConnection) {
             request.server.state.onEnded(clock());
-            if (wasForgotten) {
+            if (wasStaleConnection) {
                 connections.closeIdle(request.server.id);
             }
             else {
                 request.server.state.onFailure(clock(), "brokeOff");
             }
-            return { kind: "broken", reason, wasStaleConnection: wasForgotten };
+            return { kind: "broken", reason, wasStaleConnection };
         },
-        onCancelled(request, sentAt, rested) {
+        onCancelled(request, sentAt, idleTime) {
             const { id, state } = request.server;
             state.onEnded(clock());
             if (isOverdue(request, sentAt)) {
                 state.onResult(clock(), false);
                 state.onAnswerTime(clock(), (clock() - sentAt) / Math.max(1, request.expected));
-                closeOthersAtRest(id, rested);
+                closeOtherIdleConnections(id, idleTime);
             }
             return request.signal.aborted
                 ? { kind: "cancelled" }
-                : { kind: "broken", reason: "server silent", wasStaleConnection: false };
+                : { kind: "broken", reason: "answer overdue and server ended", wasStaleConnection: false };
         },
     };
 
     /**
-     * Connections that rested fall silent together. Left open, each would cost a request its whole limit: three of four reads in
-     * a row got 504 over four that had rested, one of them so.
+     * Closes the server's other idle connections. Idle connections tend to stop working together, and each one left
+     * open would cost a request its whole time: with four such connections, three of four consecutive reads got 504.
      */
-    function closeOthersAtRest(server: BackendServerId, rested: Milliseconds): void {
-        if (rested > 0) {
+    function closeOtherIdleConnections(server: BackendServerId, idleTime: Milliseconds): void {
+        if (idleTime > 0) {
             connections.closeIdle(server);
         }
     }
 
-    /** True for an answer by which a server wants nothing for some time. */
-    function asksBackoff(answer: ServerAnswer): boolean {
+    /** True for an answer that asks this box to back off. */
+    function requestsBackoff(answer: ServerAnswer): boolean {
         const asked = protocol.readBackoff(answer);
         return asked.kind === "asked" && asked.duration > 0;
     }
 
-    /** True if the server has had the request for far longer than expected. */
+    /** True if the request has been at the server for far longer than expected. */
     function isOverdue(request: AttemptRequest, sentAt: Milliseconds): boolean {
         return clock() - sentAt >= overdueThreshold(request.expected);
     }
 
-    function applyVerdict(
+    function applyAnswerClass(
         request: AttemptRequest,
         answer: ServerAnswer,
-        verdict: AnswerClass,
+        answerClass: AnswerClass,
         sentAt: Milliseconds,
     ): AttemptOutcome {
         const { id, state } = request.server;
         const now = clock();
-        switch (verdict.kind) {
+        switch (answerClass.kind) {
             case "otherServer":
                 state.onReplaced();
                 connections.closeIdle(id);
                 return { kind: "notRun", status: answer.status, hasFreeSlots: false };
             case "full":
-                if (verdict.isFailure) {
+                if (answerClass.isFailure) {
                     state.onResult(now, false);
                 }
                 else {
                     state.onFull(now);
                 }
-                return { kind: "notRun", status: answer.status, hasFreeSlots: verdict.isFailure };
+                return { kind: "notRun", status: answer.status, hasFreeSlots: answerClass.isFailure };
             case "backedOff":
-                return verdict.mayHaveRun
+                return answerClass.mayHaveRun
                     ? { kind: "answered", answer, requestsBackoff: true }
                     : { kind: "notRun", status: answer.status, hasFreeSlots: false };
             case "ran":
                 state.onHealthy();
-                state.onResult(now, !verdict.isFailure);
-                if (verdict.isSuccess) {
+                state.onResult(now, !answerClass.isFailure);
+                if (answerClass.isSuccess) {
                     request.onServed(milliseconds(Math.max(0, now - sentAt - request.roundTrip)));
                 }
                 return { kind: "answered", answer };
--- a/packages/box/src/requests/single-attempt.ts
+++ b/packages/box/src/requests/single-attempt.ts
@@ -1,9 +1,9 @@
 /**
- * One attempt of a request at the server that was chosen for it: what is counted
- * for the request, and what this box learns from how it ends.
+ * One attempt of a request at a chosen server: updates the counts of the request, and
+ * the estimates that this box learns from the outcome.
  *
- * Owns nothing; relies on `attempt` for the connection and on the watch of tries
- * for what an end says of the server's version.
+ * Owns nothing; relies on `attempt` for the connection, and on the attempt observer
+ * for what the outcome says about the server's version.
  */
 
 import {
@@ -35,11 +35,11 @@
     readonly recentSends: RecentSends;
     /** Time since the store confirmed the list of servers. */
     readonly serversAge: () => Milliseconds;
-    /** True if an answer is the server's own and in the coding that was asked for. */
+    /** True if an answer carries the server's stamp and has no content coding. */
     readonly isVerified: (answer: ServerAnswer) => boolean;
 }
 
-/** Makes one attempt. Two of one request may run at once. Never rejects. */
+/** Makes one attempt. Two attempts of one request may run concurrently. Never rejects. */
 export type SingleAttempt = (
     active: ActiveRequest,
     choice: ChosenServer,
@@ -50,7 +50,7 @@
 /** Returns the function that makes single attempts. */
 export function createSingleAttempt(options: SingleAttemptOptions): SingleAttempt {
     const { clock, metrics, trials } = options;
-    const watchTry = createAttemptObserver(options);
+    const observeAttempt = createAttemptObserver(options);
 
     return async function attemptOnce(active, choice, body, signal) {
         const { server } = choice;
@@ -58,7 +58,7 @@
         const chosenAt = clock();
         const listAge = options.serversAge();
         let isSent = false;
-        const watched = watchTry(active, choice);
+        const observed = observeAttempt(active, choice);
         active.tried.add(server.id);
         active.latestChoice = choice;
         active.latestVersion = trials.hasTrial(active.service) ? server.state.record().version : undefined;
@@ -79,7 +79,7 @@
                 active.sent += 1;
                 isSent = true;
                 options.workEstimate.onSent(active.service, active.route);
-                watched.onSent();
+                observed.onSent();
                 options.recentSends.add(server.id, {
                     requestId: active.requestId,
                     chosenAt,
@@ -88,11 +88,11 @@
                 });
             },
             onServed(duration) {
-                watched.onServed(duration);
-                learn(active, choice, duration);
+                observed.onServed(duration);
+                learnFromSuccess(active, choice, duration);
             },
         });
-        watched.onEnded(outcome);
+        observed.onEnded(outcome);
         if (!isSent) {
             active.notSent += 1;
             if (isTrial) {
@@ -106,7 +106,7 @@
         return outcome;
     };
 
-    function learn(active: ActiveRequest, choice: ChosenServer, duration: Milliseconds): void {
+    function learnFromSuccess(active: ActiveRequest, choice: ChosenServer, duration: Milliseconds): void {
         const { id, state } = choice.server;
         metrics.onServed(duration);
         options.recentKeys.add(id, active.keyHash, clock());
--- a/packages/box/test/attempt-loop.test.ts
+++ b/packages/box/test/attempt-loop.test.ts
@@ -1,5 +1,5 @@
 /**
- * What the loop of attempts learns of the bytes that a route moves.
+ * Which attempts count towards the transfer sizes of a route.
  */
 
 import { type ChosenServer, createTransferSizes, createWorkEstimate, type Route } from "@chalkdale/decisions";
@@ -16,7 +16,7 @@
 
 const route = { name: "photos", kind: "safe", maxAttempts: 1 } as Route;
 
-/** Runs one request that has one outcome, and returns the bytes that were learned. */
+/** Runs one request with one attempt that has the given outcome; returns the transfer sizes that were learned. */
 async function learnedFrom(outcome: AttemptOutcome): Promise<readonly number[]> {
     const learned: number[] = [];
     const unused = () => undefined;
@@ -73,12 +73,12 @@
     return { kind: "answered", answer: { status, body, rawHeaders: [], headers: {}, framed: true, reusable: true } };
 }
 
-describe("the loop of attempts", () => {
-    it("learns the body and the answer of a success", async () => {
+describe("the attempt loop", () => {
+    it("learns the size of request and answer bodies from a success", async () => {
         expect(await learnedFrom(answerOf(200))).to.deep.equal([60_400]);
     });
 
-    it("learns nothing of failures, whose answers are short", async () => {
+    it("learns nothing from failures, whose answers are short", async () => {
         expect(await learnedFrom(answerOf(500))).to.deep.equal([]);
         expect(await learnedFrom({ kind: "broken", reason: "reset", wasStaleConnection: false })).to.deep.equal([]);
         expect(await learnedFrom({ kind: "notRun", status: 503, hasFreeSlots: false })).to.deep.equal([]);
--- a/packages/box/test/attempt.test.ts
+++ b/packages/box/test/attempt.test.ts
@@ -1,11 +1,14 @@
 /**
- * A request was written to a server that had said it was leaving, though the box
- * knew: the server was chosen, its connection took a second to come up, and the list
- * changed meanwhile. Nothing looked at the list between the choice and the first
- * byte, while a lost packet of a connection's opening costs 1 s and a second one 2 s
- * more, against a bound of 2 s in all. A request that was given up could still arrive
- * later, out of the buffer of a connection that had stood still, since it was closed in
- * order, which has the kernel go on sending.
+ * Guards against two failures:
+ *
+ * A request is sent to a server that is known to be leaving, because the server's
+ * state changed between its choice and the first byte. A lost packet delays the
+ * opening of a connection by 1 s and a second one by 2 s more, while no request may
+ * arrive later than 2 s after the change.
+ *
+ * A request that was given up still arrives later, because its connection was closed
+ * gracefully: the kernel then goes on sending what is left in a stalled connection's
+ * buffer.
  */
 
 import {
@@ -53,7 +56,7 @@
     let server: BackendServer;
     let closedZones: Set<string>;
     let sends: number;
-    let giveUp: AbortController;
+    let controller: AbortController;
     let sockets: Socket[];
 
     beforeEach(async () => {
@@ -63,11 +66,11 @@
         await once(listener, "listening");
     });
 
-    function startOver(): void {
+    function reset(): void {
         received = "";
         sends = 0;
         closedZones = new Set();
-        giveUp = new AbortController();
+        controller = new AbortController();
         accepted = once(listener, "connection").then(([socket]: Socket[]) => {
             sockets.push(socket);
             socket.on("data", (data: Buffer) => {
@@ -84,7 +87,7 @@
     }
 
     afterEach(() => {
-        giveUp.abort();
+        controller.abort();
         sockets.forEach(socket => socket.destroy());
         listener.close();
     });
@@ -96,7 +99,7 @@
         return { socket, idleTime: milliseconds(0) };
     }
 
-    /** Attempts a read; `whileConnecting` happens between the choice of the server and its connection. */
+    /** Attempts a GET; `whileConnecting` is called between the choice of the server and the use of its connection. */
     async function attemptRead(whileConnecting: () => void): Promise<AttemptOutcome> {
         const clock = () => milliseconds(performance.now());
         const attempt = createAttempt({
@@ -138,7 +141,7 @@
             timeLeft: () => milliseconds(1500),
             roundTrip: milliseconds(1),
             expected: milliseconds(400) as Milliseconds,
-            signal: giveUp.signal,
+            signal: controller.signal,
             onSend: () => {
                 sends += 1;
             },
@@ -147,7 +150,7 @@
         return attempt(request);
     }
 
-    it("sends nothing to a server that leaves or asks for back-off while its connection comes up", async () => {
+    it("sends nothing to a server that leaves or asks for back-off while its connection is being opened", async () => {
         const changes: readonly (() => void)[] = [
             () => server.state.applyRecord({ ...record, draining: true }, milliseconds(0)),
             () => server.state.onUnlisted(),
@@ -157,25 +160,25 @@
             () => closedZones.add(record.zone),
         ];
         for (const change of changes) {
-            startOver();
+            reset();
             const attempted = attemptRead(change);
             const socket = await accepted;
             await Promise.race([once(socket, "close"), once(socket, "data")]);
-            giveUp.abort();
+            controller.abort();
             expect([(await attempted).kind, sends, received]).to.deep.equal(["notSent", 0, ""]);
         }
     });
 
-    it("resets the connection of a request that is given up, so that nothing of it arrives later", async () => {
-        startOver();
+    it("resets the connection of an aborted request, so that no part of it arrives later", async () => {
+        reset();
         const ended = attemptRead(() => undefined);
         const socket = await accepted;
         const end = Promise.race([
             once(socket, "error").then(([error]: NodeJS.ErrnoException[]) => error.code),
-            once(socket, "end").then(() => "closed in order"),
+            once(socket, "end").then(() => "closed gracefully"),
         ]);
         await once(socket, "data");
-        giveUp.abort();
+        controller.abort();
         expect(await end).to.equal("ECONNRESET");
         await ended;
     });
--- a/packages/box/test/hedged-attempt.test.ts
+++ b/packages/box/test/hedged-attempt.test.ts
@@ -1,5 +1,5 @@
 /**
- * Two attempts at once, with outcomes that the test gives.
+ * A hedged attempt whose attempts and choice of the second server are test doubles.
  */
 
 import type { ChosenServer } from "@chalkdale/decisions";
@@ -7,23 +7,23 @@
 import type { AttemptOutcome } from "../src/requests/attempt-request.js";
 import { attemptHedged } from "../src/requests/hedged-attempt.js";
 
-describe("an attempt that is overdue", () => {
-    it("ends if the choice of a second one throws, and the fault is passed on", async () => {
+describe("an overdue attempt", () => {
+    it("is cancelled if the choice of a second server throws, and the error is passed on", async () => {
         const choice = { expectedAtNormalSpeed: 0 } as ChosenServer;
         let first: AbortSignal | undefined;
-        const fault = new Error("no choice");
+        const error = new Error("no choice");
         const attempted = attemptHedged(choice, new AbortController().signal, {
             attemptOnce(_choice, signal) {
                 first = signal;
                 return new Promise<AttemptOutcome>(() => undefined);
             },
             secondChoice() {
-                throw fault;
+                throw error;
             },
             isFinal: () => true,
             onFirstFailure: () => undefined,
         });
-        expect(await attempted.catch((error: unknown) => error)).to.equal(fault);
+        expect(await attempted.catch((reason: unknown) => reason)).to.equal(error);
         expect(first?.aborted).to.equal(true);
     });
 });
--- a/packages/box/test/server-feedback.test.ts
+++ b/packages/box/test/server-feedback.test.ts
@@ -23,16 +23,21 @@
     isPublic: false,
 };
 
-/** Only what the feedback reads of the protocol: the load and a back-off, each told in one header, and the header of a request that did not run. */
+/**
+ * The part of the protocol that the feedback uses: load and back-off, each in one header, and the header of a request
+ * that was not run.
+ */
 const protocol = {
     headers: { notRun: "not-run" },
     readBackoff: ({ headers }) =>
-        headers.rest === undefined ? { kind: "none" } : { kind: "asked", duration: milliseconds(Number(headers.rest)) },
+        headers.backoff === undefined
+            ? { kind: "none" }
+            : { kind: "asked", duration: milliseconds(Number(headers.backoff)) },
     readLoad: headers => headers.load === undefined ? undefined : JSON.parse(String(headers.load)) as LoadReport,
 } as CallerProtocol;
 
 const connections: ServerConnections = {
-    acquire: () => Promise.reject(new Error("not part of the feedback")),
+    acquire: () => Promise.reject(new Error("unexpected call: the feedback acquires no connections")),
     release: () => undefined,
     closeIdle: () => undefined,
     sweep: () => undefined,
@@ -70,9 +75,9 @@
     });
     return {
         state,
-        refuseUnrun: (load: LoadReport, told: Readonly<Record<string, string>> = {}) => {
+        refuseWithoutRunning: (load: LoadReport, otherHeaders: Readonly<Record<string, string>> = {}) => {
             state.onSent();
-            const headers = { "not-run": "1", load: JSON.stringify(load), ...told };
+            const headers = { "not-run": "1", load: JSON.stringify(load), ...otherHeaders };
             const answer = {
                 status: 503,
                 rawHeaders: [],
@@ -94,34 +99,34 @@
 }
 
 describe("the feedback on a server", () => {
-    describe("that refuses a request unrun", () => {
-        it("takes it for full if it has no free slot", () => {
-            const { clock, refuseUnrun, state } = createSetup();
-            refuseUnrun({ running: sampleSlots, waiting: 2, slots: sampleSlots });
+    describe("that refuses a request without running it", () => {
+        it("treats the server as full if it has no free slot", () => {
+            const { clock, refuseWithoutRunning, state } = createSetup();
+            refuseWithoutRunning({ running: sampleSlots, waiting: 2, slots: sampleSlots });
             expect(state.load(clock())).to.be.greaterThan(sampleSlots);
             expect(state.severity(clock())).to.be.lessThan(0.5);
         });
 
-        it("takes it for failing, not for full, if it has free slots", () => {
-            const { clock, refuseUnrun, state } = createSetup();
-            refuseUnrun({ running: 1, waiting: 0, slots: sampleSlots });
+        it("treats the server as failing, not as full, if it has free slots", () => {
+            const { clock, refuseWithoutRunning, state } = createSetup();
+            refuseWithoutRunning({ running: 1, waiting: 0, slots: sampleSlots });
             expect(state.load(clock())).to.equal(1);
             expect(state.severity(clock())).to.be.greaterThan(0.5);
         });
     });
 
-    describe("that refuses a request unrun and asks for back-off", () => {
-        it("takes it neither for failing nor for full, and does not ask it again", () => {
-            const { clock, refuseUnrun, state } = createSetup();
-            const outcome = refuseUnrun({ running: 1, waiting: 0, slots: sampleSlots }, { rest: "3000" });
+    describe("that refuses a request without running it and asks for back-off", () => {
+        it("treats the server neither as failing nor as full, and allows no retry at the same server", () => {
+            const { clock, refuseWithoutRunning, state } = createSetup();
+            const outcome = refuseWithoutRunning({ running: 1, waiting: 0, slots: sampleSlots }, { backoff: "3000" });
             expect(outcome).to.deep.equal({ kind: "notRun", status: 503, hasFreeSlots: false });
             expect(state.load(clock())).to.equal(1);
             expect(state.severity(clock())).to.be.lessThan(0.5);
         });
     });
 
-    describe("whose answer does not come in time", () => {
-        it("counts the time as slowness and the request as failed", () => {
+    describe("that does not answer in time", () => {
+        it("counts the elapsed time as slowness and the request as failed", () => {
             const { clock, state, timeOutAfter } = createSetup();
             timeOutAfter(800);
             expect(state.slowness(clock())).to.be.greaterThan(1.5);
@@ -129,7 +134,7 @@
             expect(state.severity(clock())).to.be.greaterThan(1);
         });
 
-        it("says nothing of a server that had less time than it usually needs", () => {
+        it("changes nothing for a server that had less time than it usually needs", () => {
             const { clock, state, timeOutAfter } = createSetup();
             timeOutAfter(100);
             expect(state.slowness(clock())).to.equal(1);
--- a/packages/testing/src/promises/box-mutations.ts
+++ b/packages/testing/src/promises/box-mutations.ts
@@ -82,7 +82,7 @@
         promise: "P7",
         name: "refusals with free slots as failures, not as load",
         file: boxFile("requests/server-feedback"),
-        find: "if (verdict.isFailure) {",
+        find: "if (answerClass.isFailure) {",
         replace: "if (false) {",
         testFiles: [boxTestFile("server-feedback")],
     },
