--- a/packages/decisions/src/retry/answer-class.ts
+++ b/packages/decisions/src/retry/answer-class.ts
@@ -20,7 +20,7 @@
     readonly load: LoadReport | undefined;
     /** The server is in slow start. */
     readonly isCold: boolean;
-    /** The answer took far longer than expected; see `isOverdue`. */
+    /** The answer took far longer than expected; see `overdueThreshold`. */
     readonly isOverdue: boolean;
 }
 
