--- a/packages/decisions/src/choose/choice.ts
+++ b/packages/decisions/src/choose/choice.ts
@@ -1,64 +1,68 @@
 /**
- * What the choice of a server is asked, and what it answers.
+ * Input and result of the choice of a server.
  *
- * Owns nothing; the choice and its parts share these types.
+ * Owns nothing; the modules of `choose/` share these types.
  */
 
 import type { BackendServerId, Milliseconds, RegionId, ServiceId } from "@chalkdale/kernel";
 import type { BackendServer } from "../servers/server-catalog.js";
 import type { Route } from "../shared-state/configuration.js";
 
-/** What is asked of the choice. */
+/** The request that a server is chosen for. */
 export interface ChoiceRequest {
     readonly route: Route;
+    /** The service that the request goes to. */
     readonly service: ServiceId;
     /** Hash of the affinity key, or a random number for a request without one. */
     readonly keyHash: number;
-    /** The only regions whose servers may have the request, by its route and its customer; undefined when all may. */
+    /** Regions whose servers may serve the request, as its route and its customer allow; undefined if all may. */
     readonly allowedRegions: ReadonlySet<RegionId> | undefined;
-    /** Servers that already had this request. */
+    /** Servers to which earlier attempts of this request were sent. */
     readonly tried: ReadonlySet<BackendServerId>;
-    /** Time until the request must be answered. */
+    /** Time left until the deadline of the request. */
     readonly timeLeft: Milliseconds;
-    /** The caller has asked before, so it waits longer before it is sent away again. */
+    /** The caller retries after a refusal; such a request may wait longer for a slot before it is refused again. */
     readonly isCallerRetry: boolean;
-    /** The request tries a version that is not proven yet, and may only go to a server of its sample. */
+    /**
+     * The request belongs to the trial of a version that is not proven yet, and may only go to servers of that version.
+     */
     readonly isTrial: boolean;
+    /** Time of the choice. */
     readonly at: Milliseconds;
 }
 
-/** The chosen server, and what the choice went by. */
+/** The chosen server, and the estimates that it was chosen by. */
 export interface ChosenServer {
     readonly kind: "chosen";
     readonly server: BackendServer;
-    /** Place in the ranking of the key, from 0. */
+    /** Position in the ranking of the key, from 0. */
     readonly rank: number;
-    /** The server is taken to know the key. */
+    /** The server is expected to have worked on the key recently. */
     readonly warm: boolean;
-    /** Expected time until the answer. */
+    /** Expected time until the answer: round trip, wait and work. */
     readonly expected: Milliseconds;
-    /** The answer is not expected before this time. */
+    /** Lower bound of the expected time. */
     readonly minExpected: Milliseconds;
-    /** A part of `expected`: the wait for a free slot. */
+    /** Expected wait for a free slot, contained in `expected`. */
     readonly wait: Milliseconds;
-    /** What `expected` would be at a server of ordinary speed. */
+    /** What `expected` would be at a server of normal speed. */
     readonly expectedAtNormalSpeed: Milliseconds;
-    /** The server that came second, if others were compared. */
+    /** The second best server, if more than one was compared. */
     readonly runnerUp?: { readonly server: BackendServerId; readonly expected: Milliseconds; };
 }
 
-/** A chosen server, or why there is none. */
+/** The chosen server, or the reason for choosing none. */
 export type Choice =
     | ChosenServer
-    /** No server may take the request, and none is in slow start. */
+    /** No server may take the request, and the cause is none of the three below. */
     | { readonly kind: "noServer"; }
-    /** Servers in slow start have had their share of requests for now. */
+    /** Servers in slow start have received as many requests from this box as their rate allows for now. */
     | { readonly kind: "allCold"; }
-    /** Servers that name limits have had what they take for now. */
+    /** Servers with a rate limit have received as many requests from this box as it allows for now. */
     | { readonly kind: "allLimited"; }
-    /** Servers want nothing from this box for a while. */
+    /** Servers have asked this box to back off. */
     | { readonly kind: "allBackedOff"; }
-    /** Not even the least time fits into what is left. */
+    /** Even the lower bound of the expected time exceeds the time left. */
     | { readonly kind: "tooLate"; readonly expected: Milliseconds; }
-    /** The wait for a free slot, of this length, is longer than the request may wait. */
+    /** The expected wait for a free slot is longer than the request may wait. */
     | { readonly kind: "crowded"; readonly wait: Milliseconds; };
--- a/packages/decisions/src/choose/eligible-servers.ts
+++ b/packages/decisions/src/choose/eligible-servers.ts
@@ -1,13 +1,13 @@
 /**
- * Which servers may take a request, in the order of its key's ranking: of a
- * version that may have it, not tried yet, in a zone that admits requests, in a
- * home of the request, not excluded, and no outliers.
+ * Finds the servers that may take a request, in the order of its key's ranking:
+ * those of an admitted version that were not tried yet, are in an availability zone
+ * that admits requests and in an allowed region, and are neither excluded nor outliers.
  *
- * A request that tries a version meets its servers as they are: leaving out those
- * that do badly would hide what the trial is to show.
+ * Outliers are kept for trial requests: leaving them out would hide the failures
+ * that the trial is there to detect.
  *
- * Owns the kept rankings of keys; relies on the catalog and on how badly each
- * server does.
+ * Owns the cached rankings of keys; relies on the catalog and on the severity of
+ * each server.
  */
 
 import type { AvailabilityZoneId, Milliseconds, ServiceId } from "@chalkdale/kernel";
@@ -21,33 +21,36 @@
 
 export interface EligibleServersOptions extends BoxLocality {
     readonly catalog: ServerCatalog;
-    /** How badly a server does by what this box and others of the region saw; see `ServerState.severity`. */
+    /** Severity of a server by the results of this box and of others in the region; see `ServerState.severity`. */
     readonly severity: (server: BackendServer, at: Milliseconds) => number;
     readonly transferSizes: Pick<TransferSizes, "sizeClass">;
     readonly keyRebalancing: Pick<KeyRebalancing, "onUnavailable">;
-    /** False for an availability zone that is to get no requests. */
+    /** False for an availability zone that is closed to requests. */
     readonly admitsZone: (zone: AvailabilityZoneId) => boolean;
-    /** False for a server whose version may not have such a request; see `ServedVersions`. */
+    /** False for a server whose version must not get trial or ordinary requests, by `isTrial`; see `ServedVersions`. */
     readonly admitsVersion: (server: BackendServer, isTrial: boolean) => boolean;
-    /** Rises whenever `admitsVersion` may answer otherwise for the service's servers. */
+    /** Increases whenever the result of `admitsVersion` may have changed for the service's servers. */
     readonly admissionVersion: (service: ServiceId) => number;
 }
 
-/** Servers for requests. */
+/** Search for servers that a request may go to. */
 export interface EligibleServers {
-    /** The first servers of the key's ranking that may take the request; a few more than are compared. */
+    /**
+     * The first servers of the key's ranking that may take the request now; more than the `comparedCount` that are
+     * compared.
+     */
     readonly topRanked: (request: ChoiceRequest) => readonly BackendServer[];
-    /** Servers that could have the request by what it is, whether they can take one now or not. */
+    /** Servers whose version, availability zone and region admit the request, including those that are excluded now. */
     readonly candidates: (request: ChoiceRequest) => readonly BackendServer[];
 }
 
-/** Creates the search for servers. */
+/** Creates the search, with no ranking cached. */
 export function createEligibleServers(options: EligibleServersOptions): EligibleServers {
     const { catalog } = options;
     const rankings = createKeyRankings(options);
 
     return {
-        topRanked: first,
+        topRanked: findTopRanked,
         candidates: request => catalog.ofService(request.service).filter(server => isCandidate(server, request)),
     };
 
@@ -63,27 +66,27 @@
         return isCandidate(server, request) && server.state.exclusionReason(request.at) === undefined;
     }
 
-    function first(request: ChoiceRequest): readonly BackendServer[] {
+    function findTopRanked(request: ChoiceRequest): readonly BackendServer[] {
         const { isTrial, keyHash, route, service } = request;
         const ranking = { keyHash, sizeClass: options.transferSizes.sizeClass(route) };
-        const all = rankings.admitted(service, isTrial);
+        const admitted = rankings.admitted(service, isTrial);
         const ranked = route.sticky
             ? rankings.topRanked(service, ranking, isTrial)
-            : topRankedServers(all, ranking, options, rankingLength);
-        const isOutlier = createOutlierTest(all, request);
-        const compared = withoutThoseAway(ranked, request, isOutlier);
-        if (compared.length >= comparedCount || ranked.length === all.length) {
-            return compared;
+            : topRankedServers(admitted, ranking, options, rankingLength);
+        const isOutlier = createOutlierTest(admitted, request);
+        const available = withoutUnavailable(ranked, request, isOutlier);
+        if (available.length >= comparedCount || ranked.length === admitted.length) {
+            return available;
         }
-        const usable = all.filter(server =>
-            compared.includes(server)
-            || isEligible(server, request) && !isOutlier(server) && !isKeptForOwnKeys(server, request)
+        const usable = admitted.filter(server =>
+            available.includes(server)
+            || isEligible(server, request) && !isOutlier(server) && !isReservedForOwnKeys(server, request)
         );
         return topRankedServers(usable, ranking, options, rankingLength);
     }
 
-    /** The outliers are found once a suspicious server is asked about: most requests meet none. */
-    function createOutlierTest(all: readonly BackendServer[], request: ChoiceRequest): OutlierTest {
+    /** Computes the outliers only when a server with a high severity comes up, which most requests never see. */
+    function createOutlierTest(admitted: readonly BackendServer[], request: ChoiceRequest): OutlierTest {
         let outliers: ReadonlySet<BackendServer> | undefined;
 
         return function isOutlier(server) {
@@ -91,27 +94,27 @@
                 return false;
             }
             outliers ??= findOutliers(
-                all.filter(other => isEligible(other, request)),
+                admitted.filter(other => isEligible(other, request)),
                 other => options.severity(other, request.at),
             );
             return outliers.has(server);
         };
     }
 
-    /** The servers of a key's ranking that may have the request now. */
-    function withoutThoseAway(
+    /** Filters a key's ranking down to the servers that may take the request now. */
+    function withoutUnavailable(
         ranked: readonly BackendServer[],
         request: ChoiceRequest,
         isOutlier: OutlierTest,
     ): readonly BackendServer[] {
-        /** Place in the ranking of those that are there, limited ones included. */
-        let place = 0;
+        /** Position among the available servers of the ranking; rate-limited servers hold a position as well. */
+        let position = 0;
 
         return ranked.filter(server => {
             const exclusion = server.state.exclusionReason(request.at);
-            const isOwnKey = place < comparedCount;
+            const isComparedPosition = position < comparedCount;
             if (exclusion === "limited") {
-                place += 1;
+                position += 1;
                 options.keyRebalancing.onUnavailable(server, request.at);
                 return false;
             }
@@ -119,19 +122,20 @@
                 options.keyRebalancing.onUnavailable(server, request.at);
                 return false;
             }
-            place += 1;
-            return isCandidate(server, request) && (isOwnKey || !isKeptForOwnKeys(server, request));
+            position += 1;
+            return isCandidate(server, request) && (isComparedPosition || !isReservedForOwnKeys(server, request));
         });
     }
 
     /**
-     * A limited server is for the keys that rank it among the servers that are compared: where all are limited, the few requests would
-     * else go to whoever has room, and nearly all of them would be cold work.
+     * A rate-limited server takes only keys that rank it among the servers that are compared. If all servers are
+     * limited, the few requests would otherwise go to any server with capacity left, and nearly all of them would be
+     * cold work.
      */
-    function isKeptForOwnKeys({ state }: BackendServer, { route }: ChoiceRequest): boolean {
+    function isReservedForOwnKeys({ state }: BackendServer, { route }: ChoiceRequest): boolean {
         return route.sticky && state.limit()?.kind === "named";
     }
 }
 
-/** True for a server that does far worse than the others of its service. */
+/** True for a server whose severity is far above that of the others of its service. */
 type OutlierTest = (server: BackendServer) => boolean;
--- a/packages/decisions/src/choose/key-rankings.ts
+++ b/packages/decisions/src/choose/key-rankings.ts
@@ -1,24 +1,24 @@
 /**
- * The first servers of each key's ranking, kept while the list of servers and
- * the versions that may have requests stay as they are: a request then costs a
- * look at a few servers, however many a service has.
+ * Caches the first servers of each key's ranking while the list of servers and the
+ * admitted versions don't change, so that a request examines a few servers however
+ * many its service has.
  *
- * Only servers of admitted versions are ranked: while a second version stands
- * beside the first one, half of a ranking of all would be of no use.
+ * Only servers of admitted versions are ranked: during a roll-out, half of a ranking
+ * of both versions would be of no use to a request.
  *
- * Owns the rankings of the keys that were asked for lately; relies on the
- * catalog and on the admission of versions to say when they have changed.
+ * Owns the rankings of recently requested keys; relies on the version numbers of the
+ * catalog and of the admission to detect changes.
  */
 
 import type { ServiceId } from "@chalkdale/kernel";
 import type { BackendServer, ServerCatalog } from "../servers/server-catalog.js";
 import { type BoxLocality, type RankingInputs, topRankedServers } from "./server-ranking.js";
 
-/** Rankings of one box. */
+/** Key rankings of one box. */
 export interface KeyRankings {
-    /** The service's servers whose version may have such a request, whatever their state. */
+    /** The service's servers whose version admits trial or ordinary requests, by `isTrial`, in any state. */
     readonly admitted: (service: ServiceId, isTrial: boolean) => readonly BackendServer[];
-    /** The first of them in a key's ranking. */
+    /** The first `rankingLength` of them in a key's ranking. */
     readonly topRanked: (service: ServiceId, request: RankingInputs, isTrial: boolean) => readonly BackendServer[];
 }
 
@@ -29,61 +29,61 @@
 }
 
 /**
- * Servers of a ranking that are kept: two are needed, the others stand in for those that are away, closed or full. With fewer
- * left the whole service is looked at.
+ * Servers kept of each ranking: two are compared, and the others replace servers that are unavailable, in closed
+ * availability zones or full. If fewer than two are left, the whole service is ranked.
  */
 export const rankingLength = 12;
-/** Keys whose rankings are kept, the oldest goes first: 12 references each, some 100 KB in all. */
-const mostKeys = 512;
+/** Rankings kept, about 100 KB with 12 references each; the oldest is evicted first. */
+const maxRankings = 512;
 
-/** Admitted servers of one service, as of one state of the list and of the admission. */
+/** Admitted servers of one service, and the version numbers that the list is valid for. */
 interface AdmittedServers {
     readonly catalogVersion: number;
     readonly admissionVersion: number;
     readonly servers: readonly BackendServer[];
 }
 
-/** Creates the rankings of a box; none is kept yet. */
+/** Creates an empty cache of rankings. */
 export function createKeyRankings(options: KeyRankingsOptions): KeyRankings {
     const { catalog } = options;
-    const kept = new Map<string, readonly BackendServer[]>();
-    const ordinary = new Map<ServiceId, AdmittedServers>();
-    const trials = new Map<ServiceId, AdmittedServers>();
+    const rankings = new Map<string, readonly BackendServer[]>();
+    const ordinaryServers = new Map<ServiceId, AdmittedServers>();
+    const trialServers = new Map<ServiceId, AdmittedServers>();
 
     return {
         admitted,
         topRanked(service, request, isTrial) {
             const servers = admitted(service, isTrial);
-            const name = `${request.keyHash} ${request.sizeClass} ${isTrial ? "trial " : ""}${service}`;
-            const known = kept.get(name);
+            const cacheKey = `${request.keyHash} ${request.sizeClass} ${isTrial ? "trial " : ""}${service}`;
+            const known = rankings.get(cacheKey);
             if (known !== undefined) {
                 return known;
             }
             const ranking = topRankedServers(servers, request, options, rankingLength);
-            keep(name, ranking);
+            keep(cacheKey, ranking);
             return ranking;
         },
     };
 
     function admitted(service: ServiceId, isTrial: boolean): readonly BackendServer[] {
-        const lists = isTrial ? trials : ordinary;
+        const lists = isTrial ? trialServers : ordinaryServers;
         const known = lists.get(service);
         const catalogVersion = catalog.version();
         const admissionVersion = options.admissionVersion(service);
         if (known?.catalogVersion === catalogVersion && known.admissionVersion === admissionVersion) {
             return known.servers;
         }
-        kept.clear();
+        rankings.clear();
         const servers = catalog.ofService(service).filter(server => options.admitsVersion(server, isTrial));
         lists.set(service, { catalogVersion, admissionVersion, servers });
         return servers;
     }
 
-    function keep(name: string, ranking: readonly BackendServer[]): void {
-        kept.set(name, ranking);
-        if (kept.size > mostKeys) {
-            const [oldest] = kept.keys();
-            kept.delete(oldest);
+    function keep(cacheKey: string, ranking: readonly BackendServer[]): void {
+        rankings.set(cacheKey, ranking);
+        if (rankings.size > maxRankings) {
+            const [oldest] = rankings.keys();
+            rankings.delete(oldest);
         }
     }
 }
--- a/packages/decisions/src/choose/longest-wait.ts
+++ b/packages/decisions/src/choose/longest-wait.ts
@@ -1,5 +1,5 @@
 /**
- * How long a request waits for a free slot at most, before it is refused.
+ * Limits how long a request may wait for a free slot before it is refused.
  *
  * Owns no state; relies on the load of the service as a whole.
  */
@@ -8,30 +8,28 @@
 import type { ChoiceRequest } from "./choice.js";
 
 /**
- * Part of the route's goal that a request waits for a free slot at most where its key is known; with a longer wait it is refused
- * at once. Shorter ones refuse more than they speed up.
+ * Longest wait for a free slot at a warm server, as a fraction of the route's goal; a request with a longer expected
+ * wait is refused at once. A smaller fraction refuses more requests than it speeds up.
  */
-const waitPartWarm = 1;
-/** The same where the key is not known and slots are short: cold work takes a slot for longer. */
-const waitPartCold = 0.5;
-/**
- * Load per slot of a service above which its slots count as short: more requests wait than slots are free.
- */
-const shortOfSlots = 1;
-/** Times as long that a caller waits who comes back: a second refusal is a request lost. */
-const returningPatience = 1.5;
+const warmWaitFraction = 1;
+/** The same at a cold server while slots are short: cold work occupies a slot for longer. */
+const coldWaitFraction = 0.5;
+/** Load per slot of a service above which its slots are short: more requests wait than slots are free. */
+const slotShortageLoad = 1;
+/** Factor of the longest wait for a caller's retry: a request that is refused twice is lost. */
+const callerRetryFactor = 1.5;
 
 /**
- * Returns the longest wait in milliseconds. Work on an object that the server does not know takes three times as long, so when
- * slots are short it goes only where the wait is short: else it keeps all others waiting. A caller that comes back was sent away
- * for the wait before, and waits longer.
+ * Returns the longest wait for a slot, in milliseconds. Cold work takes three times as long as warm work, so while
+ * slots are short it is accepted only where the wait is short; otherwise it would delay all other requests. A caller's
+ * retry was refused for its wait before, and may wait longer.
  */
-export function longestWait(
+export function maxSlotWait(
     warm: boolean,
-    { isCallerRetry: isReturning, route, service }: ChoiceRequest,
+    { isCallerRetry, route, service }: ChoiceRequest,
     loadPerSlot: (service: ServiceId) => number,
 ): number {
-    const isShort = loadPerSlot(service) > shortOfSlots;
-    const part = isShort && !warm ? waitPartCold : waitPartWarm;
-    return route.goal * part * (isReturning ? returningPatience : 1);
+    const areSlotsShort = loadPerSlot(service) > slotShortageLoad;
+    const fraction = areSlotsShort && !warm ? coldWaitFraction : warmWaitFraction;
+    return route.goal * fraction * (isCallerRetry ? callerRetryFactor : 1);
 }
--- a/packages/decisions/src/choose/outliers.ts
+++ b/packages/decisions/src/choose/outliers.ts
@@ -1,27 +1,26 @@
 /**
- * Which servers of a service are left out since they do badly against the others.
+ * Finds the outliers of a service: servers that do much worse than the others and are left out.
  *
- * Owns no state; relies on how badly each server does (see `ServerState.severity`).
+ * Owns no state; relies on the severity of each server (see `ServerState.severity`).
  */
 
 import type { BackendServer } from "../servers/server-catalog.js";
 
 /**
- * Part of the servers that may take work which is left out as outliers at most, the worst first, so that no service is emptied
- * when most of it fails.
+ * Largest fraction of the eligible servers that may be outliers, so that a service that mostly fails is not emptied.
  */
-const mostPartOutliers = 0.5;
-/** Times the median of the service that an outlier's severity is at least: what all servers do alike moves no key. */
-const outlierAgainstMedian = 2;
-/** Severity up to which a server is no outlier, whatever the others do. */
-const leastSeverity = 1;
+const maxOutlierFraction = 0.5;
+/** An outlier's severity exceeds this multiple of the service's median: a fault of all servers moves no key. */
+const minMedianMultiple = 2;
+/** Severity up to which a server is never an outlier, whatever the median. */
+const severityThreshold = 1;
 
-/** True if a server may be an outlier; whether it is one depends on the others. */
+/** True if a server may be an outlier by its severity; whether it is one depends on the others. */
 export function mayBeOutlier(severity: number): boolean {
-    return severity > leastSeverity;
+    return severity > severityThreshold;
 }
 
-/** Returns the outliers among servers that may take work. */
+/** Returns the outliers among the eligible servers, the worst first up to the largest fraction. */
 export function findOutliers(
     eligible: readonly BackendServer[],
     severityOf: (server: BackendServer) => number,
@@ -33,10 +32,10 @@
         return new Set();
     }
     const median = worstFirst[Math.floor(worstFirst.length / 2)].severity;
-    const threshold = Math.max(leastSeverity, median * outlierAgainstMedian);
+    const threshold = Math.max(severityThreshold, median * minMedianMultiple);
     return new Set(
         worstFirst
-            .slice(0, Math.floor(eligible.length * mostPartOutliers))
+            .slice(0, Math.floor(eligible.length * maxOutlierFraction))
             .filter(({ severity }) => severity > threshold)
             .map(({ server }) => server),
     );
--- a/packages/decisions/src/choose/proximity-cost.ts
+++ b/packages/decisions/src/choose/proximity-cost.ts
@@ -1,28 +1,29 @@
 /**
- * What the bytes of a request are worth when a server is chosen: how much more a
- * near server weighs in the ranking of a key, and how much sooner a farther one
- * must answer.
+ * Weighs the transfer of a request's bytes against time when a server is chosen: how
+ * much more a near server weighs in the ranking of a key, and how much sooner a more
+ * distant one must answer.
  *
- * The ranking goes by the step of a route's size, alike on all boxes; the time goes by the size that this box has seen.
+ * The ranking uses the route's size class, which is the same on all boxes; the penalty
+ * uses the sizes that this box has observed.
  *
  * Owns nothing.
  */
 
 import type { SizeClass } from "./transfer-sizes.js";
 
-/** How far a server is from the box. */
+/** Distance between a box and a server. */
 export type Proximity = "sameZone" | "sameRegion" | "otherRegion";
 
-/** Weights of a slot by its reach; a slot in another region has 1. */
+/** Weights of a slot in the box's availability zone and region; a slot in another region weighs 1. */
 interface RankingWeights {
     readonly zone: number;
     readonly region: number;
 }
 
 /**
- * Small: a heavier weight of the own region keeps its servers too busy at the top of their load.
- * Bulk: 90 KB between regions cost about what an answer is worth, between zones half of that.
- * Large: uploads stay in their zone, within the bound below, which spares zones with few servers.
+ * Small: a greater weight of the box's own region overloads its servers at peak load.
+ * Large: uploads stay in their zone, up to `maxZoneLoad`, which protects zones with few servers.
+ * Bulk: 90 KB between regions cost about as much as an answer earns, between zones half of that.
  */
 const rankingWeights: Readonly<Record<SizeClass, RankingWeights>> = {
     small: { zone: 4, region: 4 },
@@ -30,51 +31,55 @@
     bulk: { zone: 4000, region: 60 },
 };
 
-/** Slots of a service by their reach from a box, and the zones that have any. */
+/** Slots of a service by their proximity to a box, and the number of availability zones that have any. */
 export interface SlotsByProximity extends Readonly<Record<Proximity, number>> {
     readonly zones: number;
 }
 
 /**
- * Load that the keys of a zone's callers may put on its own servers, against the mean of the service, if each zone has as many
- * callers: the rest is room for others' keys.
+ * Highest load that the keys of a zone's callers may put on the zone's servers, relative to the mean of the service and
+ * with callers spread evenly over the zones; the rest is capacity for keys of other zones.
  */
-const mostOwnLoad = 0.8;
+const maxZoneLoad = 0.8;
 
-/** Returns the weight of a slot in the ranking of a key, by its reach. */
-export function rankingWeightsOf(step: SizeClass, slots: SlotsByProximity): Readonly<Record<Proximity, number>> {
-    const { region, zone } = rankingWeights[step];
-    const sameZone = step === "large" ? Math.max(region, Math.min(zone, bearableWeight(slots, region))) : zone;
+/** Returns the weight of a slot in the ranking of a key, by its proximity. */
+export function rankingWeightsOf(sizeClass: SizeClass, slots: SlotsByProximity): Readonly<Record<Proximity, number>> {
+    const { region, zone } = rankingWeights[sizeClass];
+    const sameZone = sizeClass === "large"
+        ? Math.max(region, Math.min(zone, weightAtMaxZoneLoad(slots, region)))
+        : zone;
     return { sameZone, sameRegion: region, otherRegion: 1 };
 }
 
-/** The weight with which the zone's own servers get the part of its keys that they can bear. */
-function bearableWeight(slots: SlotsByProximity, region: number): number {
+/** The weight at which the zone's servers get `maxZoneLoad` from its keys; infinite if they can take all keys. */
+function weightAtMaxZoneLoad(slots: SlotsByProximity, region: number): number {
     const total = slots.sameZone + slots.sameRegion + slots.otherRegion;
-    const part = mostOwnLoad * slots.zones * slots.sameZone / total;
+    const localFraction = maxZoneLoad * slots.zones * slots.sameZone / total;
     const others = slots.sameRegion * region + slots.otherRegion;
-    return part < 1 ? part / (1 - part) * others / slots.sameZone : Infinity;
+    return localFraction < 1 ? localFraction / (1 - localFraction) * others / slots.sameZone : Infinity;
 }
 
 /**
- * Milliseconds of an answer's time that a kilobyte is worth between zones: an answer in time earns five times what a late one
- * does, and the work of an unknown object, which makes it late, is some 600 ms longer than that of a known one; 90 KB took a
- * sixth of that by what two deployments pay.
+ * Milliseconds of expected time that a kilobyte between zones is worth. An answer in time earns five times as much as a
+ * late one, and cold work, which makes it late, takes about 600 ms longer than warm work; by the prices of two
+ * deployments, 90 KB are worth a sixth of that.
  */
 const zoneMillisecondsPerKilobyte = 1.1;
-/** The same between regions. */
+/** Milliseconds of expected time that a kilobyte between regions is worth. */
 const regionMillisecondsPerKilobyte = 6.7;
-/** Bytes below which nothing is charged: heads and acknowledgements move as much. */
+/** Bytes below which nothing is charged: headers and acknowledgements take as much. */
 const freeBytes = 2000;
-/** Bytes beyond which no more is charged, a little more than downloads move: a request for more may still be served elsewhere. */
-const mostBytes = 100_000;
-/** Bytes of a kilobyte. */
-const bytesOfKilobyte = 1000;
+/**
+ * Bytes above which the penalty stays constant, slightly more than a download moves: larger requests can still be
+ * served elsewhere.
+ */
+const maxChargedBytes = 100_000;
+const bytesPerKilobyte = 1000;
 
-/** Returns what a request that moves so many bytes costs at a reach, as milliseconds of expected time. */
-export function transferPenalty(bytes: number, reach: Proximity): number {
-    const kilobytes = bytes < freeBytes ? 0 : Math.min(bytes, mostBytes) / bytesOfKilobyte;
-    switch (reach) {
+/** Returns the cost of moving so many bytes over a distance, as milliseconds of expected time. */
+export function transferPenalty(bytes: number, proximity: Proximity): number {
+    const kilobytes = bytes < freeBytes ? 0 : Math.min(bytes, maxChargedBytes) / bytesPerKilobyte;
+    switch (proximity) {
         case "sameZone":
             return 0;
         case "sameRegion":
--- a/packages/decisions/src/choose/recent-keys.ts
+++ b/packages/decisions/src/choose/recent-keys.ts
@@ -1,24 +1,24 @@
 /**
- * The affinity keys that a server worked on recently, as far as this box knows.
+ * Affinity keys that each server has worked on recently, as far as this box knows.
  *
- * Owns the keys of the last seconds; relies on answers that this box had.
+ * Owns the keys of the last seconds; relies on the answers that this box received.
  */
 
 import type { BackendServerId, Milliseconds } from "@chalkdale/kernel";
 
-/** Remembers keys by server. */
+/** Recent keys by server; a server that has a key is warm for it. */
 export interface RecentKeys {
     readonly add: (server: BackendServerId, keyHash: number, at: Milliseconds) => void;
     readonly has: (server: BackendServerId, keyHash: number, at: Milliseconds) => boolean;
     readonly forget: (server: BackendServerId) => void;
 }
 
-/** Keys remembered for each server, the oldest goes first: servers that were seen remember 11 to 66. */
-const mostKeys = 64;
-/** Milliseconds after which a key is taken as forgotten by the server. */
+/** Keys kept for each server, the oldest is evicted first; servers themselves keep 11 to 66 objects. */
+const maxKeys = 64;
+/** Milliseconds after which the server is assumed to have forgotten a key. */
 const keyLifetime = 10_000;
 
-/** Creates an empty memory. */
+/** Creates an empty record of keys. */
 export function createRecentKeys(): RecentKeys {
     const byServer = new Map<BackendServerId, Map<number, Milliseconds>>();
 
@@ -31,7 +31,7 @@
             }
             keys.delete(keyHash);
             keys.set(keyHash, at);
-            if (keys.size > mostKeys) {
+            if (keys.size > maxKeys) {
                 const [oldest] = keys.keys();
                 keys.delete(oldest);
             }
--- a/packages/decisions/src/choose/server-estimate.ts
+++ b/packages/decisions/src/choose/server-estimate.ts
@@ -1,9 +1,8 @@
 /**
- * How long a request is expected to take at one server: the way there and back,
- * the wait for a free slot, and the work, which is less at a server that knows the key.
+ * Estimates how long a request takes at one server: the round trip, the wait for a free
+ * slot, and the work, which is shorter at a server that is warm for the key.
  *
- * Owns no state; relies on what `servers/` believes of the server and on the
- * learned times of work and way.
+ * Owns no state; relies on the server's state and on the learned work and round-trip times.
  */
 
 import { type AvailabilityZoneId, type Milliseconds, milliseconds, type RegionId } from "@chalkdale/kernel";
@@ -16,7 +15,7 @@
 import type { TransferSizes } from "./transfer-sizes.js";
 import type { WorkEstimate } from "./work-estimate.js";
 
-/** A server as it would be chosen, and what servers are compared by: expected time, and what the choice costs beside it. */
+/** A server as it would be chosen, and the cost that servers are compared by, in milliseconds of expected time. */
 interface ServerEstimate {
     readonly choice: ChosenServer;
     readonly cost: number;
@@ -28,11 +27,13 @@
     readonly workEstimate: WorkEstimate;
     readonly transferSizes: Pick<TransferSizes, "expected">;
     readonly keyRebalancing: Pick<KeyRebalancing, "isDue">;
-    /** Time to a place and back. */
+    /** Estimated round-trip time to an availability zone. */
     readonly roundTrip: (region: RegionId, zone: AvailabilityZoneId) => Milliseconds;
 }
 
-/** Estimates a request at the server of a rank, from 0; `knownBy` are the servers to which this box has sent the key lately. */
+/**
+ * Estimates a request at the server with the given rank, from 0; `knownBy` are the servers that are warm for the key.
+ */
 type EstimateServer = (
     server: BackendServer,
     rank: number,
@@ -41,22 +42,23 @@
 ) => ServerEstimate;
 
 /**
- * What it costs later requests that a key leaves its first server, as milliseconds of expected time: its next requests run cold
- * there.
+ * Milliseconds of expected time that it costs later requests if a key leaves its first server: its next requests run
+ * cold there.
  */
-const movePenalty = 100;
+const keyMovePenalty = 100;
 /**
- * Part of the extra work of an unknown key that is expected where the key ranks first but this box has not seen it there:
- * other boxes most likely sent it.
+ * Expected fraction of the extra time of cold work at a key's first server if this box has not sent the key there
+ * recently: other boxes most likely have.
  */
-const unseenFirstPart = 0.1;
+const unseenKeyColdFraction = 0.1;
 /**
- * The same where this box has sent the key to the other server lately: the first one was away or busy and may have lost the key.
- * So keys come back to it as the need arises, not all at once.
+ * The same if this box has recently sent the key to the other compared server: the first one was unavailable or busy
+ * and may have forgotten the key. Keys then return to it gradually as their second server fills up, and not all at
+ * once.
  */
-const leftFirstPart = 0.5;
+const movedKeyColdFraction = 0.5;
 
-/** Returns the function that estimates; its `cost` adds what the choice costs later requests and in bytes. */
+/** Returns the function that estimates; its `cost` adds the penalties for moving a key and for transferring bytes. */
 export function createServerEstimate(options: ServerEstimateOptions): EstimateServer {
     return function estimate(server, rank, request, knownBy) {
         const { at, keyHash, route, service } = request;
@@ -65,17 +67,20 @@
         const warm = !route.sticky || knownBy.includes(server);
         const warmWork = options.workEstimate.expected(route, true);
         const isReturning = rank === 0 && !warm && options.keyRebalancing.isDue(server, keyHash, at);
-        const usualWork = warm ? warmWork : workOfUnseenKey(route, rank, knownBy.length > 0 && !isReturning);
-        const work = usualWork * slowness;
-        const excess = Math.max(0, server.state.load(at) + 1 - slots);
-        const usualWait = excess / slots * options.workEstimate.expectedOfQueued(service, route);
-        const wait = usualWait * slowness;
-        const way = options.roundTrip(region, zone);
-        const expected = way + wait + work;
-        // The one cold run of a key that comes back is not charged to it: it would never come.
-        const charged = isReturning ? way + wait + warmWork * slowness : expected;
-        const moved = transferPenalty(options.transferSizes.expected(route), proximityOf({ region, zone }, options));
-        const penalty = moved + (rank > 0 && route.sticky ? movePenalty : 0);
+        const workAtNormalSpeed = warm ? warmWork : workIfNotWarm(route, rank, knownBy.length > 0 && !isReturning);
+        const work = workAtNormalSpeed * slowness;
+        const queued = Math.max(0, server.state.load(at) + 1 - slots);
+        const waitAtNormalSpeed = queued / slots * options.workEstimate.expectedOfQueued(service, route);
+        const wait = waitAtNormalSpeed * slowness;
+        const roundTrip = options.roundTrip(region, zone);
+        const expected = roundTrip + wait + work;
+        // The one cold run of a returning key is not charged, since the key would otherwise never return.
+        const chargedTime = isReturning ? roundTrip + wait + warmWork * slowness : expected;
+        const transferCost = transferPenalty(
+            options.transferSizes.expected(route),
+            proximityOf({ region, zone }, options),
+        );
+        const penalty = transferCost + (rank > 0 && route.sticky ? keyMovePenalty : 0);
         return {
             choice: {
                 kind: "chosen",
@@ -83,20 +88,20 @@
                 rank,
                 warm,
                 expected: milliseconds(expected),
-                minExpected: milliseconds(way + wait + options.workEstimate.minExpected(route)),
+                minExpected: milliseconds(roundTrip + wait + options.workEstimate.minExpected(route)),
                 wait: milliseconds(wait),
-                expectedAtNormalSpeed: milliseconds(way + usualWait + usualWork),
+                expectedAtNormalSpeed: milliseconds(roundTrip + waitAtNormalSpeed + workAtNormalSpeed),
             },
-            cost: charged + penalty,
+            cost: chargedTime + penalty,
         };
     };
 
-    function workOfUnseenKey(route: Route, rank: number, isKnownElsewhere: boolean): number {
+    function workIfNotWarm(route: Route, rank: number, isKnownElsewhere: boolean): number {
         const warmWork = options.workEstimate.expected(route, true);
         const coldWork = options.workEstimate.expected(route, false);
         if (rank > 0) {
             return coldWork;
         }
-        return warmWork + (coldWork - warmWork) * (isKnownElsewhere ? leftFirstPart : unseenFirstPart);
+        return warmWork + (coldWork - warmWork) * (isKnownElsewhere ? movedKeyColdFraction : unseenKeyColdFraction);
     }
 }
--- a/packages/decisions/src/choose/server-ranking.ts
+++ b/packages/decisions/src/choose/server-ranking.ts
@@ -1,10 +1,9 @@
 /**
- * Which servers are compared for a request: the first ones of its key's ranking
- * by weighted rendezvous hashing, near servers with a greater weight the more a request moves. So a key
- * stays with its servers from all boxes of a region alike, and few keys move
- * when the list changes.
+ * Ranks servers for a key by weighted rendezvous hashing. Near servers have a greater
+ * weight the more bytes a request transfers. All boxes of a region send a key to the
+ * same servers, and few keys move when the list of servers changes.
  *
- * Owns nothing; relies on servers that may take the request.
+ * Owns nothing; the caller passes the servers that may take the request.
  */
 
 import type { AvailabilityZoneId, RegionId } from "@chalkdale/kernel";
@@ -13,35 +12,36 @@
 import { rendezvousScore } from "./rendezvous.js";
 import type { SizeClass } from "./transfer-sizes.js";
 
-/** Where the box is that chooses. */
+/** Region and availability zone of a box or a server. */
 export interface BoxLocality {
     readonly region: RegionId;
     readonly zone: AvailabilityZoneId;
 }
 
-/** What a ranking goes by, besides the servers. */
+/** Inputs of a ranking besides the servers. */
 export interface RankingInputs {
     readonly keyHash: number;
-    /** Of the size of what the route moves. */
+    /** Size class of the route's transfers. */
     readonly sizeClass: SizeClass;
 }
 
 /**
- * Servers of the ranking that are compared by expected time. A third one makes all three forget keys under overload, since
- * servers remember few.
+ * Servers of the ranking that are compared by expected time. With a third one, all three would forget keys under
+ * overload, since a server keeps few objects.
  */
 export const comparedCount = 2;
+
 /** Returns the first `count` servers of the key's ranking, in its order. */
 export function topRankedServers(
     servers: readonly BackendServer[],
     request: RankingInputs,
-    place: BoxLocality,
+    box: BoxLocality,
     count: number,
 ): readonly BackendServer[] {
-    const weights = rankingWeightsOf(request.sizeClass, slotsByReach(servers, place));
+    const weights = rankingWeightsOf(request.sizeClass, slotsByProximity(servers, box));
     const best: { readonly server: BackendServer; readonly score: number; }[] = [];
     for (const server of servers) {
-        const score = rendezvousScore(request.keyHash, server.idHash, weightOf(server, weights, place));
+        const score = rendezvousScore(request.keyHash, server.idHash, weightOf(server, weights, box));
         if (best.length === count && score <= best[count - 1].score) {
             continue;
         }
@@ -52,26 +52,26 @@
     return best.map(entry => entry.server);
 }
 
-function weightOf(server: BackendServer, weights: Readonly<Record<Proximity, number>>, place: BoxLocality): number {
+function weightOf(server: BackendServer, weights: Readonly<Record<Proximity, number>>, box: BoxLocality): number {
     const record = server.state.record();
-    return record.slots * weights[proximityOf(record, place)];
+    return record.slots * weights[proximityOf(record, box)];
 }
 
-function slotsByReach(servers: readonly BackendServer[], place: BoxLocality): SlotsByProximity {
+function slotsByProximity(servers: readonly BackendServer[], box: BoxLocality): SlotsByProximity {
     const sums = { sameZone: 0, sameRegion: 0, otherRegion: 0 };
     const zones = new Set<AvailabilityZoneId>();
     for (const server of servers) {
         const record = server.state.record();
-        sums[proximityOf(record, place)] += record.slots;
+        sums[proximityOf(record, box)] += record.slots;
         zones.add(record.zone);
     }
     return { ...sums, zones: zones.size };
 }
 
-/** Returns how far a server is from a box. */
-export function proximityOf(server: BoxLocality, place: BoxLocality): Proximity {
-    if (server.region !== place.region) {
+/** Returns the distance between a server and a box. */
+export function proximityOf(server: BoxLocality, box: BoxLocality): Proximity {
+    if (server.region !== box.region) {
         return "otherRegion";
     }
-    return server.zone === place.zone ? "sameZone" : "sameRegion";
+    return server.zone === box.zone ? "sameZone" : "sameRegion";
 }
--- a/packages/decisions/src/choose/transfer-sizes.ts
+++ b/packages/decisions/src/choose/transfer-sizes.ts
@@ -1,81 +1,91 @@
 /**
- * Learns how many bytes the requests of each route move, body and answer together,
- * and tells by what step of size a route's servers are ranked.
+ * Learns how many bytes the requests of each route transfer, request body and answer
+ * together, and assigns the route a size class, by which its servers are ranked.
  *
- * Steps are few and change late: all boxes of a region must rank alike for a key to stay with its servers. They begin by
- * the kind of the route, alike on all boxes, and leave that step only when the sizes seen are clearly of another one. So
- * boxes disagree only while a new route is being learned; a key is then known to two servers instead of one.
+ * Classes are few and change with hysteresis: all boxes of a region must rank servers in
+ * the same order for a key to stay with its servers. A route starts with the class of its
+ * kind, which is the same on all boxes, and leaves it only when the observed sizes clearly
+ * belong to another one. Boxes disagree only while they learn a new route; two servers are
+ * then warm for a key instead of one.
  *
- * Owns one smoothed size and one step for each route; relies on answers that this box had.
+ * Owns one smoothed size and one class for each route; relies on the answers that this box received.
  */
 
 import type { Route, RouteKind } from "../shared-state/configuration.js";
 
-/** Steps of size: what hardly moves more than a page, what uploads move, and what downloads move. */
+/** Size class of a route's transfers: up to about a page, as uploads, and as downloads. */
 export type SizeClass = "small" | "large" | "bulk";
 
-/** Sizes by route. */
+/** Transfer sizes by route. */
 export interface TransferSizes {
-    /** Bytes of a request and its answer. */
+    /** Expected bytes of a request and its answer. */
     readonly expected: (route: Route) => number;
     readonly sizeClass: (route: Route) => SizeClass;
+    /** A request and its answer transferred so many bytes. */
     readonly onTransferred: (route: Route, bytes: number) => void;
 }
 
-/** Bytes that are taken for granted until requests were seen: what sheets of deployments name for each kind. */
-const firstGuess: Readonly<Record<RouteKind, number>> = {
+/** Bytes assumed before the first request, as deployment sheets state them for each kind of route. */
+const initialBytes: Readonly<Record<RouteKind, number>> = {
     safe: 500,
     unsafe: 500,
     download: 90_000,
     upload: 60_000,
 };
 /**
- * Weight of the newest request: fifty count for two thirds, so sizes that differ by two thirds of their mean leave the smoothed
- * one within 7% of it.
+ * Weight of the newest request. The last fifty make up two thirds of the smoothed size, so sizes that deviate by two
+ * thirds of their mean keep it within 7% of the mean.
  */
 const smoothing = 0.02;
-/** Bytes from which a step begins. Deployments move 1 and 5 KB, 60 and 90 KB: from each the nearest edge is a fifth away or more. */
-const steps: readonly { readonly step: SizeClass; readonly from: number; }[] = [
-    { step: "small", from: 0 },
-    { step: "large", from: 20_000 },
-    { step: "bulk", from: 73_000 },
+/**
+ * Smallest size of each class in bytes. Deployments transfer 1, 5, 60 and 90 KB; the nearest edge is about a fifth away
+ * or more.
+ */
+const sizeClasses: readonly { readonly sizeClass: SizeClass; readonly from: number; }[] = [
+    { sizeClass: "small", from: 0 },
+    { sizeClass: "large", from: 20_000 },
+    { sizeClass: "bulk", from: 73_000 },
 ];
-/** A route leaves its step only for sizes so many times beyond the edge, seven deviations of the smoothed size. */
+/**
+ * Factor by which the size must pass an edge for a route to change its class; seven standard deviations of the smoothed
+ * size.
+ */
 const hysteresis = 1.5;
 
-interface Learned {
+/** Smoothed size of a route's transfers and index of its size class. */
+interface LearnedSize {
     bytes: number;
-    step: number;
+    classIndex: number;
 }
 
-/** Creates sizes that go by the kinds of routes. */
+/** Creates sizes that start with the initial bytes of each route's kind. */
 export function createTransferSizes(): TransferSizes {
-    const learned = new Map<string, Learned>();
+    const learned = new Map<string, LearnedSize>();
 
     return {
-        expected: route => of(route).bytes,
-        sizeClass: route => steps[of(route).step].step,
+        expected: route => learnedOf(route).bytes,
+        sizeClass: route => sizeClasses[learnedOf(route).classIndex].sizeClass,
         onTransferred(route, bytes) {
-            const sizes = of(route);
-            sizes.bytes += (bytes - sizes.bytes) * smoothing;
-            sizes.step = nextStep(sizes);
+            const size = learnedOf(route);
+            size.bytes += (bytes - size.bytes) * smoothing;
+            size.classIndex = nextClassIndex(size);
         },
     };
 
-    function of(route: Route): Learned {
-        let sizes = learned.get(route.name);
-        if (sizes === undefined) {
-            const bytes = firstGuess[route.kind];
-            sizes = { bytes, step: steps.findLastIndex(({ from }) => bytes >= from) };
-            learned.set(route.name, sizes);
+    function learnedOf(route: Route): LearnedSize {
+        let size = learned.get(route.name);
+        if (size === undefined) {
+            const bytes = initialBytes[route.kind];
+            size = { bytes, classIndex: sizeClasses.findLastIndex(({ from }) => bytes >= from) };
+            learned.set(route.name, size);
         }
-        return sizes;
+        return size;
     }
 }
 
-function nextStep({ bytes, step }: Learned): number {
-    if (step + 1 < steps.length && bytes > steps[step + 1].from * hysteresis) {
-        return step + 1;
+function nextClassIndex({ bytes, classIndex }: LearnedSize): number {
+    if (classIndex + 1 < sizeClasses.length && bytes > sizeClasses[classIndex + 1].from * hysteresis) {
+        return classIndex + 1;
     }
-    return bytes < steps[step].from / hysteresis ? step - 1 : step;
+    return bytes < sizeClasses[classIndex].from / hysteresis ? classIndex - 1 : classIndex;
 }
