--- a/packages/decisions/src/servers/ejection.ts
+++ b/packages/decisions/src/servers/ejection.ts
@@ -1,22 +1,23 @@
 /**
- * Ejection: a server that takes no connection, or breaks off several answers in
- * a row, gets nothing until a health check or an answer shows that it works.
+ * Ejection: a server that accepts no connection, or breaks off several answers in
+ * a row, gets no requests until a health check or an answer shows that it works.
  *
- * Owns the failures in a row and the time of the next check; relies on whoever
- * makes the checks.
+ * Owns the consecutive failures and the time of the next health check; the caller
+ * runs the checks.
  */
 
 import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
 
-/** `unreachable`: no connection; `brokeOff`: a connection ended or spoiled an answer. */
+/** `unreachable`: no connection could be opened; `brokeOff`: a connection ended early or carried an invalid answer. */
 export type FailureKind = "unreachable" | "brokeOff";
 
 /** Ejection of one server. */
 export interface Ejection {
+    /** A request failed at the server. */
     readonly onFailure: (at: Milliseconds, kind: FailureKind) => void;
-    /** An answer or a good health check: the server works. */
+    /** An answer or a successful health check shows that the server works. */
     readonly onHealthy: () => void;
-    /** A health check found the server not well. */
+    /** A health check failed. */
     readonly onUnhealthy: (at: Milliseconds) => void;
     readonly isEjected: () => boolean;
     /** When the next health check is due; undefined for a server that is not ejected. */
@@ -24,31 +25,31 @@
 }
 
 /**
- * Milliseconds until the first health check, doubled with each that fails up to the longest. A probe costs 0.010 to 0.039 of
- * worth, so a server that is gone for good must cost few.
+ * Milliseconds until the first health check; each failed check doubles the delay. A check costs 0.010 to 0.039 of an
+ * answer's worth, so a server that never recovers must get few of them.
  */
-const firstPause = milliseconds(500);
-/** Milliseconds; the longest pause between two checks of one server. */
-const longestPause = milliseconds(8000);
-/** Broken answers in a row that eject: fewer would eject a server for one lost answer. */
-const brokenAnswersInARow = 3;
+const firstCheckDelay = milliseconds(500);
+/** Longest delay between two health checks of one server, in milliseconds. */
+const maxCheckDelay = milliseconds(8000);
+/** Consecutive broken answers that eject a server; with fewer, one lost answer would eject it. */
+const ejectionThreshold = 3;
 
 /** Creates the ejection of a server without failures. */
 export function createEjection(): Ejection {
-    let failuresInARow = 0;
-    let pause = firstPause;
+    let consecutiveFailures = 0;
+    let checkDelay = firstCheckDelay;
     let checkAt: Milliseconds | undefined;
 
     return {
         onFailure(at, kind) {
-            failuresInARow += 1;
-            if (kind === "unreachable" || failuresInARow >= brokenAnswersInARow) {
+            consecutiveFailures += 1;
+            if (kind === "unreachable" || consecutiveFailures >= ejectionThreshold) {
                 eject(at);
             }
         },
         onHealthy() {
-            failuresInARow = 0;
-            pause = firstPause;
+            consecutiveFailures = 0;
+            checkDelay = firstCheckDelay;
             checkAt = undefined;
         },
         onUnhealthy: eject,
@@ -56,12 +57,15 @@
         healthCheckDueAt: () => checkAt,
     };
 
-    /** Failures of requests that were sent before the ejection don't lengthen it. */
+    /**
+     * Ignores failures before the next check is due: those requests were sent before the ejection and must not extend
+     * it.
+     */
     function eject(at: Milliseconds): void {
         if (checkAt !== undefined && at < checkAt) {
             return;
         }
-        checkAt = milliseconds(at + pause);
-        pause = milliseconds(Math.min(longestPause, pause * 2));
+        checkAt = milliseconds(at + checkDelay);
+        checkDelay = milliseconds(Math.min(maxCheckDelay, checkDelay * 2));
     }
 }
--- a/packages/decisions/src/servers/idle-timeout-estimate.ts
+++ b/packages/decisions/src/servers/idle-timeout-estimate.ts
@@ -1,63 +1,72 @@
 /**
- * How long the servers of a service keep connections that rest, learned from
+ * Estimates how long the servers of a service keep idle connections open, from
  * connections that turned out to be closed when a request was sent on them.
  *
- * Servers may forget idle connections far sooner than they announce. A request
- * that may not run twice is then lost, since nobody knows whether it ran; with a
- * shorter rest it goes on a new connection, which takes a way there and back.
+ * Servers may close idle connections far sooner than they announce. A request that
+ * must not run twice is then lost, since it is unknown whether it ran. With a shorter
+ * idle time it is sent on a new connection, which costs one round trip.
  *
- * Owns the shortest rests of the last seconds, by service; relies on connections
- * of this box.
+ * Owns the shortest idle time of the last seconds that led to a reset, by service;
+ * relies on the connections of this box.
  */
 
 import { type Milliseconds, milliseconds, type ServiceId } from "@chalkdale/kernel";
 
-/** Knows how long connections may rest. */
+/** Estimate of the idle timeouts of services. */
 export interface IdleTimeoutEstimate {
     /**
-     * A request on a connection that had rested so long was answered by a reset, so long after it was sent, the way left out.
-     * True if the rest is the likely cause, and not the server's health.
+     * A connection that had been idle for `idleTime` was reset `after` its request was sent, without the round trip.
+     *
+     * @returns true if the idle time is the likely cause, and not the server's health.
      */
-    readonly onReset: (service: ServiceId, rest: Milliseconds, after: Milliseconds, at: Milliseconds) => boolean;
-    /** Returns how long a connection may have rested; at most `longest`. */
-    readonly maxIdleTime: (service: ServiceId, longest: Milliseconds, at: Milliseconds) => Milliseconds;
+    readonly onReset: (service: ServiceId, idleTime: Milliseconds, after: Milliseconds, at: Milliseconds) => boolean;
+    /** Returns how long a connection may have been idle to be used again; at most `upperBound`. */
+    readonly maxIdleTime: (service: ServiceId, upperBound: Milliseconds, at: Milliseconds) => Milliseconds;
 }
 
-/** Milliseconds for which a rest that was too long is remembered: longer than the pause between two requests to most servers. */
-const remembered = 10_000;
-/** Part of the shortest rest that was too long which is used: the server's clock started earlier. */
-const usedPart = 0.5;
-/** Milliseconds of rest below which a reset says nothing of resting: a server that ends resets busy connections too. */
-const shortestTelling = 100;
-/** Milliseconds after sending, besides the way, within which a reset means that the connection was gone: no server works less. */
-const quickReset = 30;
+/** Milliseconds for which a reset counts: longer than the interval between two requests to most servers. */
+const resetLifetime = 10_000;
+/** Usable fraction of the shortest idle time that led to a reset: the server started to count earlier than the box. */
+const usedFraction = 0.5;
+/**
+ * Idle milliseconds below which a reset is not due to an idle timeout: a server that stops resets busy connections too.
+ */
+const minTellingIdleTime = 100;
+/**
+ * Milliseconds after sending, without the round trip, within which a reset means a closed connection: no work is as
+ * short.
+ */
+const maxResetDelay = 30;
 
-interface KnownRest {
-    readonly rest: Milliseconds;
+/** Shortest idle time that led to a reset, and the time of the latest reset. */
+interface ObservedIdleTime {
+    readonly idleTime: Milliseconds;
     readonly at: Milliseconds;
 }
 
-/** Creates the memory; nothing is known at first. */
+/** Creates the estimate; no reset is known yet. */
 export function createIdleTimeoutEstimate(): IdleTimeoutEstimate {
-    const known = new Map<ServiceId, KnownRest>();
+    const known = new Map<ServiceId, ObservedIdleTime>();
 
     return {
-        onReset(service, rest, after, at) {
-            if (rest < shortestTelling || after > quickReset) {
+        onReset(service, idleTime, after, at) {
+            if (idleTime < minTellingIdleTime || after > maxResetDelay) {
                 return false;
             }
-            const shortest = Math.min(rest, current(service, at)?.rest ?? rest);
-            known.set(service, { rest: milliseconds(shortest), at });
+            const shortest = Math.min(idleTime, current(service, at)?.idleTime ?? idleTime);
+            known.set(service, { idleTime: milliseconds(shortest), at });
             return true;
         },
-        maxIdleTime(service, longest, at) {
+        maxIdleTime(service, upperBound, at) {
             const shortest = current(service, at);
-            return shortest === undefined ? longest : milliseconds(Math.min(longest, shortest.rest * usedPart));
+            return shortest === undefined
+                ? upperBound
+                : milliseconds(Math.min(upperBound, shortest.idleTime * usedFraction));
         },
     };
 
-    function current(service: ServiceId, at: Milliseconds): KnownRest | undefined {
+    function current(service: ServiceId, at: Milliseconds): ObservedIdleTime | undefined {
         const found = known.get(service);
-        return found === undefined || at - found.at > remembered ? undefined : found;
+        return found === undefined || at - found.at > resetLifetime ? undefined : found;
     }
 }
--- a/packages/decisions/src/servers/limit-share.ts
+++ b/packages/decisions/src/servers/limit-share.ts
@@ -1,93 +1,102 @@
 /**
- * This box's part of the rate that a server names.
+ * This box's share of the rate limit that a server has set.
  *
- * The whole rate is used. In any span of 4 s all boxes together send little more than four times the rate and one and
- * a half requests for each holder, where six times the rate and 5 requests are borne. So more boxes
- * hold a part of a greater rate, and enough room is left for boxes that do not agree on the holders for a while.
+ * The shares add up to the whole rate. In any span of 4 s all boxes together send little more than four times the rate
+ * (in requests per second) plus one and a half requests for each holder of a share; servers tolerate six times the rate
+ * plus 5 requests. The number of holders therefore grows with the rate, and the margin covers boxes that temporarily
+ * disagree on the holders.
  *
- * A limit ends by the server's word alone, so while nothing is heard of it boxes that hold no part ask as well, one after the other.
+ * A limit ends only when the server reports it. While no update of the limit arrives, boxes without a share send probe
+ * requests as well, one box after the other.
  *
- * Owns the time of this box's last request; relies on `shared-rate` for its part.
+ * Owns the time of this box's last request; relies on `shared-rate` for its share.
  */
 
 import type { BackendServerId, BoxId, Milliseconds } from "@chalkdale/kernel";
 import { createBoxRank } from "../limits/box-rank.js";
 import { createSharedRate, type SharedRate } from "../limits/shared-rate.js";
 
-/** Boxes that hold a part of the smallest rates. */
-const fewestHolders = 3;
-/** Part of a request that a box saves up beside a whole one: requests do not come just when its next one is earned. */
-const savedPart = 0.5;
-/** Further boxes for each request a second. */
-const holdersPerRate = 1;
+/** Number of holders of the smallest rates above `probeRate`. */
+const minHolders = 3;
 /**
- * Requests a second that are sent to a server which takes fewer, or none: it tells only in its answers that the limit has ended.
- * One box sends them.
+ * Fraction of a request that a holder saves up beyond a whole one, since requests don't arrive exactly when one is
+ * earned.
  */
-const askingRate = 0.25;
-
+const maxSavedFraction = 0.5;
+/** Additional holders for each request per second of the rate. */
+const holdersPerRate = 1;
 /**
- * Milliseconds without word of the limit after which other boxes ask one after the other: callers may use none of the boxes that hold a part.
+ * Lowest rate, in requests per second, also for a server that accepts fewer or none: only its answers report that the
+ * limit has ended. One box holds all of it.
  */
-const quietTime = 6000;
-/** Milliseconds of the turn of one of these boxes: longer than word of an answer takes to reach all. */
-const askingTurn = 4000;
+const probeRate = 0.25;
+
+/** Milliseconds without an update of the limit until other boxes send probes: the holders may have no callers. */
+const silenceBeforeProbes = 6000;
+/** Milliseconds between two probes of all boxes together: longer than an update takes to reach all boxes. */
+const probeTurn = 4000;
 
 export interface LimitShareOptions {
     readonly self: BoxId;
     readonly server: BackendServerId;
     /** Boxes among which the holders are chosen; one that is not among them sends nothing. */
     readonly boxes: () => readonly BoxId[];
-    /** Boxes that callers are named, of all regions; the same array while they are the same. */
+    /** Boxes of all regions that are advertised to callers; the same array while they don't change. */
     readonly advertisedBoxIds: () => readonly BoxId[];
 }
 
-/** What is known of a limit. */
+/** The limit as this box knows it. */
 export interface KnownLimit {
-    /** Requests a second. */
+    /** Requests per second. */
     readonly rate: number;
-    /** The time of the newest word of it. */
+    /** Time of the latest update. */
     readonly updatedAt: Milliseconds;
 }
 
-/** Creates the part of a rate that a server has just named; `known` gives what is known of it now. */
+/**
+ * Creates the share of a rate limit that a server has just set; `known` returns the limit as known at the time of the
+ * call.
+ */
 export function createLimitShare(options: LimitShareOptions, known: () => KnownLimit): SharedRate {
-    const part = createPart(options, () => known().rate);
+    const holderShare = createHolderShare(options, () => known().rate);
     const ownRank = createBoxRank({ self: options.self, subject: options.server });
-    let askedAt = -Infinity;
-    let askedBefore = -Infinity;
+    let lastSentAt = -Infinity;
+    let previousSentAt = -Infinity;
 
     return {
-        allows: at => part.allows(at) || asks(at),
+        allows: at => holderShare.allows(at) || mayProbe(at),
         onSent(at) {
-            askedBefore = askedAt;
-            askedAt = at;
-            part.onSent(at);
+            previousSentAt = lastSentAt;
+            lastSentAt = at;
+            holderShare.onSent(at);
         },
         onNotSent() {
-            askedAt = askedBefore;
-            part.onNotSent();
+            lastSentAt = previousSentAt;
+            holderShare.onNotSent();
         },
     };
 
-    /** The longer nothing is heard the more boxes ask, each the more seldom: of all together one in each turn. */
-    function asks(at: Milliseconds): boolean {
-        const quietFor = at - known().updatedAt - quietTime;
-        const asking = Math.floor(quietFor / askingTurn) + 1;
-        const rank = quietFor < 0 ? undefined : ownRank(options.advertisedBoxIds());
-        return rank !== undefined && rank < asking && at - askedAt >= askingTurn * asking;
+    /**
+     * The longer no update arrives, the more boxes send probes and the less often each does: one probe per turn in
+     * total.
+     */
+    function mayProbe(at: Milliseconds): boolean {
+        const overdue = at - known().updatedAt - silenceBeforeProbes;
+        const probers = Math.floor(overdue / probeTurn) + 1;
+        const rank = overdue < 0 ? undefined : ownRank(options.advertisedBoxIds());
+        return rank !== undefined && rank < probers && at - lastSentAt >= probeTurn * probers;
     }
 }
 
-function createPart({ boxes, self, server }: LimitShareOptions, rate: () => number): SharedRate {
+function createHolderShare({ boxes, self, server }: LimitShareOptions, rate: () => number): SharedRate {
     return createSharedRate({
         self,
         subject: server,
         boxes,
-        rate: () => Math.max(askingRate, rate()),
-        maxHolders: used => used <= askingRate ? 1 : fewestHolders + Math.floor(used * holdersPerRate),
+        rate: () => Math.max(probeRate, rate()),
+        maxHolders: usedRate => usedRate <= probeRate ? 1 : minHolders + Math.floor(usedRate * holdersPerRate),
         usedFraction: 1,
-        savedFraction: savedPart,
+        savedFraction: maxSavedFraction,
         firstRequest: "earned",
     });
 }
--- a/packages/decisions/src/servers/load-estimate.ts
+++ b/packages/decisions/src/servers/load-estimate.ts
@@ -1,44 +1,45 @@
 /**
- * Load of one backend server: what this box has sent there, and what the server
- * said with its last answer about all boxes together.
+ * Load of one backend server: the requests of this box, and the load from all boxes
+ * that the server reported with its last answer.
  *
  * Owns this box's requests in flight and the last report.
  */
 
 import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
 
-/** Load that a server reported with an answer. */
+/** Load that a server reported with an answer, in requests; `slots` is how many it works on at once. */
 export interface LoadReport {
     readonly running: number;
     readonly waiting: number;
     readonly slots: number;
 }
 
-/** Load of one server as far as this box knows. */
+/** Load of one server as this box estimates it. */
 export interface ServerLoad {
+    /** A request was sent to the server. */
     readonly onSent: () => void;
-    /** A request ended in any way; `report` if the answer had one. */
+    /** A request ended, with an answer or without; `report` if the answer carried one. */
     readonly onEnded: (at: Milliseconds, report?: LoadReport) => void;
-    /** The server refused a request since it is full. */
+    /** The server rejected a request because it is full. */
     readonly onFull: (at: Milliseconds) => void;
-    /** Requests at the server, running and waiting. `slots` is what it works on at once. */
+    /** Requests at the server, running and waiting; `slots` is how many it works on at once. */
     readonly estimate: (at: Milliseconds, slots: number) => number;
-    /** Requests of this box that are at the server. */
+    /** Requests of this box at the server. */
     readonly inFlight: () => number;
 }
 
-/** Milliseconds for which a report counts in full; it fades over the same time again. */
+/** Milliseconds for which a report counts in full; over the same time again its weight falls to 0. */
 const reportLifetime = 1000;
-/** Milliseconds for which a refusal as full counts as this many times the slots. */
-const fullPause = 60;
-/** Times the slots that a server counts as loaded with after it refused as full. */
-const fullFactor = 3;
+/** Milliseconds for which a server counts as full after it rejected a request as full. */
+const fullDuration = 60;
+/** Load of a full server as a multiple of its slots. */
+const fullLoadFactor = 3;
 
 /** Creates the load of an idle server. */
 export function createServerLoad(): ServerLoad {
     let inFlight = 0;
     let fullUntil = 0;
-    let last: { readonly at: Milliseconds; readonly others: number; } | undefined;
+    let lastReport: { readonly at: Milliseconds; readonly others: number; } | undefined;
 
     return {
         onSent() {
@@ -47,28 +48,28 @@
         onEnded(at, report) {
             inFlight -= 1;
             if (report !== undefined) {
-                last = { at, others: Math.max(0, report.running + report.waiting - inFlight) };
+                lastReport = { at, others: Math.max(0, report.running + report.waiting - inFlight) };
             }
         },
         onFull(at) {
-            fullUntil = milliseconds(at + fullPause);
+            fullUntil = milliseconds(at + fullDuration);
         },
         estimate(at, slots) {
             if (at < fullUntil) {
-                return Math.max(inFlight, slots * fullFactor);
+                return Math.max(inFlight, slots * fullLoadFactor);
             }
             return inFlight + othersAt(at);
         },
         inFlight: () => inFlight,
     };
 
-    /** Requests of other boxes, by the last report. */
+    /** Requests of other boxes by the last report, weighted by its age. */
     function othersAt(at: Milliseconds): number {
-        if (last === undefined) {
+        if (lastReport === undefined) {
             return 0;
         }
-        const age = at - last.at;
+        const age = at - lastReport.at;
         const weight = age < reportLifetime ? 1 : Math.max(0, 2 - age / reportLifetime);
-        return last.others * weight;
+        return lastReport.others * weight;
     }
 }
--- a/packages/decisions/src/servers/outlier-detection.ts
+++ b/packages/decisions/src/servers/outlier-detection.ts
@@ -1,49 +1,48 @@
 /**
- * Outlier detection: finds servers that fail part of their requests, whatever
- * their health checks say.
+ * Outlier detection: finds servers that fail some of their requests even though
+ * their health checks succeed.
  *
- * Owns a share that fades; the choice of a server decides how many outliers may
+ * Owns a decaying failure rate; the choice of a server decides how many outliers may
  * be left out.
  */
 
 import type { Milliseconds } from "@chalkdale/kernel";
 
-/** Share of failures among a server's latest results. */
+/** Failure rate of one server's latest results. */
 export interface OutlierDetection {
-    /** A request got a good answer, or failed at the server in a way that is not for its load. */
+    /** A request got a good answer, or failed at the server for a reason other than its load. */
     readonly onResult: (at: Milliseconds, isGood: boolean) => void;
-    /** The share of failures against the one from which a server is an outlier: above 1 it is one. */
+    /** Failure rate relative to `outlierFailureRate`: above 1 the server may be an outlier. */
     readonly severity: (at: Milliseconds) => number;
 }
 
 /**
- * Weight of the newest result, milliseconds after which half of the share is forgotten, and share from which a server is an
- * outlier. One failure among good answers is none: it gives 0.25. Set on an incident whose servers
- * fail half of their requests.
+ * Weight of the newest result. A single failure among good answers gives a rate of 0.25, below `outlierFailureRate`.
+ * This weight, the half-life and the threshold are set to detect servers that fail half of their requests.
  */
 const smoothing = 0.25;
-/** Milliseconds after which half of the share is forgotten; set with the smoothing. */
+/** Milliseconds in which the failure rate decays to half without new results. */
 const halfLife = 4000;
-/** Share of failures, from 0 to 1, above which a server is an outlier; set with the smoothing. */
-const outlierShare = 0.3;
+/** Failure rate, from 0 to 1, above which a server may be an outlier. */
+const outlierFailureRate = 0.3;
 
 /** Creates the detection for a server without results. */
 export function createOutlierDetection(at: Milliseconds): OutlierDetection {
-    let share = 0;
-    let shareAt = at;
+    let failureRate = 0;
+    let updatedAt = at;
 
     return {
         onResult(now, isGood) {
-            share = currentShare(now) * (1 - smoothing) + (isGood ? 0 : smoothing);
-            shareAt = now;
+            failureRate = currentFailureRate(now) * (1 - smoothing) + (isGood ? 0 : smoothing);
+            updatedAt = now;
         },
-        severity: now => currentShare(now) / outlierShare,
+        severity: now => currentFailureRate(now) / outlierFailureRate,
     };
 
-    function currentShare(now: Milliseconds): number {
-        if (share === 0) {
+    function currentFailureRate(now: Milliseconds): number {
+        if (failureRate === 0) {
             return 0;
         }
-        return share * 0.5 ** ((now - shareAt) / halfLife);
+        return failureRate * 0.5 ** ((now - updatedAt) / halfLife);
     }
 }
--- a/packages/decisions/src/servers/server-catalog.ts
+++ b/packages/decisions/src/servers/server-catalog.ts
@@ -1,10 +1,10 @@
 /**
- * All backend servers that discovery lists, with the state of each one's life.
- * A server that has started again under its id is another server here: what was
- * learned of its earlier life stays with the requests that are still at that one.
+ * Catalog of all backend servers that discovery lists, with the state of each one's
+ * current incarnation. A server that has restarted under its id gets a new entry; the
+ * old state remains with the requests that are still at the earlier incarnation.
  *
- * Owns the servers and their states; relies on whole lists from the copy, and on
- * `server-life` for which life a record speaks of.
+ * Owns the servers and their states; relies on complete lists from the replica, and on
+ * `server-incarnation` for the incarnation that a record belongs to.
  */
 
 import { type BackendServerId, hashText, type Milliseconds, milliseconds, type ServiceId } from "@chalkdale/kernel";
@@ -12,72 +12,85 @@
 import type { BackendServerRecord } from "./server-record.js";
 import type { ServerState } from "./server-state.js";
 
-/** One life of a listed server with what is computed once for it. */
+/** One incarnation of a listed server, with its state and values that are computed once. */
 export interface BackendServer {
     readonly id: BackendServerId;
     readonly idHash: number;
     readonly state: ServerState;
-    /** When the life was listed; undefined for the servers of the first list, beside which no others had their keys. */
+    /**
+     * When the incarnation was listed; undefined for servers of the first list, whose keys no other server had before.
+     */
     readonly addedAt: Milliseconds | undefined;
 }
 
-/** What a change of the list did. */
+/** Changes that a list has brought. */
 interface CatalogChange {
     readonly added: readonly BackendServerRecord[];
     readonly removed: readonly BackendServerId[];
     readonly startedDraining: readonly BackendServerId[];
-    /** Servers that have started again under their ids. */
+    /** Servers that have restarted under their ids. */
     readonly restarted: readonly RestartedServer[];
 }
 
-/** A server in its new life, and what is left of the life before. */
+/** A server in its new incarnation, and the entry of the one before. */
 export interface RestartedServer {
     readonly server: BackendServer;
     readonly before: BackendServer;
 }
 
-/** What a list has done so far. */
+/** Changes of the list that is being applied. */
 interface ChangeInProgress {
     readonly added: BackendServerRecord[];
     readonly startedDraining: BackendServerId[];
     readonly restarted: RestartedServer[];
+    /** True if keys may rank servers in another order. */
     isRankingChanged: boolean;
 }
 
-/** A record of an earlier life that came after one of a later life. */
-interface DoubtedRecord {
+/** A record with an earlier time of birth that arrived after one with a later time; `since` is its arrival. */
+interface UncertainRecord {
     readonly record: BackendServerRecord;
     readonly since: Milliseconds;
 }
 
-/** The servers by id and by service. */
+/** Servers by id and by service. */
 export interface ServerCatalog {
-    /** Takes the whole list as discovery has it now. */
+    /** Applies the complete list of discovery. */
     readonly applyList: (records: readonly BackendServerRecord[], at: Milliseconds) => CatalogChange;
     readonly ofService: (service: ServiceId) => readonly BackendServer[];
     readonly get: (id: BackendServerId) => BackendServer | undefined;
     readonly all: () => Iterable<BackendServer>;
-    /** True once another life is listed under this one's id. */
+    /** True once another incarnation is listed under this one's id. */
     readonly hasNewIncarnation: (server: BackendServer) => boolean;
-    /** True once this life has ended as far as the list tells: another one has its id, or a later server its address. */
+    /**
+     * True once the list shows that this incarnation has ended: another one has its id, or a later server its address.
+     */
     readonly hasSuccessor: (server: BackendServer) => boolean;
-    /** Rises whenever a server comes or goes, or what it can carry changes. */
+    /** Increases whenever a server is added, restarted or forgotten, or a property that it is ranked by changes. */
     readonly version: () => number;
-    /** Rises with each list that is applied, and when servers are forgotten. */
+    /** Increases with each list that is applied, and when `sweep` forgets or restarts servers. */
     readonly listVersion: () => number;
-    /** Forgets servers that were unlisted long ago and are idle, and settles doubts about lives. Due some times a second. */
+    /**
+     * Forgets idle servers that were unlisted long ago, and resolves uncertain incarnations. Called a few times per
+     * second.
+     */
     readonly sweep: (at: Milliseconds) => SweptServers;
 }
 
-/** What an upkeep of the catalog did. */
+/** Changes that a sweep of the catalog has made. */
 interface SweptServers {
     readonly forgotten: readonly BackendServerId[];
     readonly restarted: readonly RestartedServer[];
 }
 
-/** Milliseconds by which a server's answers may come before the record of their life: a store is away for some seconds. */
-const recordLag = 5000;
-/** Time for which an unlisted server is remembered, in case its record comes back: records lapse while the store is away. */
+/**
+ * Milliseconds by which answers of an incarnation may arrive before its record: the store can be unreachable for
+ * seconds.
+ */
+const maxRecordLag = 5000;
+/**
+ * Time for which an unlisted server is kept in case it is listed again: records expire while the store is unreachable.
+ */
 const unlistedLifetime = milliseconds(20_000);
 
 /** Creates an empty catalog. */
@@ -86,86 +99,86 @@
 ): ServerCatalog {
     const servers = new Map<BackendServerId, BackendServer>();
     const unlistedAt = new Map<BackendServerId, Milliseconds>();
-    const doubted = new Map<BackendServerId, DoubtedRecord>();
+    const uncertain = new Map<BackendServerId, UncertainRecord>();
     let byService = new Map<ServiceId, BackendServer[]>();
-    /** The server whose record is the newest, for each address. */
-    let newestAt = new Map<string, BackendServer>();
+    /** The server with the newest record for each address. */
+    let newestByAddress = new Map<string, BackendServer>();
     let version = 0;
-    let listing = 0;
+    let listVersion = 0;
 
     return {
         applyList,
         ofService: service => byService.get(service) ?? [],
         get: id => servers.get(id),
         all: () => servers.values(),
-        hasNewIncarnation: hasNewLife,
+        hasNewIncarnation,
         hasSuccessor(server) {
-            const newest = newestAt.get(server.state.record().address);
-            return hasNewLife(server) || newest !== undefined && newest !== server;
+            const newestServer = newestByAddress.get(server.state.record().address);
+            return hasNewIncarnation(server) || newestServer !== undefined && newestServer !== server;
         },
         version: () => version,
-        listVersion: () => listing,
+        listVersion: () => listVersion,
         sweep(at) {
-            const restarted = settleDoubts(at);
+            const restarted = resolveUncertain(at);
             const forgotten: BackendServerId[] = [];
             for (const [id, since] of unlistedAt) {
                 if (at - since > unlistedLifetime && servers.get(id)?.state.inFlight() === 0) {
                     servers.delete(id);
                     unlistedAt.delete(id);
-                    doubted.delete(id);
+                    uncertain.delete(id);
                     forgotten.push(id);
                 }
             }
             if (forgotten.length + restarted.length > 0) {
                 version += 1;
-                listing += 1;
-                index();
+                listVersion += 1;
+                rebuildIndexes();
             }
             return { forgotten, restarted };
         },
     };
 
-    function hasNewLife(server: BackendServer): boolean {
+    function hasNewIncarnation(server: BackendServer): boolean {
         const current = servers.get(server.id);
         return current !== undefined && current !== server;
     }
 
     function applyList(records: readonly BackendServerRecord[], at: Milliseconds): CatalogChange {
         const change: ChangeInProgress = { added: [], startedDraining: [], restarted: [], isRankingChanged: false };
-        records.forEach(record => take(record, at, change));
-        change.restarted.push(...settleDoubts(at));
-        const removed = removeAllBut(new Set(records.map(record => record.id)), at);
+        records.forEach(record => applyRecord(record, at, change));
+        change.restarted.push(...resolveUncertain(at));
+        const removed = unlistOthers(new Set(records.map(record => record.id)), at);
         const { added, isRankingChanged, restarted, startedDraining } = change;
         if (added.length + restarted.length > 0 || isRankingChanged) {
             version += 1;
         }
-        listing += 1;
-        index();
+        listVersion += 1;
+        rebuildIndexes();
         return { added, removed, startedDraining, restarted };
     }
 
-    function take(record: BackendServerRecord, at: Milliseconds, change: ChangeInProgress): void {
+    function applyRecord(record: BackendServerRecord, at: Milliseconds, change: ChangeInProgress): void {
         const known = servers.get(record.id);
         if (known === undefined) {
             change.added.push(record);
-            begin(record, at);
+            addIncarnation(record, at);
             return;
         }
         switch (compareIncarnations(record, known.state.record())) {
             case "same":
-                goOn(known, record, at, change);
+                updateIncarnation(known, record, at, change);
                 return;
             case "later":
-                change.restarted.push(beginAgain(known, record, at));
+                change.restarted.push(replaceIncarnation(known, record, at));
                 return;
             case "earlier":
-                doubt(known, record, at);
+                markUncertain(known, record, at);
                 return;
         }
     }
 
-    /** The life that is known goes on, with a newer record. */
-    function goOn(
+    /** Applies a newer record to the known incarnation. */
+    function updateIncarnation(
         { id, state }: BackendServer,
         record: BackendServerRecord,
         at: Milliseconds,
@@ -176,70 +189,76 @@
         if (next.draining && !before.draining) {
             change.startedDraining.push(id);
         }
-        change.isRankingChanged ||= isRankedAnew(next, before);
+        change.isRankingChanged ||= changesRanking(next, before);
         state.applyRecord(next, at);
         state.setIncarnationUncertain(false);
-        doubted.delete(id);
+        uncertain.delete(id);
         unlistedAt.delete(id);
     }
 
-    /** Returns the servers that were listed until now. */
-    function removeAllBut(listed: ReadonlySet<BackendServerId>, at: Milliseconds): readonly BackendServerId[] {
+    /** Marks the servers that are no longer listed, and returns their ids. */
+    function unlistOthers(listed: ReadonlySet<BackendServerId>, at: Milliseconds): readonly BackendServerId[] {
         const removed = [...servers.keys()].filter(id => !listed.has(id) && !unlistedAt.has(id));
         for (const id of removed) {
             unlistedAt.set(id, at);
-            doubted.delete(id);
+            uncertain.delete(id);
             servers.get(id)?.state.onUnlisted();
         }
         return removed;
     }
 
-    function begin(record: BackendServerRecord, at: Milliseconds): BackendServer {
-        const addedAt = listing === 0 ? undefined : at;
+    function addIncarnation(record: BackendServerRecord, at: Milliseconds): BackendServer {
+        const addedAt = listVersion === 0 ? undefined : at;
         const server = { id: record.id, idHash: hashText(record.id), state: createState(record, at), addedAt };
         servers.set(record.id, server);
         return server;
     }
 
-    /** Nothing of the earlier life holds for the new one, but for what the new one may have said itself before its record came. */
-    function beginAgain(before: BackendServer, record: BackendServerRecord, at: Milliseconds): RestartedServer {
+    /**
+     * Starts a new incarnation without the earlier state, except for a back-off that the new one itself may have
+     * requested.
+     */
+    function replaceIncarnation(before: BackendServer, record: BackendServerRecord, at: Milliseconds): RestartedServer {
         unlistedAt.delete(record.id);
-        doubted.delete(record.id);
-        const server = begin(record, at);
+        uncertain.delete(record.id);
+        const server = addIncarnation(record, at);
         const backoff = before.state.backoffUntil() - at;
-        if (backoff > 0 && at - before.state.backoffRequestedAt() < recordLag) {
+        if (backoff > 0 && at - before.state.backoffRequestedAt() < maxRecordLag) {
             server.state.onBackoff(at, milliseconds(backoff));
         }
         return { server, before };
     }
 
-    /** Until it is known which of the two lives goes on, the server gets nothing. */
-    function doubt(known: BackendServer, record: BackendServerRecord, at: Milliseconds): void {
+    /** Excludes the server from requests until it is known which of the two incarnations is running. */
+    function markUncertain(known: BackendServer, record: BackendServerRecord, at: Milliseconds): void {
         unlistedAt.delete(record.id);
-        const since = doubted.get(record.id)?.since ?? at;
-        doubted.set(record.id, { record, since });
+        const since = uncertain.get(record.id)?.since ?? at;
+        uncertain.set(record.id, { record, since });
         known.state.setIncarnationUncertain(true);
     }
 
-    /** A record of an earlier birth that stands for long is of a new life, whose clock was set back. */
-    function settleDoubts(at: Milliseconds): RestartedServer[] {
-        const settled = [...doubted.values()].filter(({ since }) => at - since >= lateWriteGracePeriod);
-        return settled.map(({ record }) => beginAgain(servers.get(record.id)!, record, at));
+    /**
+     * A record with an earlier time of birth that is not overwritten in time is of a new incarnation with a clock set
+     * back.
+     */
+    function resolveUncertain(at: Milliseconds): RestartedServer[] {
+        const settled = [...uncertain.values()].filter(({ since }) => at - since >= lateWriteGracePeriod);
+        return settled.map(({ record }) => replaceIncarnation(servers.get(record.id)!, record, at));
     }
 
-    /** True if keys may have another order of servers with the newer record. */
-    function isRankedAnew(next: BackendServerRecord, known: BackendServerRecord): boolean {
+    /** True if the newer record may change the order of servers for keys. */
+    function changesRanking(next: BackendServerRecord, known: BackendServerRecord): boolean {
         return next.slots !== known.slots || next.zone !== known.zone || next.service !== known.service
             || next.version !== known.version;
     }
 
-    function index(): void {
+    function rebuildIndexes(): void {
         byService = new Map();
-        newestAt = new Map();
+        newestByAddress = new Map();
         for (const server of servers.values()) {
             const { address, revision, service } = server.state.record();
-            if (revision > (newestAt.get(address)?.state.record().revision ?? -1)) {
-                newestAt.set(address, server);
+            if (revision > (newestByAddress.get(address)?.state.record().revision ?? -1)) {
+                newestByAddress.set(address, server);
             }
             const list = byService.get(service) ?? [];
             list.push(server);
--- a/packages/decisions/src/servers/server-incarnation.ts
+++ b/packages/decisions/src/servers/server-incarnation.ts
@@ -1,15 +1,15 @@
 /**
- * One life of a backend server, from a start to its end, and which of two records
- * speaks of which life.
+ * Incarnations of a backend server, each from a start of the server to its end, and
+ * the order of the incarnations that two records belong to.
  *
- * A server may start again under the id that it had. It then holds and knows
- * nothing of before, so nothing that a box has learned of it holds on: not its load,
- * speed, failures and keys, nor that it was leaving.
+ * A server may restart under the same id. It then has none of its earlier state, so
+ * nothing that a box has learned of it applies any longer: its load, speed, failures
+ * and keys, or that it was leaving.
  *
- * The order of two records is that of the store, by revision; the copies keep it.
- * When a server was born only tells whether both speak of one life, since servers'
- * clocks differ, with one exception: a record of an earlier birth that comes later
- * may be a write of the earlier life that was done late.
+ * Records are ordered by their revision in the store, and replicas keep that order.
+ * The time of birth only shows whether two records belong to one incarnation, since
+ * the clocks of servers differ. There is one exception: a later record with an earlier
+ * time of birth may be a delayed write of the earlier incarnation.
  *
  * Owns nothing.
  */
@@ -17,16 +17,20 @@
 import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
 import type { BackendServerRecord } from "./server-record.js";
 
-/** Of which life a newer record of a known server speaks, seen from the record before. */
+/** The incarnation of a newer record of a known server, relative to the previous record. */
 export type IncarnationOrder = "same" | "later" | "earlier";
 
 /**
- * Milliseconds for which a record of an earlier birth is taken for a write that was done late, and the server gets nothing: three
- * times the 1.5 s after which the later life writes again. If it does not, its clock had run ahead and the record is of a new life.
+ * Milliseconds for which a record with an earlier time of birth is taken for a delayed write, and the server gets no
+ * requests: three times the 1.5 s after which the later incarnation writes its record again. If that does not happen,
+ * the clock of the known incarnation was ahead and the record is of a new one.
  */
 export const lateWriteGracePeriod: Milliseconds = milliseconds(4500);
 
-/** Compares the lives of two records of one server. Without a time of birth, as in copies of earlier releases, an id is one life. */
+/**
+ * Compares the incarnations of two records of one server. Records without a time of birth, as in snapshots of earlier
+ * releases, count as the same.
+ */
 export function compareIncarnations(next: BackendServerRecord, known: BackendServerRecord): IncarnationOrder {
     if (next.bornAt === undefined || known.bornAt === undefined || next.bornAt === known.bornAt) {
         return "same";
@@ -35,13 +39,14 @@
 }
 
 /**
- * A newer record of the same life. A life that has said that it is leaving does not take that back: such a record was written
- * before. It keeps the time of birth that a copy of an earlier release has left out.
+ * Merges a newer record of the same incarnation into the known one. If both have a time of birth, draining is not
+ * revoked: a record without it was written earlier. The known time of birth is kept if a snapshot of an earlier release
+ * lacks it.
  */
 export function mergeSameIncarnation(next: BackendServerRecord, known: BackendServerRecord): BackendServerRecord {
     if (known.bornAt === undefined) {
         return next;
     }
-    const hasLeft = known.draining && next.bornAt === known.bornAt;
-    return { ...next, bornAt: known.bornAt, draining: next.draining || hasLeft };
+    const keepsDraining = known.draining && next.bornAt === known.bornAt;
+    return { ...next, bornAt: known.bornAt, draining: next.draining || keepsDraining };
 }
--- a/packages/decisions/src/servers/server-rate-limit.ts
+++ b/packages/decisions/src/servers/server-rate-limit.ts
@@ -1,66 +1,69 @@
 /**
- * The rate that one life of a server names: the requests a second that it takes
- * from all boxes together, for as long as its answers name it.
+ * Rate limit of one incarnation of a server: the requests per second that it accepts
+ * from all boxes together, for as long as its answers state it.
  *
- * Answers of several connections cross, and words of other boxes come late, so the
- * newest word holds and not the last to come. An answer that names no limit counts
- * from when its request was sent: it was written after that. One that names a limit
- * counts from when it came. In doubt the limit holds.
+ * Answers on several connections can overtake each other, and updates from other boxes
+ * arrive late, so the update with the latest time applies and not the last to arrive. An
+ * answer without a limit is dated by the sending of its request, since it was written
+ * after that; one with a limit is dated by its arrival. In doubt the limit applies.
  *
- * Owns the newest word of one life. Times are passed in.
+ * Owns the latest update of one incarnation. Times are passed in.
  */
 
 import type { Milliseconds } from "@chalkdale/kernel";
 
-/** What a server, or a box that heard it, says of its limit. */
+/** Update of a server's limit, from one of its answers or from another box. */
 export type LimitUpdate =
-    /** `rate`: requests a second, zero included. `at`: when the answer came that named it. */
+    /** `rate`: requests per second, may be 0. `at`: arrival of the answer that stated it. */
     | { readonly kind: "named"; readonly rate: number; readonly at: Milliseconds; }
-    /** `at`: when the request was sent whose answer named none. */
+    /** `at`: sending of the request whose answer stated no limit. */
     | { readonly kind: "ended"; readonly at: Milliseconds; };
 
-/** The limit of one life of a server. */
+/** Rate limit of one incarnation of a server. */
 export interface ServerRateLimit {
-    /** Requests a second, from all boxes together; undefined while no limit holds. */
+    /** Requests per second from all boxes together; undefined while there is no limit. */
     readonly rate: () => number | undefined;
-    /** The newest word; undefined for a server that never named a limit. */
+    /** The latest update; undefined for a server that never stated a limit. */
     readonly latestUpdate: () => LimitUpdate | undefined;
-    /** Takes a word; true if others have to know of it: the limit began, ended, or is another one. */
-    readonly onUpdate: (word: LimitUpdate) => boolean;
+    /** Applies an update; returns true if it must be sent to other boxes at once: the limit began, ended or changed. */
+    readonly onUpdate: (update: LimitUpdate) => boolean;
 }
 
-/** Part by which a rate must differ to be told at once: a server may name its rate anew with each answer. */
-const toldDifference = 0.1;
+/**
+ * Smallest relative change of the rate that is sent to other boxes at once; a server may state a slightly different
+ * rate with each answer.
+ */
+const minReportedChange = 0.1;
 
-/** Creates the limit of a life that has named none. */
+/** Creates the limit of an incarnation that has not stated one. */
 export function createServerRateLimit(): ServerRateLimit {
-    let newest: LimitUpdate | undefined;
+    let latest: LimitUpdate | undefined;
 
     return {
-        rate: () => rateOf(newest),
-        latestUpdate: () => newest,
-        onUpdate(word) {
-            const known = newest;
-            if (known !== undefined && !isNewer(word, known)) {
+        rate: () => rateOf(latest),
+        latestUpdate: () => latest,
+        onUpdate(update) {
+            const known = latest;
+            if (known !== undefined && !isNewer(update, known)) {
                 return false;
             }
-            newest = word;
-            return isOtherLimit(rateOf(known), rateOf(word));
+            latest = update;
+            return isReportable(rateOf(known), rateOf(update));
         },
     };
 }
 
-function rateOf(word: LimitUpdate | undefined): number | undefined {
-    return word?.kind === "named" ? word.rate : undefined;
+function rateOf(update: LimitUpdate | undefined): number | undefined {
+    return update?.kind === "named" ? update.rate : undefined;
 }
 
-function isNewer(word: LimitUpdate, known: LimitUpdate): boolean {
-    return word.kind === "named" ? word.at >= known.at : word.at > known.at;
+function isNewer(update: LimitUpdate, known: LimitUpdate): boolean {
+    return update.kind === "named" ? update.at >= known.at : update.at > known.at;
 }
 
-function isOtherLimit(before: number | undefined, after: number | undefined): boolean {
+function isReportable(before: number | undefined, after: number | undefined): boolean {
     if (before === undefined || after === undefined) {
         return before !== after;
     }
-    return Math.abs(after - before) > before * toldDifference;
+    return Math.abs(after - before) > before * minReportedChange;
 }
--- a/packages/decisions/src/servers/server-record.ts
+++ b/packages/decisions/src/servers/server-record.ts
@@ -1,7 +1,7 @@
 /**
- * What discovery says about one backend server.
+ * Record of one backend server in discovery.
  *
- * Owns nothing; the fields stand in the snapshots between boxes.
+ * Owns nothing; the field names are part of the snapshots between boxes.
  */
 
 import {
@@ -15,31 +15,35 @@
     type UnixMilliseconds,
 } from "@chalkdale/kernel";
 
-/** One backend server as it was recorded, in one of its lives: it may start again under its id. */
+/** Record of one incarnation of a backend server; a server may restart under its id. */
 export interface BackendServerRecord {
     readonly id: BackendServerId;
     readonly service: ServiceId;
-    /** Host and port, for instance `192.0.2.7:8080`. */
+    /** Host and port, such as `192.0.2.7:8080`. */
     readonly address: string;
     readonly zone: AvailabilityZoneId;
     readonly region: RegionId;
     /** Requests that the server works on at once. */
     readonly slots: number;
+    /** True once the server is to get no further requests. */
     readonly draining: boolean;
-    /** Version of its software; undefined in copies of earlier releases. */
+    /** Version of the server's software; undefined in snapshots of earlier releases. */
     readonly version?: ServerVersion;
-    /** Revision of the store when the server was recorded first; undefined in copies of earlier releases. */
+    /** Revision of the store at which the server was first recorded; undefined in snapshots of earlier releases. */
     readonly createdAt?: number;
-    /** When this life began, by the server's own clock; undefined in copies of earlier releases, and where it isn't told. */
+    /**
+     * Start of this incarnation by the server's own clock; undefined in snapshots of earlier releases and if not
+     * reported.
+     */
     readonly bornAt?: UnixMilliseconds;
-    /** How much longer the server was cold when it wrote the record. */
+    /** Time for which the server was still going to be cold when it wrote the record. */
     readonly coldFor: Milliseconds;
     /** Revision of the record in the store. */
     readonly revision: number;
 }
 
 /**
- * Time for a record to get from its writer to a box, at most in ordinary times: half of the shortest bound on changes. A cold
- * server counts as cold for so much longer.
+ * Longest time in normal operation that a record takes from its writer to a box: half of the shortest bound on the
+ * propagation of changes. A cold server counts as cold for this much longer.
  */
 export const recordPropagationDelay = milliseconds(1000);
--- a/packages/decisions/src/servers/server-speed.ts
+++ b/packages/decisions/src/servers/server-speed.ts
@@ -1,8 +1,8 @@
 /**
- * Speed of one backend server: how many times as long as expected its answers
- * take. A measured slowness fades, so that a server which gets nothing is tried again.
+ * Speed of one backend server: the ratio of its answer times to the expected ones. A
+ * measured slowness decays, so that a server that gets no requests is tried again.
  *
- * Owns one ratio that fades; relies on the estimate of work for what is expected.
+ * Owns one decaying ratio; relies on the work estimate for the expected times.
  */
 
 import type { Milliseconds } from "@chalkdale/kernel";
@@ -11,35 +11,35 @@
 export interface ServerSpeed {
     /** An answer took `ratio` times as long as expected. */
     readonly onAnswer: (at: Milliseconds, ratio: number) => void;
-    /** 1 for a server of ordinary speed, more for a slow one. */
+    /** 1 for a server of normal speed, more for a slow one. */
     readonly slowness: (at: Milliseconds) => number;
-    /** The slowness against the one from which a server is an outlier: above 1 it is one. */
+    /** Slowness relative to `outlierSlowness`: above 1 the server may be an outlier. */
     readonly severity: (at: Milliseconds) => number;
 }
 
-/** Weight of the newest answer. */
+/** Weight of the newest answer in the slowness. */
 const smoothing = 0.25;
-/** Milliseconds after which half of a measured slowness is forgotten. */
+/** Milliseconds in which a measured slowness decays halfway to 1 without new answers. */
 const halfLife = 5000;
-/** Bounds of one answer's weight: a single stray answer neither frees nor bars a server. */
-const leastRatio = 0.25;
-/** Times the expected time that one answer counts for at most. */
-const greatestRatio = 20;
+/** Lowest ratio that one answer counts for: a single unusual answer must not clear a slow server. */
+const minRatio = 0.25;
+/** Highest ratio that one answer counts for: a single unusual answer must not bar a server for long. */
+const maxRatio = 20;
 
 /**
- * Slowness from which a server is an outlier. Cold work was seen to take 3.3 times as long as warm work, so a key that leaves
- * a server three times as slow is answered sooner from its second request on.
+ * Slowness above which a server may be an outlier. Cold work takes 3.3 times as long as warm work, so a key that leaves
+ * a server of this slowness gets faster answers from its second request on.
  */
 const outlierSlowness = 3;
 
-/** Creates the speed of a server that has not answered yet. */
+/** Creates the speed of a server that has not answered yet, with a slowness of 1. */
 export function createServerSpeed(at: Milliseconds): ServerSpeed {
     let measured = 1;
     let measuredAt = at;
 
     return {
         onAnswer(now, ratio) {
-            const bounded = Math.min(greatestRatio, Math.max(leastRatio, ratio));
+            const bounded = Math.min(maxRatio, Math.max(minRatio, ratio));
             measured = slowness(now) * (1 - smoothing) + bounded * smoothing;
             measuredAt = now;
         },
--- a/packages/decisions/src/servers/server-state.ts
+++ b/packages/decisions/src/servers/server-state.ts
@@ -1,9 +1,9 @@
 /**
- * What a box believes about one backend server: its record, its load, its
- * speed, and why it may not take a request.
+ * State of one backend server as a box sees it: its record, its load, its speed,
+ * and the reason why it may not take a request.
  *
- * Owns the parts below, each with its own rule; relies on answers and on
- * discovery alone. Times are passed in.
+ * Owns the estimates and limits that it is made of, each with its own rules; relies
+ * only on answers, updates from other boxes and discovery. Times are passed in.
  */
 
 import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
@@ -16,7 +16,7 @@
 import type { BackendServerRecord } from "./server-record.js";
 import { createServerSpeed } from "./server-speed.js";
 
-/** Why a server may not take a request now. */
+/** Reason why a server may not take a request now. */
 type ExclusionReason =
     | "draining"
     | "leaving"
@@ -28,86 +28,112 @@
     | "ejected"
     | "cold";
 
-/** State of one life of a server as this box sees it. */
+/** State of one incarnation of a server as this box sees it. */
 export interface ServerState {
     readonly record: () => BackendServerRecord;
-    /** Takes a newer record of the same life. */
+    /** Applies a newer record of the same incarnation. */
     readonly applyRecord: (record: BackendServerRecord, at: Milliseconds) => void;
-    /** Discovery has a record of an earlier life, which may have been written late, or has one of this life again. */
-    readonly setIncarnationUncertain: (isDoubted: boolean) => void;
     /**
-     * The server says in an answer that it is leaving. Holds for the rest of its life, whatever its record says: that may be written
-     * seconds later, or never.
+     * True if discovery has a record of an earlier incarnation, which may be a delayed write; false once it has one of
+     * this again.
+     */
+    readonly setIncarnationUncertain: (isUncertain: boolean) => void;
+    /**
+     * The server announced in an answer that it is leaving. Holds for the rest of the incarnation, since the record may
+     * follow seconds later or never.
      */
     readonly onLeaving: () => void;
-    /** The server wants nothing from this box for so long, `longestBackoff` at most. Of two such words the one that ends later counts. */
+    /**
+     * The server asked this box to send nothing for `duration`, `maxBackoff` at most. Of two back-offs the one that
+     * ends later counts.
+     */
     readonly onBackoff: (at: Milliseconds, duration: Milliseconds) => void;
-    /** When the back-off that the server asked for is over; in the past if it asked for none. */
+    /** End of the requested back-off; in the past if there is none. */
     readonly backoffUntil: () => Milliseconds;
-    /** When it asked for back-off last; long ago if it never did. */
+    /** Time of the latest request for back-off; minus infinity if there was none. */
     readonly backoffRequestedAt: () => Milliseconds;
     /** Discovery no longer lists the server. */
     readonly onUnlisted: () => void;
     /** True while discovery lists the server. */
     readonly isListed: () => boolean;
     /**
-     * The server is chosen for a request, whose connection may have to come up first: counted at once, so that others do not pass
-     * meanwhile. Returns what to call if the request is not sent.
+     * The server was chosen for a request. Its rate limit and slow start count the request at once and not when its
+     * connection is open, so that no others are admitted meanwhile.
+     *
+     * @returns a function to call if the request is not sent after all.
      */
     readonly onChosen: (at: Milliseconds) => () => void;
+    /** A request was sent to the server. */
     readonly onSent: () => void;
-    /** A request ended in any way; `report` if the answer had one. */
+    /** A request ended, with an answer or without; `report` if the answer carried one. */
     readonly onEnded: (at: Milliseconds, report?: LoadReport) => void;
     /** An answer took `ratio` times as long as expected. */
     readonly onAnswerTime: (at: Milliseconds, ratio: number) => void;
-    /** The server did not accept a connection, or broke off. Counts as a bad result too. */
+    /** The server accepted no connection, or broke off an answer. Counts as a failed result as well. */
     readonly onFailure: (at: Milliseconds, kind: FailureKind) => void;
-    /** A request got a good answer, or failed at the server in a way that is not for its load. */
+    /** A request got a good answer, or failed at the server for a reason other than its load. */
     readonly onResult: (at: Milliseconds, isGood: boolean) => void;
-    /** The server refused a request unrun since it is full. */
+    /** The server rejected a request without running it because it is full. */
     readonly onFull: (at: Milliseconds) => void;
-    /** The server works: an answer or a good health check. */
+    /** An answer or a successful health check shows that the server works. */
     readonly onHealthy: () => void;
-    /** Another server has the address. */
+    /** Another server has taken over the address. */
     readonly onReplaced: () => void;
-    /** The server says that it stays cold for so long. */
+    /** The server announced that it stays cold for `duration`. */
     readonly onCold: (at: Milliseconds, duration: Milliseconds) => void;
-    /** The server, or a box that heard it, says which rate it takes; true if others have to know. See `ServerRateLimit`. */
-    readonly onLimitUpdate: (word: LimitUpdate) => boolean;
-    /** The newest word of the rate that it takes; undefined if it never named one. */
+    /**
+     * Applies an update of the rate limit from the server or another box; returns true if it must be sent on. See
+     * `ServerRateLimit`.
+     */
+    readonly onLimitUpdate: (update: LimitUpdate) => boolean;
+    /** The latest update of the rate limit; undefined if the server never stated one. */
     readonly limit: () => LimitUpdate | undefined;
-    /** Why the server gets nothing now, or undefined if it may. Outliers are not among them: see `severity`. */
+    /**
+     * Reason why the server may not take a request now, or undefined if it may. Doesn't cover outliers: see `severity`.
+     */
     readonly exclusionReason: (at: Milliseconds) => ExclusionReason | undefined;
-    /** True if the server must get nothing more: it drains, says that it is leaving, is not listed, has lost its address, or its life is in doubt. */
+    /**
+     * True if the server must get no requests: it drains, is leaving or unlisted, has lost its address, or its
+     * incarnation is uncertain.
+     */
     readonly isOutOfService: () => boolean;
+    /** True while the server is in slow start. */
     readonly isCold: (at: Milliseconds) => boolean;
-    /** Requests at the server, running and waiting, as far as this box knows. */
+    /** Estimated requests at the server from all boxes, running and waiting. */
     readonly load: (at: Milliseconds) => number;
-    /** 1 for a server of ordinary speed, more for a slow one. */
+    /** 1 for a server of normal speed, more for a slow one. */
     readonly slowness: (at: Milliseconds) => number;
-    /** How badly the server does, whatever its health checks say: above 1 it lately failed many requests, is slow, or is ejected. */
+    /**
+     * Severity of the server's failures and slowness, independent of health checks: above 1 it may be an outlier or is
+     * ejected.
+     */
     readonly severity: (at: Milliseconds) => number;
+    /** Requests of this box at the server. */
     readonly inFlight: () => number;
-    /** When a health check is due, or undefined if none is wanted. */
+    /** When a health check is due, or undefined if none is needed. */
     readonly healthCheckDueAt: () => Milliseconds | undefined;
+    /** A health check has ended. */
     readonly onHealthCheck: (at: Milliseconds, healthy: boolean) => void;
 }
 
 export interface ServerStateOptions {
+    /** This box's share of the requests that the server gets while it is cold. */
     readonly slowStart: SharedRate;
-    /** Creates this box's part of the rate that the server names; `known` gives what is known of it now. */
+    /**
+     * Creates this box's share of the server's rate limit; `known` returns the limit as known at the time of the call.
+     */
     readonly createLimitShare: (known: () => KnownLimit) => SharedRate;
-    /** Added to the time that a record says a server stays cold, for the record's way here. */
+    /** Added to the time for which a server stays cold by its record, since the record takes as long to arrive. */
     readonly recordPropagationDelay: Milliseconds;
 }
 
 /**
- * Milliseconds for which a server is left alone by one word at most; it may ask again. A mistaken figure must not take it away
- * for the rest of its life.
+ * Longest back-off in milliseconds that one answer can request; the server may ask again. An erroneous duration must
+ * not exclude the server for the rest of its incarnation.
  */
-const longestBackoff = 300_000;
+const maxBackoff = 300_000;
 
-/** Severity of an ejected server, which serves nothing: above that of an outlier, whose most is 3.3 by failures. */
+/** Severity of an ejected server, which serves nothing: above the 3.3 that failures reach at most. */
 const ejectedSeverity = 4;
 
 /** Creates the state of a newly listed server. */
@@ -122,15 +148,15 @@
     const outliers = createOutlierDetection(at);
     const ejection = createEjection();
     const limit = createServerRateLimit();
-    /** This box's part of the limit; undefined while none holds. */
+    /** This box's share of the rate limit; undefined while there is none. */
     let limitShare: SharedRate | undefined;
     let record = first;
     let unlisted = false;
     let replaced = false;
-    let doubted = false;
+    let incarnationUncertain = false;
     let leaving = false;
     let backoffUntil = milliseconds(-Infinity);
-    let backoffAskedAt = milliseconds(-Infinity);
+    let lastBackoffRequestAt = milliseconds(-Infinity);
     let coldUntil = coldEnd(first, at);
 
     return {
@@ -142,18 +168,18 @@
             record = next;
             unlisted = false;
         },
-        setIncarnationUncertain(isDoubted) {
-            doubted = isDoubted;
+        setIncarnationUncertain(isUncertain) {
+            incarnationUncertain = isUncertain;
         },
         onLeaving() {
             leaving = true;
         },
         onBackoff(now, duration) {
-            backoffAskedAt = now;
-            backoffUntil = milliseconds(Math.max(backoffUntil, now + Math.min(duration, longestBackoff)));
+            lastBackoffRequestAt = now;
+            backoffUntil = milliseconds(Math.max(backoffUntil, now + Math.min(duration, maxBackoff)));
         },
         backoffUntil: () => backoffUntil,
-        backoffRequestedAt: () => backoffAskedAt,
+        backoffRequestedAt: () => lastBackoffRequestAt,
         onUnlisted() {
             unlisted = true;
         },
@@ -179,16 +205,16 @@
         onCold(now, duration) {
             coldUntil = Math.max(coldUntil, now + duration);
         },
-        onLimitUpdate(word) {
-            const isNews = limit.onUpdate(word);
+        onLimitUpdate(update) {
+            const isReportable = limit.onUpdate(update);
             limitShare = limit.rate() === undefined
                 ? undefined
                 : limitShare ?? options.createLimitShare(knownLimit);
-            return isNews;
+            return isReportable;
         },
         limit: limit.latestUpdate,
-        exclusionReason: exclusion,
-        isOutOfService: () => reasonOfLeaving() !== undefined,
+        exclusionReason,
+        isOutOfService: () => outOfServiceReason() !== undefined,
         isCold,
         load: now => load.estimate(now, record.slots),
         slowness: speed.slowness,
@@ -208,7 +234,7 @@
         return { rate: limit.rate() ?? 0, updatedAt: limit.latestUpdate()?.at ?? at };
     }
 
-    function reasonOfLeaving(): "replaced" | "draining" | "leaving" | "unlisted" | "doubted" | undefined {
+    function outOfServiceReason(): "replaced" | "draining" | "leaving" | "unlisted" | "doubted" | undefined {
         if (replaced) {
             return "replaced";
         }
@@ -221,18 +247,19 @@
         if (unlisted) {
             return "unlisted";
         }
-        return doubted ? "doubted" : undefined;
+        return incarnationUncertain ? "doubted" : undefined;
     }
 
-    function exclusion(now: Milliseconds): ExclusionReason | undefined {
-        const leaving = reasonOfLeaving();
-        if (leaving !== undefined) {
-            return leaving;
+    function exclusionReason(now: Milliseconds): ExclusionReason | undefined {
+        const outOfService = outOfServiceReason();
+        if (outOfService !== undefined) {
+            return outOfService;
         }
         if (now < backoffUntil) {
             return "backedOff";
         }
-        // A server that is ejected may get a trial, which its limit bounds as well.
+        // Checked before ejection: an ejected server may be tried as a last resort, and its rate limit applies to that
+        // as well.
         if (limitShare?.allows(now) === false) {
             return "limited";
         }
@@ -242,7 +269,7 @@
         return isCold(now) && !slowStart.allows(now) ? "cold" : undefined;
     }
 
-    /** A check is a request to the server as well, and waits until its back-off is over. */
+    /** A health check is a request to the server as well, so it is not due before the end of a back-off. */
     function healthCheckDueAt(): Milliseconds | undefined {
         const dueAt = ejection.healthCheckDueAt();
         if (dueAt === undefined || replaced || unlisted || leaving) {
@@ -255,7 +282,7 @@
         return now < coldUntil;
     }
 
-    function coldEnd(told: BackendServerRecord, now: Milliseconds): number {
-        return told.coldFor > 0 ? milliseconds(now + told.coldFor + options.recordPropagationDelay) : 0;
+    function coldEnd(source: BackendServerRecord, now: Milliseconds): number {
+        return source.coldFor > 0 ? milliseconds(now + source.coldFor + options.recordPropagationDelay) : 0;
     }
 }
