--- a/packages/decisions/test/choice-setup.ts
+++ b/packages/decisions/test/choice-setup.ts
@@ -1,5 +1,5 @@
 /**
- * A choice of servers with its catalog, as tests of the choice need it.
+ * Creates the choice of servers with its catalog and estimates, for tests.
  */
 
 import {
@@ -26,18 +26,18 @@
     type Route,
 } from "../src/index.js";
 
-/** The service of all servers. */
+/** Service of all servers. */
 const service = serviceId("profiles");
-/** The box is the only one. */
+/** The choosing box is the only one. */
 const onlyBox = [boxId("box-1")];
 const sharing = { self: onlyBox[0], boxes: () => onlyBox, advertisedBoxIds: () => onlyBox };
-/** The time of all choices. */
+/** Time of all choices, unless a test changes it. */
 export const at = milliseconds(1000);
 
-/** Servers of this version are for trial requests, all others for ordinary ones. */
+/** Servers of this version take trial requests, all others ordinary ones. */
 export const trialVersion = serverVersion("v2");
 
-/** Returns a sticky route of idempotent requests, with changes. */
+/** Returns a sticky route of idempotent requests, with the given changes. */
 export function createRoute(changes: Partial<Route> = {}): Route {
     return {
         name: "lookup",
@@ -56,7 +56,7 @@
     };
 }
 
-/** Returns the record of a server in the north, with changes. */
+/** Returns the record of a server in the north region, with the given changes. */
 export function createRecord(name: string, changes: Partial<BackendServerRecord> = {}): BackendServerRecord {
     return {
         id: backendServerId(name),
@@ -72,7 +72,7 @@
     };
 }
 
-/** Creates the choice of a box in the north. */
+/** Creates the choice of a box in the north region; `loadPerSlot` is the service's load that it observes. */
 export function createSetup(
     records: readonly BackendServerRecord[],
     closedZones: readonly string[] = [],
@@ -87,15 +87,15 @@
     );
     catalog.applyList(records, at);
     const recentKeys = createRecentKeys();
-    const work = createWorkEstimate();
-    const movedBytes = createTransferSizes();
+    const workEstimate = createWorkEstimate();
+    const transferSizes = createTransferSizes();
     const choose = createServerChoice({
         region: regionId("north"),
         zone: availabilityZoneId("north-a"),
         catalog,
         recentKeys,
-        workEstimate: work,
-        transferSizes: movedBytes,
+        workEstimate,
+        transferSizes,
         roundTrip: region => milliseconds(region === "north" ? 1 : 70),
         loadPerSlot: () => loadPerSlot,
         severity: (server, now) => server.state.severity(now),
@@ -119,5 +119,5 @@
         const choice = choose(request(changes));
         return choice.kind === "chosen" ? choice.server.id : choice.kind;
     };
-    return { catalog, choose, chosen, movedBytes, recentKeys, request, work };
+    return { catalog, choose, chosen, transferSizes, recentKeys, request, workEstimate };
 }
--- a/packages/decisions/test/crowded-downloads.test.ts
+++ b/packages/decisions/test/crowded-downloads.test.ts
@@ -1,23 +1,22 @@
 /**
- * Downloads of a region with few servers are refused while servers of other regions have free slots. Keys of downloads rank
- * the servers of their own region far before all others, so a box sends them to these few alone, and what it takes for the load of the
- * service is the load of these: full. A later server of the ranking is asked only while that load is low, so it never is.
- *
- * The emulated decisions showed it: on a calm day at the deployment's own rates 15 of the 16 most frequent refusals were `refused crowded`
- * of downloads in the region with a sixth of the slots, while the others had a load of 0.4 a slot.
+ * Guards against refusing downloads in a region with few servers while servers of other regions have free slots. Keys
+ * of downloads rank the servers of their own region far before all others. A box in that region therefore sends them to
+ * these few servers only, and takes their load, which is full, for the load of the whole service. If a later server of
+ * the ranking were tried only at a low load, it would never be tried: downloads in a region with a sixth of the slots
+ * were refused as `crowded` while the other regions had a load of 0.4 per slot.
  */
 
 import { hashText, milliseconds, regionId } from "@chalkdale/kernel";
 import { expect } from "chai";
 import { createRecord, createRoute, createSetup } from "./choice-setup.js";
 
-describe("a download that is crowded out of its region", () => {
-    /** Load that a box sees which knows the full servers of its region only. */
-    const seenLoad = 1.5;
-    const own = ["n-1", "n-2"].map(name => createRecord(name));
-    const far = ["s-1", "s-2", "s-3"].map(name => createRecord(name, { region: regionId("south") }));
+describe("a download without a free slot in its region", () => {
+    /** Load per slot that a box observes if it only gets reports of the full servers of its region. */
+    const observedLoad = 1.5;
+    const nearServers = ["n-1", "n-2"].map(name => createRecord(name));
+    const farServers = ["s-1", "s-2", "s-3"].map(name => createRecord(name, { region: regionId("south") }));
     const serveMany = (kind: "download" | "safe") => {
-        const setup = createSetup([...own, ...far], [], seenLoad);
+        const setup = createSetup([...nearServers, ...farServers], [], observedLoad);
         const served = new Map<string, number>();
         for (let key = 0; key < 40; key++) {
             const request = setup.request({ route: createRoute({ kind }), keyHash: hashText(`key-${key}`) });
@@ -33,10 +32,12 @@
 
     it("goes to another region's server with a free slot", () => {
         const served = serveMany("download");
-        expect(far.reduce((sum, { id }) => sum + (served.get(id) ?? 0), 0)).to.be.at.least(far.length * 4);
+        expect(farServers.reduce((sum, { id }) => sum + (served.get(id) ?? 0), 0)).to.be.at.least(
+            farServers.length * 4,
+        );
     });
 
-    it("is refused once no server has a free slot", () => {
+    it("is refused if no server has a free slot", () => {
         expect(serveMany("download").get("crowded")).to.be.greaterThan(0);
     });
 });
--- a/packages/decisions/test/idle-timeout-estimate.test.ts
+++ b/packages/decisions/test/idle-timeout-estimate.test.ts
@@ -2,34 +2,34 @@
 import { expect } from "chai";
 import { createIdleTimeoutEstimate } from "../src/index.js";
 
-describe("the life of idle connections", () => {
+describe("idle timeout estimate", () => {
     const service = serviceId("profiles");
-    const longest = milliseconds(2000);
-    const rests = (...resets: readonly (readonly [rest: number, after: number])[]) => {
-        const life = createIdleTimeoutEstimate();
-        resets.forEach(([rest, after]) =>
-            life.onReset(service, milliseconds(rest), milliseconds(after), milliseconds(0))
+    const upperBound = milliseconds(2000);
+    const idleTimeAfter = (...resets: readonly (readonly [idleTime: number, after: number])[]) => {
+        const estimate = createIdleTimeoutEstimate();
+        resets.forEach(([idleTime, after]) =>
+            estimate.onReset(service, milliseconds(idleTime), milliseconds(after), milliseconds(0))
         );
-        return (at: number) => life.maxIdleTime(service, longest, milliseconds(at));
+        return (at: number) => estimate.maxIdleTime(service, upperBound, milliseconds(at));
     };
 
-    it("is what the deployment's rules say until one was too long", () => {
-        expect(rests()(0)).to.equal(2000);
+    it("is the deployment's limit before the first reset", () => {
+        expect(idleTimeAfter()(0)).to.equal(2000);
     });
 
-    it("is half of the shortest that was too long, for some seconds", () => {
-        const restAt = rests([900, 5], [300, 2], [700, 3]);
-        expect(restAt(10_000)).to.equal(150);
-        expect(restAt(10_001)).to.equal(2000);
+    it("is half of the shortest idle time that led to a reset, for 10 s", () => {
+        const maxIdleTimeAt = idleTimeAfter([900, 5], [300, 2], [700, 3]);
+        expect(maxIdleTimeAt(10_000)).to.equal(150);
+        expect(maxIdleTimeAt(10_001)).to.equal(2000);
     });
 
-    it("is not learned from connections that hardly rested, or were reset while the server worked", () => {
-        expect(rests([20, 1], [500, 250])(0)).to.equal(2000);
+    it("ignores resets of connections that were hardly idle, or while the server worked", () => {
+        expect(idleTimeAfter([20, 1], [500, 250])(0)).to.equal(2000);
     });
 
-    it("is learned for each service by itself", () => {
-        const life = createIdleTimeoutEstimate();
-        life.onReset(service, milliseconds(300), milliseconds(1), milliseconds(0));
-        expect(life.maxIdleTime(serviceId("packs"), longest, milliseconds(0))).to.equal(2000);
+    it("is learned for each service separately", () => {
+        const estimate = createIdleTimeoutEstimate();
+        estimate.onReset(service, milliseconds(300), milliseconds(1), milliseconds(0));
+        expect(estimate.maxIdleTime(serviceId("packs"), upperBound, milliseconds(0))).to.equal(2000);
     });
 });
--- a/packages/decisions/test/key-rebalancing.test.ts
+++ b/packages/decisions/test/key-rebalancing.test.ts
@@ -1,13 +1,9 @@
 /**
- * An availability zone that is taken back gets no work. Its keys were sent to other servers while it was closed, and
- * a server that a key was sent to in the last 10 s counts as the one that knows it: at the key's own server half of the
- * extra work of an unknown key is expected, which is more than the 100 ms that a place away from it costs. A key that
- * is asked for at least each 10 s therefore never comes back while its second server has room.
- *
- * In real processes, with 17 keys that callers ask for all the time and a zone that is closed for 9 s: in two of three runs none ran
- * in the zone in the 7 s after it was opened again. `places.changed closed=none` stands in the logs of all boxes, and
- * the lines of later requests tell `rank=1 warm=true`. Where one did, a key had been asked for at its own server less than 10 s
- * before, and counted as known there still.
+ * Guards against a reopened availability zone that gets no work. While it is closed, its keys are sent to other
+ * servers, and a server counts as warm for a key that was sent to it in the last 10 s. At the key's first server half
+ * of the extra time of cold work is expected, more than the 100 ms that moving a key costs. A key that is requested at
+ * least every 10 s would therefore never return while its second server has free slots; the logs then show `rank=1` and
+ * `warm=true` for its requests after `places.changed closed=none`.
  */
 
 import { availabilityZoneId, backendServerId, milliseconds, serviceId } from "@chalkdale/kernel";
@@ -16,7 +12,7 @@
 import { hashKey } from "../src/index.js";
 import { at, createRecord, createRoute, createSetup } from "./choice-setup.js";
 
-describe("keys of servers that could not have them for a while", () => {
+describe("keys of servers that were unavailable", () => {
     const service = serviceId("profiles");
     const keys = Array.from({ length: 200 }, (_, index) => hashKey(service, `key-${index}`));
     const records = Array.from(
@@ -24,7 +20,7 @@
         (_, index) => createRecord(`i-${index}`, { zone: availabilityZoneId(index < 4 ? "north-a" : "north-b") }),
     );
     const isInB = (server: string) => Number(server.split("-")[1]) >= 4;
-    /** Milliseconds between two requests for a key: callers ask for all keys all the time. */
+    /** Milliseconds between two requests for each key. */
     const interval = 250;
     let setup: ReturnType<typeof createSetup>;
     let closed: string[];
@@ -35,14 +31,14 @@
         setup = createSetup(records, closed);
         now = at;
         for (let count = 0; count < 60; count++) {
-            setup.work.onMeasured(createRoute(), true, milliseconds(100));
-            setup.work.onMeasured(createRoute(), false, milliseconds(480));
+            setup.workEstimate.onMeasured(createRoute(), true, milliseconds(100));
+            setup.workEstimate.onMeasured(createRoute(), false, milliseconds(480));
         }
-        ask(2000);
+        requestKeys(2000);
     });
 
-    /** Asks for all keys for some milliseconds; returns where each was served last. */
-    function ask(duration: number): Map<number, string> {
+    /** Requests all keys repeatedly for `duration` milliseconds; returns the last server of each key. */
+    function requestKeys(duration: number): Map<number, string> {
         const servers = new Map<number, string>();
         for (const end = now + duration; now < end; now += interval) {
             for (const keyHash of keys) {
@@ -56,41 +52,42 @@
 
     const countInB = (servers: ReadonlyMap<number, string>) => [...servers.values()].filter(isInB).length;
 
-    it("come back within 10 s once their zone is taken back, a few at a time [P16]", () => {
-        const before = ask(interval);
+    it("return within 10 s after their zone is reopened, a few at a time [P16]", () => {
+        const before = requestKeys(interval);
         closed.push("north-b");
-        expect(countInB(ask(12_000))).to.equal(0);
+        expect(countInB(requestKeys(12_000))).to.equal(0);
         closed.pop();
-        const counts = Array.from({ length: 10 }, () => countInB(ask(1000)));
+        const counts = Array.from({ length: 10 }, () => countInB(requestKeys(1000)));
         expect(counts.at(-1)).to.be.at.least(countInB(before) * 0.95);
-        // Those whose two first servers were both away come at once: the server that knows them now is not compared.
-        const steps = counts.slice(1).map((count, index) => count - counts[index]);
-        expect(Math.max(...steps)).to.be.at.most(countInB(before) * 0.25);
+        // Keys whose first two servers were both in the zone return at once: the server that is warm for them is not
+        // compared.
+        const increases = counts.slice(1).map((count, index) => count - counts[index]);
+        expect(Math.max(...increases)).to.be.at.most(countInB(before) * 0.25);
     });
 
-    it("go to a server that is added, as many as it has slots for", () => {
+    it("move to an added server in proportion to its slots", () => {
         setup.catalog.applyList([...records, createRecord("i-8")], milliseconds(now));
-        const added = [...ask(10_000 + interval).values()].filter(server => server === "i-8").length;
+        const added = [...requestKeys(10_000 + interval).values()].filter(server => server === "i-8").length;
         expect(added / keys.length).to.be.within(0.5 / 9, 2 / 9);
     });
 
-    it("come back to a server that was ejected", () => {
-        const before = ask(interval);
+    it("return to a server that was ejected", () => {
+        const before = requestKeys(interval);
         const server = setup.catalog.get(backendServerId("i-5"))!;
         server.state.onFailure(milliseconds(now), "unreachable");
-        const away = ask(interval);
-        expect([...away.values()]).not.to.include("i-5");
+        const whileEjected = requestKeys(interval);
+        expect([...whileEjected.values()]).not.to.include("i-5");
         server.state.onHealthy();
-        const after = ask(12_000);
-        const own = keys.filter(key => before.get(key) === "i-5");
-        expect(own.filter(key => after.get(key) === "i-5").length).to.be.at.least(own.length * 0.95);
+        const after = requestKeys(12_000);
+        const ownKeys = keys.filter(key => before.get(key) === "i-5");
+        expect(ownKeys.filter(key => after.get(key) === "i-5").length).to.be.at.least(ownKeys.length * 0.95);
     });
 
-    it("come back to a server that has started again, though it was away long before as well", () => {
-        const returning = createKeyRebalancing();
+    it("return to a restarted server even if it had been unavailable long before", () => {
+        const keyRebalancing = createKeyRebalancing();
         const server = { ...setup.catalog.get(backendServerId("i-5"))!, addedAt: milliseconds(now) };
-        returning.onUnavailable(server, milliseconds(now - 30_000));
-        const due = keys.filter(key => returning.isDue(server, key, milliseconds(now + 10_000)));
-        expect(due).to.have.length(keys.length);
+        keyRebalancing.onUnavailable(server, milliseconds(now - 30_000));
+        const dueKeys = keys.filter(key => keyRebalancing.isDue(server, key, milliseconds(now + 10_000)));
+        expect(dueKeys).to.have.length(keys.length);
     });
 });
--- a/packages/decisions/test/limit-share.test.ts
+++ b/packages/decisions/test/limit-share.test.ts
@@ -1,5 +1,5 @@
 /**
- * The parts that boxes have of a named limit, while boxes come and go and the others learn of it at different times.
+ * Shares of a server's rate limit, while boxes join and leave and the others learn of it at different times.
  */
 
 import {
@@ -13,32 +13,34 @@
 import { expect } from "chai";
 import { createLimitShare, type SharedRate } from "../src/index.js";
 
-/** Milliseconds of a step, and of the whole play. */
+/** Milliseconds of a simulation step. */
 const step = 20;
+/** Milliseconds of the whole simulation. */
 const length = 30_000;
-/** Milliseconds after which every box knows of another one that it comes or goes. */
-const longestLag = 3900;
-/** Milliseconds between two changes of the members. */
+/** Longest time in milliseconds until every box knows that another one has joined or left. */
+const maxLag = 3900;
+/** Milliseconds between two changes of the membership. */
 const changeInterval = 5000;
-/** Milliseconds of the span that servers count, the part of the rate and the requests that they bear in it. */
+/** Milliseconds of the span in which servers count requests. */
 const span = 4000;
-const borne = (rate: number) => 1.5 * rate * (span / 1000) + 5;
+/** Requests that servers tolerate in a span: one and a half times the rate, and 5 more. */
+const tolerated = (rate: number) => 1.5 * rate * (span / 1000) + 5;
 
 interface EmulatedBox {
     readonly id: BoxId;
     readonly share: SharedRate;
     boxes: readonly BoxId[];
-    /** Set while a change of the members is on its way to this box. */
+    /** When a pending change of the membership reaches this box; infinite if there is none. */
     learnsAt: number;
 }
 
-describe("the parts of a limit that boxes have [P27]", () => {
+describe("shares of a rate limit [P27]", () => {
     const server = backendServerId("s-1");
-    /** When all boxes heard of the limit last. */
-    let heardAt: Milliseconds;
+    /** Time of the latest update of the limit, at all boxes. */
+    let updatedAt: Milliseconds;
 
     beforeEach(() => {
-        heardAt = milliseconds(0);
+        updatedAt = milliseconds(0);
     });
 
     function createBox(id: BoxId, boxes: readonly BoxId[], rate: number): EmulatedBox {
@@ -48,19 +50,19 @@
             learnsAt: Infinity,
             share: createLimitShare(
                 { self: id, server, boxes: () => box.boxes, advertisedBoxIds: () => box.boxes },
-                () => ({ rate, updatedAt: heardAt }),
+                () => ({ rate, updatedAt }),
             ),
         };
         return box;
     }
 
-    /** Every box would send in each step. Returns when requests came to the server. */
-    function play(count: number, rate: number, changes: boolean): number[] {
+    /** Runs boxes that send whenever they may; returns the times of the requests at the server. */
+    function simulate(count: number, rate: number, changes: boolean): number[] {
         const random = createSeededRandom(count * 31 + Math.ceil(rate * 100));
         let members = Array.from({ length: count }, (_, index) => boxId(`box-${index}`));
         let running = members.map(id => createBox(id, members, rate));
         const sent: number[] = [];
-        heardAt = milliseconds(0);
+        updatedAt = milliseconds(0);
         for (let time = 0; time < length; time += step) {
             if (changes && time > 0 && time % changeInterval === 0) {
                 const leaving = running[Math.floor(random() * running.length)];
@@ -68,7 +70,7 @@
                 members = [...members.filter(id => id !== leaving.id), joining];
                 running = [...running.filter(box => box !== leaving), createBox(joining, members, rate)];
                 running.forEach(box => {
-                    box.learnsAt = time + random() * longestLag;
+                    box.learnsAt = time + random() * maxLag;
                 });
             }
             for (const box of running) {
@@ -80,93 +82,93 @@
                 if (box.share.allows(at)) {
                     box.share.onSent(at);
                     sent.push(time);
-                    heardAt = at;
+                    updatedAt = at;
                 }
             }
         }
         return sent;
     }
 
-    function mostInSpan(sent: readonly number[]): number {
+    function maxInSpan(sent: readonly number[]): number {
         let first = 0;
-        let most = 0;
+        let max = 0;
         sent.forEach((time, index) => {
             while (sent[first] <= time - span) {
                 first += 1;
             }
-            most = Math.max(most, index - first + 1);
+            max = Math.max(max, index - first + 1);
         });
-        return most;
+        return max;
     }
 
     for (const count of [3, 9, 67, 195, 740]) {
-        it(`stay within it and use it: ${count} boxes near the server`, () => {
+        it(`stay within the limit and use it: ${count} boxes near the server`, () => {
             for (const rate of [0, 0.05, 0.4, 1.3, 1.7, 12, 100, 1000]) {
-                const sent = play(count, rate, false);
-                expect(mostInSpan(sent), `rate ${rate}`).to.be.at.most(borne(rate));
-                const used = sent.length / (length / 1000);
-                const usable = Math.min(rate, count * 1000 / step);
-                expect(used, `rate ${rate}`).to.be.at.least(usable >= 1 ? 0.8 * usable : 0.1);
+                const sent = simulate(count, rate, false);
+                expect(maxInSpan(sent), `rate ${rate}`).to.be.at.most(tolerated(rate));
+                const usedRate = sent.length / (length / 1000);
+                const usableRate = Math.min(rate, count * 1000 / step);
+                expect(usedRate, `rate ${rate}`).to.be.at.least(usableRate >= 1 ? 0.8 * usableRate : 0.1);
             }
         });
 
-        it(`stay within it while boxes come and go: ${count} boxes near the server`, () => {
+        it(`stay within the limit while boxes join and leave: ${count} boxes near the server`, () => {
             for (const rate of [0, 0.05, 0.4, 1.3, 1.7, 12, 100, 1000]) {
-                expect(mostInSpan(play(count, rate, true)), `rate ${rate}`).to.be.at.most(borne(rate));
+                expect(maxInSpan(simulate(count, rate, true)), `rate ${rate}`).to.be.at.most(tolerated(rate));
             }
         });
     }
 
-    it("are asked for by others, one after the other, while no holder sends anything", () => {
+    it("are probed by other boxes in turn while no holder sends a request", () => {
         const near = ["near-0", "near-1"].map(boxId);
         const all = [...near, ...Array.from({ length: 60 }, (_, index) => boxId(`far-${index}`))];
         for (const rate of [0, 0.4, 12]) {
-            heardAt = milliseconds(0);
+            updatedAt = milliseconds(0);
             const far = all.slice(2).map(self =>
                 createLimitShare(
                     { self, server, boxes: () => near, advertisedBoxIds: () => all },
-                    () => ({ rate, updatedAt: heardAt }),
+                    () => ({ rate, updatedAt }),
                 )
             );
-            const asked: number[] = [];
-            const heard: number[] = [];
+            const probes: number[] = [];
+            const pendingUpdates: number[] = [];
             for (let time = 0; time < 120_000; time += step) {
                 const at = milliseconds(time);
-                if (heard[0] <= time) {
-                    heardAt = milliseconds(heard.shift()!);
+                if (pendingUpdates[0] <= time) {
+                    updatedAt = milliseconds(pendingUpdates.shift()!);
                 }
                 for (const share of far.filter(share => share.allows(at))) {
                     share.onSent(at);
-                    asked.push(time);
-                    heard.push(time + 500);
+                    probes.push(time);
+                    pendingUpdates.push(time + 500);
                 }
             }
-            expect(asked.length, `rate ${rate}`).to.be.within(6, 20);
-            expect(mostInSpan(asked), `rate ${rate}`).to.be.at.most(2);
+            expect(probes.length, `rate ${rate}`).to.be.within(6, 20);
+            expect(maxInSpan(probes), `rate ${rate}`).to.be.at.most(2);
         }
     });
 
-    it("stay one in each turn while the server answers nobody", () => {
+    it("allow one probe per turn while the server answers no box", () => {
         const all = Array.from({ length: 60 }, (_, index) => boxId(`far-${index}`));
         const far = all.map(self =>
             createLimitShare(
                 { self, server, boxes: () => [], advertisedBoxIds: () => all },
-                () => ({ rate: 1, updatedAt: heardAt }),
+                () => ({ rate: 1, updatedAt }),
             )
         );
-        const asked: number[] = [];
+        const probes: number[] = [];
         for (let time = 0; time < 120_000; time += step) {
             const at = milliseconds(time);
             for (const share of far.filter(other => other.allows(at))) {
                 share.onSent(at);
-                asked.push(time);
+                probes.push(time);
             }
         }
-        expect(asked.length).to.be.within(20, 90);
-        expect(mostInSpan(asked)).to.be.at.most(5);
+        expect(probes.length).to.be.within(20, 90);
+        expect(maxInSpan(probes)).to.be.at.most(5);
     });
 
-    it("go back to the box when a request was not sent after all", () => {
+    it("are refunded when a request is not sent after all", () => {
         const { share } = createBox(boxId("box-0"), [boxId("box-0")], 1);
         const at = milliseconds(10_000);
         share.allows(milliseconds(0));
--- a/packages/decisions/test/server-choice.test.ts
+++ b/packages/decisions/test/server-choice.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "chai";
 import { at, createRecord, createRoute, createSetup, trialVersion } from "./choice-setup.js";
 
-/** Many servers in two regions and six zones. */
+/** Servers in two regions and six availability zones. */
 const manyServers = Array.from({ length: 120 }, (_, index) =>
     createRecord(`many-${index}`, {
         zone: availabilityZoneId(`zone-${index % 6}`),
@@ -12,13 +12,13 @@
 
 describe("server choice", () => {
     describe("affinity", () => {
-        it("sends a key to the same server again and again", () => {
+        it("sends a key to the same server each time", () => {
             const { chosen } = createSetup(fourServers);
             const first = chosen();
             expect(Array.from({ length: 20 }, () => chosen())).to.deep.equal(Array(20).fill(first));
         });
 
-        it("goes by the list as it is now, whatever it was when the key was asked for before", () => {
+        it("follows the current list, whatever it was at earlier requests for the key", () => {
             const { catalog, chosen } = createSetup(manyServers.slice(0, 90));
             const keys = Array.from({ length: 60 }, (_, key) => hashText(`key-${key}`));
             const choices = () => keys.map(keyHash => chosen({ keyHash }));
@@ -40,7 +40,7 @@
             );
         });
 
-        it("moves few keys when a server goes, and none between those that stay [P1]", () => {
+        it("moves only the keys of a removed server [P1]", () => {
             const before = createSetup(fourServers);
             const after = createSetup(fourServers.slice(1));
             for (let key = 0; key < 200; key++) {
@@ -52,7 +52,7 @@
             }
         });
 
-        it("spreads keys by slots", () => {
+        it("spreads keys in proportion to slots", () => {
             const { chosen } = createSetup([createRecord("s-1", { slots: 9 }), createRecord("s-2", { slots: 3 })]);
             let first = 0;
             for (let key = 0; key < 1000; key++) {
@@ -61,7 +61,7 @@
             expect(first).to.be.within(690, 810);
         });
 
-        it("leaves a server whose wait costs more than cold work elsewhere [P2]", () => {
+        it("leaves a server whose wait is longer than cold work elsewhere takes [P2]", () => {
             const { catalog, chosen } = createSetup(fourServers);
             const first = chosen();
             const { state } = catalog.get(backendServerId(String(first)))!;
@@ -69,7 +69,7 @@
             expect(chosen()).not.to.equal(first);
         });
 
-        it("leaves a slow server, and comes back when its slowness is forgotten", () => {
+        it("leaves a slow server, and returns when its slowness has decayed", () => {
             const { catalog, chosen } = createSetup(fourServers);
             const first = chosen();
             const { state } = catalog.get(backendServerId(String(first)))!;
@@ -88,7 +88,7 @@
             }
         };
 
-        it("get nothing while they fail requests, whatever their health, and are tried again later [P7]", () => {
+        it("get no requests while failing, even if health checks succeed, and are tried again later [P7]", () => {
             const setup = createSetup(fourServers);
             const first = setup.chosen();
             fail(setup, String(first), 2);
@@ -96,14 +96,14 @@
             expect(setup.chosen({ at: milliseconds(at + 10_000) })).to.equal(first);
         });
 
-        it("are not made by one failure among good answers", () => {
+        it("don't result from one failure among good answers", () => {
             const setup = createSetup(fourServers);
             const first = setup.chosen();
             fail(setup, String(first), 1);
             expect(setup.chosen()).to.equal(first);
         });
 
-        it("are not told apart when most servers fail, so that no service is emptied", () => {
+        it("are kept if most servers fail, so that no service is emptied", () => {
             const setup = createSetup(fourServers);
             const first = setup.chosen();
             fourServers.slice(0, 3).forEach(record => fail(setup, record.id, 4));
@@ -111,14 +111,14 @@
             expect(setup.chosen()).to.equal(first);
         });
 
-        it("are left out up to half of the service", () => {
+        it("are left out up to half of the servers", () => {
             const setup = createSetup(fourServers);
             ["s-1", "s-2"].forEach(server => fail(setup, server, 4));
             const chosen = Array.from({ length: 100 }, (_, key) => setup.chosen({ keyHash: hashText(`key-${key}`) }));
             expect([...new Set(chosen)].sort()).to.deep.equal([backendServerId("s-3"), backendServerId("s-4")]);
         });
 
-        it("are servers three times slower than expected too, though cold work elsewhere takes as long [P7]", () => {
+        it("include servers three times slower than expected, although cold work elsewhere takes as long [P7]", () => {
             const setup = createSetup(fourServers);
             const first = setup.chosen();
             const { state } = setup.catalog.get(backendServerId(String(first)))!;
@@ -129,7 +129,7 @@
     });
 
     describe("overload", () => {
-        it("moves a key to one other server only, while slots are short", () => {
+        it("moves a key to only one other server while slots are short", () => {
             const setup = createSetup(fourServers, [], 0.9);
             const seen = new Set<unknown>();
             for (let load = 0; load < 40; load++) {
@@ -142,7 +142,7 @@
             expect(seen.size).to.equal(2);
         });
 
-        /** Sends requests of one key until one is refused, and returns the refusal. */
+        /** Sends requests for one key until one is refused, and returns the refusal. */
         const fill = (setup: ReturnType<typeof createSetup>) => {
             for (;;) {
                 const choice = setup.choose(setup.request());
@@ -153,14 +153,14 @@
             }
         };
 
-        it("refuses a request that would wait past its goal, and says how long the wait is [P2]", () => {
+        it("refuses a request whose wait exceeds the route's goal, and reports the wait [P2]", () => {
             const setup = createSetup(fourServers);
             const refusal = fill(setup);
             expect(refusal.kind).to.equal("crowded");
             expect(refusal.kind === "crowded" && refusal.wait).to.be.within(400, 450);
         });
 
-        it("sends a request on to the next server with a free slot, unless slots are short in the whole service", () => {
+        it("tries later servers with a free slot unless slots are short in the whole service", () => {
             const servedBy = (loadPerSlot: number) => {
                 const setup = createSetup(fourServers, [], loadPerSlot);
                 const used = new Set<string>();
@@ -178,7 +178,7 @@
             expect(servedBy(1.5)).to.be.at.most(2);
         });
 
-        it("goes to a free server rather than wait behind the long work of another route", () => {
+        it("prefers a free server to a wait behind long work of another route", () => {
             const setup = createSetup(fourServers);
             const quick = createRoute({ name: "status", goal: milliseconds(300) });
             const long = createRoute({ name: "history", goal: milliseconds(1500) });
@@ -186,7 +186,7 @@
             const { state } = setup.catalog.get(backendServerId(String(first)))!;
             const { service } = setup.request();
             for (let count = 0; count < 8; count++) {
-                setup.work.onSent(service, long);
+                setup.workEstimate.onSent(service, long);
                 state.onSent();
             }
             const next = setup.chosen({ route: quick });
@@ -194,10 +194,10 @@
             expect(setup.catalog.get(backendServerId(String(next)))?.state.load(at)).to.equal(0);
         });
 
-        it("serves a download in another zone when the servers of the own zone are full", () => {
-            const own = ["s-1", "s-2", "s-3"].map(name => createRecord(name));
-            const near = ["n-1", "n-2"].map(name => createRecord(name, { zone: availabilityZoneId("north-b") }));
-            const setup = createSetup([...own, ...near]);
+        it("sends a download to another zone when the servers of its zone are full", () => {
+            const ownZone = ["s-1", "s-2", "s-3"].map(name => createRecord(name));
+            const otherZone = ["n-1", "n-2"].map(name => createRecord(name, { zone: availabilityZoneId("north-b") }));
+            const setup = createSetup([...ownZone, ...otherZone]);
             const route = createRoute({ kind: "download" });
             const served = new Set<string>();
             for (let key = 0; key < 200; key++) {
@@ -210,7 +210,7 @@
             expect([...served].sort()).to.deep.equal(["n-1", "n-2", "s-1", "s-2", "s-3"]);
         });
 
-        it("refuses work on unknown objects sooner while the service is short of slots [P2]", () => {
+        it("refuses cold work at a shorter wait while slots are short in the service [P2]", () => {
             const wait = (loadPerSlot: number) => {
                 const refusal = fill(createSetup(fourServers, [], loadPerSlot));
                 return refusal.kind === "crowded" ? refusal.wait : undefined;
@@ -218,15 +218,15 @@
             expect(wait(2)).to.be.lessThan(Number(wait(0)) * 0.6);
         });
 
-        it("takes a caller that comes back where another one would be refused", () => {
+        it("accepts a caller's retry where a first request would be refused", () => {
             const setup = createSetup(fourServers);
             fill(setup);
             expect(setup.choose(setup.request({ isCallerRetry: true })).kind).to.equal("chosen");
         });
     });
 
-    describe("who may serve", () => {
-        it("leaves out draining, unlisted, replaced and tried servers [P6]", () => {
+    describe("eligible servers", () => {
+        it("exclude draining, unlisted, replaced and tried servers [P6]", () => {
             const records = [createRecord("s-1", { draining: true }), ...fourServers.slice(1)];
             const { catalog, chosen } = createSetup(records);
             catalog.get(backendServerId("s-2"))!.state.onReplaced();
@@ -237,7 +237,7 @@
             expect(chosen({ tried: new Set([backendServerId("s-4")]) })).to.equal("noServer");
         });
 
-        it("leaves out closed zones and regions that are no home of the route [P15] [P16]", () => {
+        it("exclude closed zones and regions that are not allowed [P15] [P16]", () => {
             const records = [
                 createRecord("s-1"),
                 createRecord("s-2", { zone: availabilityZoneId("north-b") }),
@@ -252,13 +252,13 @@
             }
         });
 
-        it("refuses when the answer can't come in time [P2]", () => {
-            const { choose, request, work } = createSetup(fourServers);
-            work.onMeasured(request().route, true, milliseconds(150));
+        it("refuse a request that can't be answered before its deadline [P2]", () => {
+            const { choose, request, workEstimate } = createSetup(fourServers);
+            workEstimate.onMeasured(request().route, true, milliseconds(150));
             expect(choose(request({ timeLeft: milliseconds(20) })).kind).to.equal("tooLate");
         });
 
-        it("refuses nothing by a guess as long as no answer was measured", () => {
+        it("refuse no request as too late before an answer was measured", () => {
             const { choose, request } = createSetup(fourServers);
             expect(choose(request({ timeLeft: milliseconds(20) })).kind).to.equal("chosen");
         });
@@ -271,22 +271,22 @@
         ]);
         const keys = Array.from({ length: 60 }, (_, key) => hashText(`key-${key}`));
 
-        it("have their own requests only, and keep the keys' servers as without the other version", () => {
-            const alone = createSetup(manyServers);
-            const beside = createSetup(twoVersions);
-            const expected = keys.map(keyHash => alone.chosen({ keyHash }));
-            expect(keys.map(keyHash => beside.chosen({ keyHash }))).to.deep.equal(expected);
-            const isNew = (keyHash: number) => String(beside.chosen({ keyHash, isTrial: true })).endsWith("-new");
+        it("get only their own requests, and keep the servers of keys as without the other version", () => {
+            const withoutTrial = createSetup(manyServers);
+            const withTrial = createSetup(twoVersions);
+            const expected = keys.map(keyHash => withoutTrial.chosen({ keyHash }));
+            expect(keys.map(keyHash => withTrial.chosen({ keyHash }))).to.deep.equal(expected);
+            const isNew = (keyHash: number) => String(withTrial.chosen({ keyHash, isTrial: true })).endsWith("-new");
             expect(keys.every(isNew)).to.equal(true);
-            expect(keys.map(keyHash => beside.chosen({ keyHash }))).to.deep.equal(expected);
+            expect(keys.map(keyHash => withTrial.chosen({ keyHash }))).to.deep.equal(expected);
         });
 
-        it("are tried at servers that do badly as well, whose failures move no other request", () => {
-            const [old, fresh] = [createRecord("old"), createRecord("old-2")];
-            const tried = createRecord("new", { version: trialVersion });
-            const { catalog, chosen } = createSetup([old, fresh, tried]);
+        it("are tried at failing servers as well, whose failures don't affect requests of the other version", () => {
+            const [old, otherOld] = [createRecord("old"), createRecord("old-2")];
+            const trial = createRecord("new", { version: trialVersion });
+            const { catalog, chosen } = createSetup([old, otherOld, trial]);
             for (let failure = 0; failure < 20; failure++) {
-                catalog.get(tried.id)!.state.onResult(at, false);
+                catalog.get(trial.id)!.state.onResult(at, false);
             }
             expect(chosen({ isTrial: true })).to.equal("new");
             catalog.get(old.id)!.state.onResult(at, false);
@@ -294,14 +294,14 @@
             expect(keys.every(keyHash => chosen({ keyHash }) === "old-2")).to.equal(true);
         });
 
-        it("are not tried where no server of theirs may take the request", () => {
+        it("are not tried if they have no server", () => {
             const { chosen } = createSetup(manyServers);
             expect(chosen({ isTrial: true })).to.equal("noServer");
         });
     });
 
     describe("cold servers", () => {
-        it("get no more than their rate [P14]", () => {
+        it("get no more requests than their rate [P14]", () => {
             const { catalog, choose, request } = createSetup([createRecord("s-1", { coldFor: milliseconds(3000) })]);
             let sent = 0;
             for (let time = 0; time < 1000; time += 5) {
@@ -317,24 +317,24 @@
     });
 
     describe("servers that ask for back-off [P28]", () => {
-        const rest = milliseconds(3000);
+        const backoff = milliseconds(3000);
         const names = ["s-1", "s-2", "s-3"];
 
-        function setUp(resting: readonly string[]) {
+        function setUp(backedOff: readonly string[]) {
             const setup = createSetup(names.map(name => createRecord(name)));
-            resting.forEach(name => setup.catalog.get(backendServerId(name))!.state.onBackoff(at, rest));
+            backedOff.forEach(name => setup.catalog.get(backendServerId(name))!.state.onBackoff(at, backoff));
             return setup;
         }
 
-        it("get nothing, first tries and trials alike, and are back when it is over", () => {
+        it("get neither first nor further attempts until the back-off ends", () => {
             const { chosen } = setUp(["s-1", "s-2"]);
             expect(chosen()).to.equal("s-3");
             expect(chosen({ tried: new Set([backendServerId("s-3")]) })).to.equal("noServer");
-            const over = { at: milliseconds(at + rest), tried: new Set([backendServerId("s-3")]) };
-            expect(chosen(over)).to.be.oneOf(["s-1", "s-2"]);
+            const afterBackoff = { at: milliseconds(at + backoff), tried: new Set([backendServerId("s-3")]) };
+            expect(chosen(afterBackoff)).to.be.oneOf(["s-1", "s-2"]);
         });
 
-        it("are known to have asked for back-off where no other is left, also by a request that has tried one", () => {
+        it("lead to a refusal as backed off if no other is left, also after attempts at them", () => {
             const { catalog, chosen } = setUp(names);
             expect(chosen()).to.equal("allBackedOff");
             expect(chosen({ tried: new Set(names.map(backendServerId)) })).to.equal("allBackedOff");
@@ -343,7 +343,7 @@
         });
     });
 
-    describe("servers that name limits", () => {
+    describe("servers with rate limits", () => {
         const names = Array.from({ length: 8 }, (_, index) => `s-${index}`);
         const keyOf = (index: number) => hashText(`key-${index}`);
         const limited = (...servers: readonly string[]) => {
@@ -353,42 +353,42 @@
             );
             return setup;
         };
-        /** Milliseconds after which this box has earned a request to each limited server. */
-        const earned = milliseconds(at + 2000);
+        /** Time at which this box has earned a request to each limited server. */
+        const earnedAt = milliseconds(at + 2000);
 
-        it("get nothing before it is earned, and their keys go to others", () => {
+        it("get no request before it is earned, and their keys go to others", () => {
             const { chosen } = limited("s-0", "s-1", "s-2");
             const servers = new Set(Array.from({ length: 200 }, (_, index) => chosen({ keyHash: keyOf(index) })));
             expect([...servers].sort()).to.deep.equal(["s-3", "s-4", "s-5", "s-6", "s-7"]);
         });
 
-        it("are refused as limited where all of them have had what they take", () => {
+        it("lead to a refusal as limited if all of them have reached their limits", () => {
             const { chosen } = limited(...names);
             expect(chosen()).to.equal("allLimited");
         });
 
-        it("take the keys that rank them first, and no others, where all are limited", () => {
-            const usual = limited();
+        it("take only keys that rank them among the compared servers if all are limited", () => {
+            const unlimited = limited();
             const { catalog, choose, request } = limited(...names);
-            // Asked for once, so that each part begins to be earned.
+            // The first request starts the earning at each server.
             choose(request());
             let taken = 0;
             for (let index = 0; index < 400; index++) {
                 const keyHash = keyOf(index);
-                const choice = choose(request({ keyHash, at: earned }));
+                const choice = choose(request({ keyHash, at: earnedAt }));
                 if (choice.kind !== "chosen") {
                     continue;
                 }
                 taken += 1;
-                catalog.get(choice.server.id)!.state.onChosen(earned);
-                const compared = usual.choose(request({ keyHash }));
+                catalog.get(choice.server.id)!.state.onChosen(earnedAt);
+                const compared = unlimited.choose(request({ keyHash }));
                 const own = compared.kind === "chosen" ? [compared.server.id, compared.runnerUp?.server] : [];
                 expect(own).to.include(choice.server.id);
             }
             expect(taken).to.equal(8);
         });
 
-        it("get no trial beyond the limit when they are ejected", () => {
+        it("get no last-resort request beyond their limit when they are ejected", () => {
             const setup = limited("s-0");
             names.forEach(name => setup.catalog.get(backendServerId(name))!.state.onFailure(at, "unreachable"));
             const tried = new Set(Array.from({ length: 100 }, (_, index) => setup.chosen({ keyHash: keyOf(index) })));
--- a/packages/decisions/test/server-incarnation.test.ts
+++ b/packages/decisions/test/server-incarnation.test.ts
@@ -1,7 +1,7 @@
 /**
- * A server starts again under the id that it had. What boxes had learned of its
- * earlier life held on: that it was leaving or had been replaced, its ejection, load,
- * speed and keys, since nothing told two lives of one id apart.
+ * Guards against applying the state of an earlier incarnation to a server that has
+ * restarted under its id: that it was leaving or had been replaced, its ejection,
+ * load, speed and keys. This happens if the id alone identifies a server.
  */
 
 import {
@@ -31,7 +31,7 @@
 
 const unbounded = { allows: () => true, onSent: () => undefined, onNotSent: () => undefined };
 
-describe("lives of a server", () => {
+describe("server incarnations", () => {
     let catalog: ServerCatalog;
     let now: Milliseconds;
     let revision: number;
@@ -67,7 +67,7 @@
     const exclusion = () => state().exclusionReason(now);
 
     describe("a later one", () => {
-        it("inherits nothing, whatever was learned of the one before", () => {
+        it("inherits no state of the one before", () => {
             apply(born(firstBirth));
             const before = catalog.get(id)!;
             before.state.onReplaced();
@@ -83,7 +83,7 @@
             expect(state().healthCheckDueAt()).to.equal(undefined);
         });
 
-        it("keeps a back-off that was asked for just now: its answers come before its record", () => {
+        it("keeps a back-off that was just requested, since its answers can arrive before its record", () => {
             apply(born(firstBirth));
             state().onBackoff(now, milliseconds(3000));
             now = milliseconds(2500);
@@ -93,7 +93,7 @@
             expect(exclusion()).to.equal(undefined);
         });
 
-        it("has nothing of a back-off that was asked for long before", () => {
+        it("drops a back-off that was requested long before", () => {
             apply(born(firstBirth));
             state().onBackoff(now, milliseconds(60_000));
             now = milliseconds(10_000);
@@ -101,7 +101,7 @@
             expect(exclusion()).to.equal(undefined);
         });
 
-        it("is not struck by the end of requests that are still at the one before", () => {
+        it("is not affected when requests at the one before end", () => {
             apply(born(firstBirth));
             const before = catalog.get(id)!;
             before.state.onSent();
@@ -112,16 +112,16 @@
             expect([catalog.hasSuccessor(before), catalog.hasSuccessor(catalog.get(id)!)]).to.deep.equal([true, false]);
         });
 
-        it("is another one's only under the same id: an entry with the address of a server ends no life", () => {
+        it("needs the same id: another id at the address of a server is no new incarnation", () => {
             apply(born(firstBirth));
             const server = catalog.get(id)!;
-            const stranger = { ...born(firstBirth), id: backendServerId("i-stranger") };
-            apply(server.state.record(), stranger);
+            const otherServer = { ...born(firstBirth), id: backendServerId("i-stranger") };
+            apply(server.state.record(), otherServer);
             expect([catalog.hasNewIncarnation(server), catalog.hasSuccessor(server)]).to.deep.equal([false, true]);
             expect(exclusion()).to.equal(undefined);
         });
 
-        it("may have requests though the one before was leaving, or had gone", () => {
+        it("may take requests although the one before was draining or unlisted", () => {
             apply(born(firstBirth, { draining: true }));
             expect(exclusion()).to.equal("draining");
             apply(born(firstBirth + 1));
@@ -132,7 +132,7 @@
             expect(exclusion()).to.equal(undefined);
         });
 
-        it("is cold anew, and ranked anew", () => {
+        it("is cold and ranked again", () => {
             apply(born(firstBirth));
             const version = catalog.version();
             apply(born(firstBirth + 1, { coldFor: milliseconds(3000) }));
@@ -143,20 +143,20 @@
     });
 
     describe("the same one", () => {
-        it("keeps what was learned of it", () => {
+        it("keeps its state", () => {
             apply(born(firstBirth));
             state().onFailure(now, "unreachable");
             expect(apply(born(firstBirth, { slots: 5 })).restarted).to.deep.equal([]);
             expect(exclusion()).to.equal("ejected");
         });
 
-        it("does not take back that it leaves", () => {
+        it("stays draining", () => {
             apply(born(firstBirth, { draining: true }));
             apply(born(firstBirth));
             expect(exclusion()).to.equal("draining");
         });
 
-        it("is told by the id alone where a birth is not told, as in copies of earlier releases", () => {
+        it("is identified by the id alone without a time of birth, as in snapshots of earlier releases", () => {
             apply(recordOf({ draining: true }));
             apply(recordOf());
             expect(exclusion()).to.equal(undefined);
@@ -169,8 +169,8 @@
         });
     });
 
-    describe("an earlier one that is told of later", () => {
-        it("revives nothing while its record may be a write that was done late", () => {
+    describe("an earlier one whose record arrives later", () => {
+        it("revives nothing while its record may be a delayed write", () => {
             apply(born(firstBirth + 1, { draining: true }));
             apply(born(firstBirth));
             expect(exclusion()).to.equal("draining");
@@ -191,7 +191,7 @@
             expect(state().slowness(now)).to.equal(slowness);
         });
 
-        it("is a new life of a server whose clock was set back, once it stands for long", () => {
+        it("counts as a new one with its clock set back after the grace period", () => {
             apply(born(firstBirth + 60_000));
             apply(born(firstBirth));
             now = milliseconds(now + lateWriteGracePeriod - 1);
@@ -211,14 +211,14 @@
         });
     });
 
-    it("never leave a server in use whose latest record says that it leaves, whatever came before", () => {
-        const told = fc.record({
+    it("never leave a server in use whose latest record is draining, after any history", () => {
+        const listEntry = fc.record({
             birth: fc.integer({ min: 0, max: 3 }),
             draining: fc.boolean(),
             isListed: fc.boolean(),
         });
         fc.assert(
-            fc.property(fc.array(told, { minLength: 1, maxLength: 12 }), history => {
+            fc.property(fc.array(listEntry, { minLength: 1, maxLength: 12 }), history => {
                 catalog = createServerCatalog((record, at) =>
                     createServerState(record, at, {
                         recordPropagationDelay: milliseconds(0),
@@ -237,20 +237,20 @@
         );
     });
 
-    it("are not judged by what other boxes saw of the one before", () => {
-        const evidence = createOutlierReports(boxId("box-1"));
+    it("are not affected by other boxes' reports of the one before", () => {
+        const outlierReports = createOutlierReports(boxId("box-1"));
         const report = (origin: string, at: Milliseconds) =>
-            evidence.onReport({ server: id, origin: boxId(origin), severity: 3, at }, now);
+            outlierReports.onReport({ server: id, origin: boxId(origin), severity: 3, at }, now);
         report("box-2", now);
         report("box-3", now);
-        expect(evidence.severity(id, 1, now)).to.equal(3);
-        evidence.forget(id, now);
-        expect(evidence.severity(id, 1, now)).to.equal(0);
+        expect(outlierReports.severity(id, 1, now)).to.equal(3);
+        outlierReports.forget(id, now);
+        expect(outlierReports.severity(id, 1, now)).to.equal(0);
         report("box-2", milliseconds(now - 100));
         report("box-3", milliseconds(now - 100));
-        expect(evidence.severity(id, 1, now)).to.equal(0);
+        expect(outlierReports.severity(id, 1, now)).to.equal(0);
         report("box-2", milliseconds(now + 1));
         report("box-3", milliseconds(now + 1));
-        expect(evidence.severity(id, 1, now)).to.equal(3);
+        expect(outlierReports.severity(id, 1, now)).to.equal(3);
     });
 });
--- a/packages/decisions/test/server-rate-limit.test.ts
+++ b/packages/decisions/test/server-rate-limit.test.ts
@@ -2,11 +2,11 @@
 import { expect } from "chai";
 import { createServerRateLimit, type LimitUpdate } from "../src/index.js";
 
-describe("the limit that a server names [P27]", () => {
+describe("server rate limit [P27]", () => {
     const named = (rate: number, at: number): LimitUpdate => ({ kind: "named", rate, at: milliseconds(at) });
     const ended = (at: number): LimitUpdate => ({ kind: "ended", at: milliseconds(at) });
 
-    it("begins, changes and ends by the server's word", () => {
+    it("begins, changes and ends with updates of the server", () => {
         const limit = createServerRateLimit();
         expect(limit.onUpdate(ended(1))).to.equal(false);
         expect(limit.rate()).to.equal(undefined);
@@ -18,7 +18,7 @@
         expect(limit.rate()).to.equal(undefined);
     });
 
-    it("holds on when an answer comes late whose request was sent before it was named", () => {
+    it("ignores a late answer to a request that was sent before the limit was stated", () => {
         const limit = createServerRateLimit();
         limit.onUpdate(named(2, 100));
         expect(limit.onUpdate(ended(90))).to.equal(false);
@@ -26,16 +26,16 @@
         expect(limit.rate()).to.equal(2);
     });
 
-    it("goes by the newest word whatever the order", () => {
-        const words = [named(2, 100), named(5, 150), ended(200), named(3, 180)];
-        for (const order of [words, [...words].reverse(), [words[2], words[0], words[3], words[1]]]) {
+    it("applies the latest update in any order of arrival", () => {
+        const updates = [named(2, 100), named(5, 150), ended(200), named(3, 180)];
+        for (const order of [updates, [...updates].reverse(), [updates[2], updates[0], updates[3], updates[1]]]) {
             const limit = createServerRateLimit();
             order.forEach(limit.onUpdate);
             expect(limit.rate()).to.equal(undefined);
         }
     });
 
-    it("tells others of another limit, not of each answer that names it a little differently", () => {
+    it("reports a changed limit to others, but not a slightly different rate", () => {
         const limit = createServerRateLimit();
         expect(limit.onUpdate(named(2, 1))).to.equal(true);
         expect(limit.onUpdate(named(2.1, 2))).to.equal(false);
--- a/packages/decisions/test/server-state.test.ts
+++ b/packages/decisions/test/server-state.test.ts
@@ -10,8 +10,8 @@
 import { expect } from "chai";
 import { createServerState, createSlowStart } from "../src/index.js";
 
-describe("the state of a server", () => {
-    const never = { allows: () => false, onSent: () => undefined, onNotSent: () => undefined };
+describe("server state", () => {
+    const noRequests = { allows: () => false, onSent: () => undefined, onNotSent: () => undefined };
     const at = (time: number): Milliseconds => milliseconds(time);
     const create = () =>
         createServerState(
@@ -27,11 +27,11 @@
                 revision: 1,
             },
             at(0),
-            { recordPropagationDelay: at(0), slowStart: never, createLimitShare: () => never },
+            { recordPropagationDelay: at(0), slowStart: noRequests, createLimitShare: () => noRequests },
         );
 
     describe("ejection", () => {
-        it("follows one refused connection, or three broken answers in a row", () => {
+        it("follows one refused connection or three consecutive broken answers", () => {
             const state = create();
             state.onFailure(at(0), "brokeOff");
             state.onFailure(at(1), "brokeOff");
@@ -43,7 +43,7 @@
             expect(other.exclusionReason(at(0))).to.equal("ejected");
         });
 
-        it("ends with a good health check, each that fails is followed by a longer pause", () => {
+        it("ends with a successful health check, and each failed one doubles the delay", () => {
             const state = create();
             state.onFailure(at(0), "unreachable");
             expect(state.healthCheckDueAt()).to.equal(500);
@@ -56,7 +56,7 @@
             expect(state.healthCheckDueAt()).to.equal(undefined);
         });
 
-        it("asks nothing more of a server that discovery no longer lists", () => {
+        it("schedules no health check of an unlisted server", () => {
             const state = create();
             state.onFailure(at(0), "unreachable");
             state.onUnlisted();
@@ -65,7 +65,7 @@
     });
 
     describe("load", () => {
-        it("is this box's own requests and, for a while, what the server told of others", () => {
+        it("consists of this box's requests and, for a while, the reported ones of other boxes", () => {
             const state = create();
             state.onSent();
             state.onSent();
@@ -76,7 +76,7 @@
             expect(state.load(at(9000))).to.equal(1);
         });
 
-        it("is great for a moment after a refusal as full [P2]", () => {
+        it("counts as full for a moment after the server rejected a request as full [P2]", () => {
             const state = create();
             state.onFull(at(0));
             expect(state.load(at(59))).to.equal(12);
@@ -84,8 +84,8 @@
         });
     });
 
-    describe("a server that says it is leaving", () => {
-        it("gets nothing more and no health check, though a record of the same life is written later", () => {
+    describe("a server that announces that it is leaving", () => {
+        it("gets no requests or health checks, even after a later record of the same incarnation", () => {
             const state = create();
             state.onLeaving();
             state.applyRecord({ ...state.record(), revision: 2 }, at(5000));
@@ -97,7 +97,7 @@
     });
 
     describe("a server that asks for back-off", () => {
-        it("gets nothing until it is over, and no health check", () => {
+        it("gets no requests or health checks until it ends", () => {
             const state = create();
             state.onFailure(at(0), "unreachable");
             state.onBackoff(at(100), milliseconds(3000));
@@ -106,7 +106,7 @@
             expect(state.exclusionReason(at(3100))).to.equal("ejected");
         });
 
-        it("has the longer of two back-offs, and a bounded one by a figure beyond all reason", () => {
+        it("gets the longer of two back-offs, and a bounded one if the duration is excessive", () => {
             const state = create();
             state.onBackoff(at(0), milliseconds(3000));
             state.onBackoff(at(100), milliseconds(1000));
@@ -117,7 +117,7 @@
     });
 
     describe("cold time", () => {
-        it("goes by what the server says, and bounds what it gets [P14]", () => {
+        it("follows the server's announcement and bounds its requests [P14]", () => {
             const state = create();
             expect(state.exclusionReason(at(0))).to.equal(undefined);
             state.onCold(at(0), at(1000));
@@ -127,7 +127,7 @@
     });
 
     describe("a cold server", () => {
-        it("is not chosen again while the connection of the request that it was chosen for comes up", () => {
+        it("is not chosen again while the connection for a chosen request is opening", () => {
             const coldFor = milliseconds(5000);
             const box = boxId("box-1");
             const slowStart = createSlowStart({
@@ -139,7 +139,7 @@
             const state = createServerState({ ...create().record(), coldFor }, at(0), {
                 recordPropagationDelay: at(0),
                 slowStart,
-                createLimitShare: () => never,
+                createLimitShare: () => noRequests,
             });
             expect(state.exclusionReason(at(10))).to.equal(undefined);
             state.onChosen(at(10));
--- a/packages/decisions/test/service-load.test.ts
+++ b/packages/decisions/test/service-load.test.ts
@@ -10,7 +10,7 @@
         expect(createServiceLoad().perSlot(service)).to.equal(0);
     });
 
-    it("follows what servers report, over several reports", () => {
+    it("follows the reports of servers with smoothing", () => {
         const load = createServiceLoad();
         load.onReport(service, full);
         expect(load.perSlot(service)).to.be.within(0, 0.2);
@@ -18,13 +18,13 @@
         expect(load.perSlot(service)).to.be.within(1.9, 2);
     });
 
-    it("keeps services apart", () => {
+    it("is kept for each service", () => {
         const load = createServiceLoad();
         Array.from({ length: 100 }, () => load.onReport(service, full));
         expect(load.perSlot(serviceId("saves"))).to.equal(0);
     });
 
-    it("takes nothing from a report without slots", () => {
+    it("ignores a report without slots", () => {
         const load = createServiceLoad();
         load.onReport(service, { running: 1, waiting: 0, slots: 0 });
         expect(load.perSlot(service)).to.equal(0);
--- a/packages/decisions/test/slow-start.test.ts
+++ b/packages/decisions/test/slow-start.test.ts
@@ -3,17 +3,17 @@
 import { createSlowStart } from "../src/index.js";
 
 describe("slow start [P14]", () => {
-    it("keeps all boxes together within the rate and one request for each sender", () => {
-        const names = Array.from({ length: 80 }, (_, index) => boxId(`box-${index}`));
-        const admissions = names.map(self =>
-            createSlowStart({ self, server: backendServerId("s-1"), boxes: () => names, rate: () => 14 })
+    it("keeps all boxes together within the rate plus one request per sender", () => {
+        const boxes = Array.from({ length: 80 }, (_, index) => boxId(`box-${index}`));
+        const shares = boxes.map(self =>
+            createSlowStart({ self, server: backendServerId("s-1"), boxes: () => boxes, rate: () => 14 })
         );
         const sent: number[] = [];
         for (let time = 0; time < 3000; time += 5) {
             const at = milliseconds(time);
-            for (const admission of admissions) {
-                if (admission.allows(at)) {
-                    admission.onSent(at);
+            for (const share of shares) {
+                if (share.allows(at)) {
+                    share.onSent(at);
                     sent.push(time);
                 }
             }
@@ -24,12 +24,12 @@
         }
     });
 
-    it("lets no box send that is not among the senders to choose from", () => {
+    it("admits nothing from a box that is not among the possible senders", () => {
         const senders = ["a", "b", "c"].map(name => boxId(name));
         const others = Array.from({ length: 20 }, (_, index) => boxId(`box-${index}`));
-        const admissions = others.map(self =>
+        const shares = others.map(self =>
             createSlowStart({ self, server: backendServerId("s-1"), boxes: () => senders, rate: () => 14 })
         );
-        expect(admissions.filter(admission => admission.allows(milliseconds(0)))).to.deep.equal([]);
+        expect(shares.filter(share => share.allows(milliseconds(0)))).to.deep.equal([]);
     });
 });
