--- a/packages/decisions/src/choose/server-choice.ts
+++ b/packages/decisions/src/choose/server-choice.ts
@@ -4,7 +4,7 @@
  * 1. Candidates: servers of the service that this request has not tried, in
  *    availability zones that admit requests and in allowed regions (`eligible-servers`).
  * 2. Of these, servers that may take a request now, without `outliers`: those whose
- *    severity is twice the median of the service, at most half of its servers.
+ *    severity is more than twice the median of the service, at most half of its servers.
  * 3. The first two in the ranking of the request's key (`server-ranking`, `key-rankings`).
  * 4. Of the two, the one with the lowest expected time: round trip, wait and work, which
  *    is shorter at a server that is warm for the key (`server-estimate`). A key whose first
--- a/packages/decisions/src/servers/server-state.ts
+++ b/packages/decisions/src/servers/server-state.ts
@@ -104,8 +104,8 @@
     /** 1 for a server of normal speed, more for a slow one. */
     readonly slowness: (at: Milliseconds) => number;
     /**
-     * Severity of the server's failures and slowness, independent of health checks: above 1 it may be an outlier or is
-     * ejected.
+     * Severity of the server's failures and slowness: above 1 it has recently failed many requests, is slow or is
+     * ejected, even if its health checks succeed.
      */
     readonly severity: (at: Milliseconds) => number;
     /** Requests of this box at the server. */
