--- a/packages/decisions/src/shared-state/configuration.ts
+++ b/packages/decisions/src/shared-state/configuration.ts
@@ -1,26 +1,29 @@
 /**
  * The configuration in force: routes, services and limits, as one immutable value.
  *
- * Versions only go up. A process never replaces a configuration by one with a
+ * Versions only increase. A process never replaces a configuration by one with a
  * lower version.
  *
- * Owns nothing; the fields stand in the snapshots between boxes. No rule goes by
- * `priority`, `warmup`, `maxHeaderBytes` and `headerTimeout` yet.
+ * Owns nothing. The types are sent as JSON in snapshots between boxes, so their members
+ * keep their names. `warmup`, `maxHeaderBytes` and `headerTimeout` have no effect yet.
  */
 
 import type { CustomerId, CustomerKey, Milliseconds, RegionId, ServiceId } from "@chalkdale/kernel";
 
-/** Whether a request may run more than once. Downloads are idempotent and have large answers; uploads run at most once and have large bodies. */
+/**
+ * Whether a request may run more than once. Downloads are idempotent and have large answers; uploads run at most once
+ * and have large bodies.
+ */
 export type RouteKind = "safe" | "unsafe" | "download" | "upload";
 
-/** One destination of a route and its part of the requests. */
+/** One destination of a route and its share of the requests. */
 export interface WeightedService {
     readonly service: ServiceId;
-    /** Relative to the other destinations of the route; 0 gets nothing. */
+    /** Relative to the other destinations of the route; a destination with weight 0 gets no requests. */
     readonly weight: number;
 }
 
-/** Where requests of one host and path prefix go, and within which limits. */
+/** Where requests with one host and path prefix are sent, and the limits that apply to them. */
 export interface Route {
     readonly name: string;
     readonly host: string;
@@ -29,44 +32,44 @@
     readonly kind: RouteKind;
     /** One destination, or several between which requests are divided. */
     readonly destinations: readonly WeightedService[];
-    /** Time within which an answer is worth its full credit. */
+    /** Target time: an answer within it has its full value. */
     readonly goal: Milliseconds;
-    /** Longest time that a request is held. */
+    /** Maximum time for which a box keeps a request. */
     readonly timeout: Milliseconds;
-    /** Most servers that one request may be sent to. */
+    /** Maximum number of servers to which one request may be sent. */
     readonly maxAttempts: number;
     /** 0 is the most urgent. */
     readonly priority: number;
-    /** Servers work faster on an object that they worked on lately. */
+    /** Servers work faster on an object that they have worked on recently. */
     readonly sticky: boolean;
     /** The only regions that may serve the route; empty when all may. */
     readonly homeRegions: readonly RegionId[];
-    /** Needs no key, whoever may ask elsewhere. */
+    /** Callers need no key for this route, even if other routes require one. */
     readonly isPublic: boolean;
 }
 
-/** One customer: whose requests are counted together, and how its callers show that they are its own. */
+/** One customer: the quota, regions and priority of its requests, and the keys by which its callers are recognized. */
 export interface Customer {
     readonly id: CustomerId;
-    /** A key belongs to one customer at a time; later versions add keys and take them away. */
+    /** A key belongs to one customer at a time; later versions may add and remove keys. */
     readonly keys: readonly CustomerKey[];
-    /** Goes before the priority of the route, 0 is the most urgent; undefined if the customer has none. */
+    /** Takes precedence over the priority of the route, 0 is the most urgent; undefined if the customer has none. */
     readonly priority: number | undefined;
-    /** Requests that all boxes together admit; undefined when there is no limit. */
+    /** Bound on the requests that all boxes together admit; undefined if there is none. */
     readonly quota: CustomerQuota | undefined;
     /** The only regions that may serve the customer; empty when all may. */
     readonly homeRegions: readonly RegionId[];
 }
 
-/** Bound on a customer's requests over all boxes. */
+/** Bound on a customer's requests, over all boxes. */
 export interface CustomerQuota {
-    /** Requests a second. */
+    /** Requests per second. */
     readonly rate: number;
-    /** Requests besides, in any window. */
+    /** Requests beyond the rate that are admitted in any window. */
     readonly burst: number;
 }
 
-/** Who may ask: anyone, or only callers with a key of a customer. */
+/** Who may send requests: anyone, or only callers with a key of a customer. */
 export type CallerAccess =
     | { readonly kind: "anyone"; }
     | { readonly kind: "customers"; readonly customers: readonly Customer[]; };
@@ -77,9 +80,9 @@
     readonly healthPath: string;
     /** Connections that one server accepts from all callers together. */
     readonly maxConnections: number;
-    /** Time for which a newly started server is cold. */
+    /** Time for which a server stays cold after its start. */
     readonly warmup: Milliseconds;
-    /** Requests a second that a cold server can serve, from all boxes together. */
+    /** Requests per second that a cold server can serve, from all boxes together. */
     readonly coldRate: number;
 }
 
@@ -91,7 +94,7 @@
     readonly idleTimeout: Milliseconds;
 }
 
-/** A whole configuration. */
+/** A complete configuration. */
 export interface Configuration {
     readonly version: number;
     readonly routes: readonly Route[];
--- a/packages/decisions/src/shared-state/held-entries.ts
+++ b/packages/decisions/src/shared-state/held-entries.ts
@@ -1,60 +1,60 @@
 /**
- * What a copy goes on believing after the store has come back from an older copy
- * of its own: entries that the store had acknowledged and no longer has, until they
- * are written again or their time is over.
+ * Entries that a replica keeps after the store was restored from a backup: those
+ * that the store had acknowledged and has lost, until they are written again or
+ * their retention has expired.
  *
- * Owns these entries; the copy owns what the store has. Times are passed in.
+ * Owns the held entries; the replica owns the entries that the store has. Times are passed in.
  */
 
 import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
 
-/** How long each sort of lost entry is believed in, in milliseconds; 0 for not at all. */
+/** How long a replica keeps each kind of lost entry, in milliseconds; 0 for not at all. */
 export interface RetentionPolicy<Item> {
-    /** The store no longer has the entry. */
+    /** For an entry that the store no longer has. */
     readonly missingRetention: number;
-    /** The store has an entry again that was gone. */
+    /** For the deletion of an entry that the store has again. */
     readonly deletedRetention: number;
-    /** The store has an older state of the entry. */
+    /** For an entry of which the store has an older state. */
     readonly outdatedRetention: number;
-    /** True if `told` was written before `known`, whatever their revisions. */
-    readonly isOlder: (told: Item, known: Item) => boolean;
+    /** True if `incoming` was written before `known`, whatever their revisions. */
+    readonly isOlder: (incoming: Item, known: Item) => boolean;
 }
 
-/** An entry as the copy knew it; `item` is undefined for one that was gone. */
+/** An entry as the replica had it; `item` is undefined for a deleted one. */
 interface HeldEntry<Item> {
     readonly item: Item | undefined;
-    readonly until: Milliseconds;
+    readonly expiresAt: Milliseconds;
 }
 
-/** What a copy knew when the store came back. */
+/** What a replica had when the store was restored. */
 interface KnownEntries<Item> {
     readonly items: ReadonlyMap<string, Item>;
-    /** Entries that were gone. */
+    /** Names of the entries that were deleted recently. */
     readonly gone: Iterable<string>;
 }
 
-/** The entries that a copy holds against the store's word. */
+/** The entries that a replica keeps although the store has lost them. */
 export interface HeldEntries<Item> {
-    /** The store has come back, and has these. Everything that was known and is lost is held from now on. */
+    /** The store was restored and has the entries `stored`. Every known entry that it has lost is held from now on. */
     readonly onStoreRestored: (known: KnownEntries<Item>, stored: ReadonlyMap<string, Item>, at: Milliseconds) => void;
-    /** The store has the entry so, as it was written since it came back; undefined: gone. */
+    /** The entry was written since the store was restored; `item` is undefined if it was deleted. */
     readonly onWritten: (name: string, item: Item | undefined) => void;
-    /** Takes what another box holds, where this copy knows nothing of the entry. */
+    /** Adds an entry that another box holds, unless one of that name is held already. */
     readonly addIfAbsent: (
         name: string,
         item: Item | undefined,
         stored: ReadonlyMap<string, Item>,
         at: Milliseconds,
     ) => void;
-    /** Ends what has had its time; true if anything has. */
+    /** Removes the entries whose retention has expired; true if there were any. */
     readonly expire: (at: Milliseconds) => boolean;
-    /** The entries that are in force beside what the store has. */
+    /** Returns the entries that are in force: what the store has, overridden by the held entries. */
     readonly overlay: (stored: ReadonlyMap<string, Item>) => Map<string, Item>;
-    /** What is held, by name; undefined for an entry that was gone. */
+    /** The held entries by name; undefined for a deleted one. */
     readonly all: () => ReadonlyMap<string, Item | undefined>;
 }
 
-/** Creates it without entries. */
+/** Creates an empty set of held entries. */
 export function createHeldEntries<Item>(policy: RetentionPolicy<Item>): HeldEntries<Item> {
     let held = new Map<string, HeldEntry<Item>>();
 
@@ -63,7 +63,7 @@
             held = new Map();
             items.forEach((item, name) => holdItem(name, item, stored, at));
             for (const name of gone) {
-                holdGone(name, stored, at);
+                holdDeletion(name, stored, at);
             }
         },
         onWritten(name, item) {
@@ -78,16 +78,16 @@
                 return;
             }
             if (item === undefined) {
-                holdGone(name, stored, at);
+                holdDeletion(name, stored, at);
             }
             else {
                 holdItem(name, item, stored, at);
             }
         },
         expire(at) {
-            const over = [...held].filter(([, { until }]) => at >= until);
-            over.forEach(([name]) => held.delete(name));
-            return over.length > 0;
+            const expired = [...held].filter(([, { expiresAt }]) => at >= expiresAt);
+            expired.forEach(([name]) => held.delete(name));
+            return expired.length > 0;
         },
         overlay(stored) {
             const items = new Map(stored);
@@ -98,16 +98,16 @@
     };
 
     function holdItem(name: string, item: Item, stored: ReadonlyMap<string, Item>, at: Milliseconds): void {
-        const told = stored.get(name);
-        if (told === undefined) {
+        const storedItem = stored.get(name);
+        if (storedItem === undefined) {
             hold(name, item, policy.missingRetention, at);
         }
-        else if (policy.isOlder(told, item)) {
+        else if (policy.isOlder(storedItem, item)) {
             hold(name, item, policy.outdatedRetention, at);
         }
     }
 
-    function holdGone(name: string, stored: ReadonlyMap<string, Item>, at: Milliseconds): void {
+    function holdDeletion(name: string, stored: ReadonlyMap<string, Item>, at: Milliseconds): void {
         if (stored.has(name)) {
             hold(name, undefined, policy.deletedRetention, at);
         }
@@ -115,7 +115,7 @@
 
     function hold(name: string, item: Item | undefined, duration: number, at: Milliseconds): void {
         if (duration > 0) {
-            held.set(name, { item, until: milliseconds(at + duration) });
+            held.set(name, { item, expiresAt: milliseconds(at + duration) });
         }
     }
 }
--- a/packages/decisions/src/shared-state/replica-refresh.ts
+++ b/packages/decisions/src/shared-state/replica-refresh.ts
@@ -1,30 +1,32 @@
 /**
- * When a copy of shared state is refreshed, and from where: by the box's own
- * watch of the store, by its region's relay, or by a snapshot of any box that
- * knows more. Every source suffices; this module only says which one waits how long.
+ * When a replica of shared state is refreshed, and from where: by the box's own
+ * watch of the store, by its region's relay, or by a snapshot from any box with a
+ * newer copy. Each source suffices by itself; this module decides how long each one waits.
  *
- * Owns no state; the replicator's parts ask it.
+ * Owns no state; the parts of the replicator call it.
  */
 
 import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
 import type { SharedKind } from "./shared-kinds.js";
 
 /**
- * Milliseconds that changes have to come by the ordinary way, before a snapshot is read from a box that knows them already.
+ * How long changes may take to arrive by ordinary propagation, before a snapshot is read from a box that has them
+ * already.
  *
- * - `watch`: by the box's own watch. 1 s left a change 2.7 s late after a cut.
- * - `relay`: from the relay that knows of them; its message is on the way.
- * - `otherRegion`: from the relay while only other regions know of them, since a relay pauses for up to 500 ms after a change.
- *   While the store turns this box away, the time of `watch` holds; once the own region's copies are overdue, that of `relay`.
+ * - `watch`: by the box's own watch. With 1 s, a change arrived 2.7 s late after a network partition.
+ * - `relay`: from the relay that has them; its message is on the way.
+ * - `otherRegion`: from the relay while only other regions have them, since a relay pauses for up to 500 ms after a
+ *   change. `watch` applies instead while the store does not serve this box, and `relay` once the copies of its region
+ *   are stale.
  */
-const headStart = { watch: milliseconds(300), relay: milliseconds(100), otherRegion: milliseconds(1000) };
+const propagationTime = { watch: milliseconds(300), relay: milliseconds(100), otherRegion: milliseconds(1000) };
 /**
- * Milliseconds that a box without a copy waits before it reads one from another region: its own list, or a box of its region, is
- * as quick, and bytes between regions are dear.
+ * How long a box without a copy waits before it reads one from another region: its own list call, or a box of its
+ * region, is as fast, and traffic between regions is expensive.
  */
-const firstCopyFromOtherRegion = milliseconds(400);
+const firstCopyDelayFromOtherRegion = milliseconds(400);
 
-/** What a box knows when another one's copy turns out to hold more. */
+/** What a box knows when another box turns out to have a newer copy. */
 export interface SnapshotDelayInputs {
     /** The box has a copy of the kind. */
     readonly hasCopy: boolean;
@@ -32,60 +34,69 @@
     readonly alwaysFollowsStore: boolean;
     /** The store does not answer this box. */
     readonly isStoreUnavailable: boolean;
-    /** No box of the region has told of its copies for longer than one that follows the store would take. */
+    /** The copies of the region are older than they can be while a box of the region follows the store. */
     readonly isStale: boolean;
     /** The other box is of the same region. */
     readonly isSameRegion: boolean;
 }
 
 /**
- * Milliseconds that a message from another region is on its way at most; an age that it tells is so much older. Without it, ages
- * that were told to and fro between regions grew by 260 ms in 300 ms (computed, for a way of 35 ms).
+ * Maximum delay of a message from another region, in milliseconds; it is added to the ages that the message reports.
+ * Without it, ages that regions report to each other would grow by only 260 ms in 300 ms, with a message delay of 35
+ * ms.
  */
 export const maxInterRegionDelay = 100;
 
-/** Returns how long changes may take by the ordinary way; a box that has no copy at all hardly waits. */
+/**
+ * Returns how long to wait for ordinary propagation before a snapshot is read; a box without a copy waits little or not
+ * at all.
+ */
 export function snapshotDelay(inputs: SnapshotDelayInputs): Milliseconds {
     if (!inputs.hasCopy) {
-        return inputs.isSameRegion ? milliseconds(0) : firstCopyFromOtherRegion;
+        return inputs.isSameRegion ? milliseconds(0) : firstCopyDelayFromOtherRegion;
     }
     if (inputs.alwaysFollowsStore && !inputs.isStoreUnavailable) {
-        return headStart.watch;
+        return propagationTime.watch;
     }
     if (inputs.isSameRegion || inputs.isStale) {
-        return headStart.relay;
+        return propagationTime.relay;
     }
-    return inputs.isStoreUnavailable ? headStart.watch : headStart.otherRegion;
+    return inputs.isStoreUnavailable ? propagationTime.watch : propagationTime.otherRegion;
 }
 
 /**
- * Pause after a change before the next watch, in milliseconds: changes come in series, and each watch is a priced call.
- * It counts towards the time in which a change must be in force. Without it a large
- * fleet would make several times as many calls.
+ * Pause after a change before the next watch: changes come in series, and each watch is a paid call. Without the pause
+ * a large fleet would make several times as many calls. It counts towards the maximum propagation delay.
  */
 export const watchPauseAfterChange: Readonly<Record<SharedKind, Milliseconds>> = {
     configuration: milliseconds(200),
     servers: milliseconds(500),
     closedZones: milliseconds(200),
-    // The write of an outcome follows seconds after that of `running`.
+    // The outcome of a roll-out is written seconds after `running`.
     rollouts: milliseconds(200),
 };
 
-/** First pause after a call that failed. */
+/** First pause after a failed call. */
 export const initialBackoff = milliseconds(150);
-/** Longest pause of a box that always follows the store: within the bound on changes with a call of its own time. */
-const longestBackoff = 1200;
-/** Longest pause of a box that stands in for a relay; many may stand in at once, and each call is paid for. */
-const longestStandInBackoff = 2500;
-/** Chance adds up to this part to a pause or takes it away, so that boxes do not call in step. */
-const backoffSpread = 0.3;
+/**
+ * Maximum pause in milliseconds of a box that always follows the store: pause and call together stay within the maximum
+ * propagation delay.
+ */
+const maxBackoff = 1200;
+/**
+ * Maximum pause in milliseconds of a box that replaces a relay; many boxes may do so at once, and each call is paid
+ * for.
+ */
+const maxStandInBackoff = 2500;
+/** Fraction of a pause by which jitter lengthens or shortens it at most, so that boxes do not call at the same time. */
+const backoffJitter = 0.3;
 
-/** Returns the pause after the one given. */
+/** Returns the pause that follows `backoff`. */
 export function nextBackoff(backoff: Milliseconds, alwaysFollows: boolean): Milliseconds {
-    return milliseconds(Math.min(alwaysFollows ? longestBackoff : longestStandInBackoff, backoff * 2));
+    return milliseconds(Math.min(alwaysFollows ? maxBackoff : maxStandInBackoff, backoff * 2));
 }
 
-/** Returns how long to wait for a pause; `chance` is from 0 to 1. */
-export function jitteredBackoff(backoff: Milliseconds, chance: number): Milliseconds {
-    return milliseconds(backoff * (1 - backoffSpread + 2 * backoffSpread * chance));
+/** Returns the pause with jitter; `random` is from 0 to 1. */
+export function jitteredBackoff(backoff: Milliseconds, random: number): Milliseconds {
+    return milliseconds(backoff * (1 - backoffJitter + 2 * backoffJitter * random));
 }
--- a/packages/decisions/src/shared-state/retention-policies.ts
+++ b/packages/decisions/src/shared-state/retention-policies.ts
@@ -1,6 +1,7 @@
 /**
- * For how long boxes go on believing what the store had acknowledged and lost, by
- * kind: until the operators and the servers have written it again, and no longer than it may do harm.
+ * For how long boxes keep entries that the store had acknowledged and lost when it was
+ * restored, by kind: long enough for operators and servers to write them again, and not
+ * so long that an outdated entry does harm.
  *
  * Owns nothing.
  */
@@ -13,17 +14,17 @@
 import type { RetentionPolicy } from "./held-entries.js";
 import type { SharedItems, SharedKind } from "./shared-kinds.js";
 
-/** A version that was in force never gives way to an older one. */
+/** A version that was in force is never replaced by an older one. */
 const configuration: RetentionPolicy<Configuration> = {
     missingRetention: Infinity,
     deletedRetention: 0,
     outdatedRetention: Infinity,
-    isOlder: (told, known) => told.version < known.version,
+    isOlder: (incoming, known) => incoming.version < known.version,
 };
 
 /**
- * A server that lives writes its record again within 2 s; one that doesn't must not get requests for long. One that was leaving or
- * had gone may have an old record until that lapses, after three heartbeats.
+ * A running server writes its record again within 2 s; a server that no longer runs must not get requests for long. The
+ * old record of a server that was draining or deleted may be in the store until it lapses, after three heartbeats.
  */
 const servers: RetentionPolicy<BackendServerRecord> = {
     missingRetention: 2500,
@@ -32,7 +33,10 @@
     isOlder: isOlderRecord,
 };
 
-/** A zone stays closed for as long as operators may take to write again. One that is listed as closed is closed. */
+/**
+ * A zone stays closed for as long as operators may take to close it again. A zone that the store lists as closed is
+ * closed.
+ */
 const closedZones: RetentionPolicy<AvailabilityZoneId> = {
     missingRetention: 10_000,
     deletedRetention: 0,
@@ -40,7 +44,7 @@
     isOlder: () => false,
 };
 
-/** The state of an order is the boxes' own word, which they write again (`restored-orders`). */
+/** The boxes themselves write the state of an order, and write it again after a restore (`restored-orders`). */
 const rollouts: RetentionPolicy<RolloutOrder> = {
     missingRetention: 10_000,
     deletedRetention: 10_000,
@@ -48,7 +52,7 @@
     isOlder: () => false,
 };
 
-/** The policies by kind. */
+/** The retention policy of each kind. */
 export const retentionPolicies: { readonly [Kind in SharedKind]: RetentionPolicy<SharedItems[Kind]>; } = {
     configuration,
     servers,
@@ -56,14 +60,14 @@
     rollouts,
 };
 
-/** Of one life the record before it was leaving is the older one. */
-function isOlderRecord(told: BackendServerRecord, known: BackendServerRecord): boolean {
-    switch (compareIncarnations(told, known)) {
+/** Within one incarnation, a record that is not draining is older than one that is. */
+function isOlderRecord(incoming: BackendServerRecord, known: BackendServerRecord): boolean {
+    switch (compareIncarnations(incoming, known)) {
         case "earlier":
             return true;
         case "later":
             return false;
         case "same":
-            return known.draining && !told.draining;
+            return known.draining && !incoming.draining;
     }
 }
--- a/packages/decisions/src/shared-state/shared-kinds.ts
+++ b/packages/decisions/src/shared-state/shared-kinds.ts
@@ -1,7 +1,7 @@
 /**
- * The kinds of state that boxes copy.
+ * The kinds of shared state that boxes replicate.
  *
- * The names stand in the messages between boxes.
+ * Owns nothing. The names are sent in messages between boxes, so they must not change.
  */
 
 import type { AvailabilityZoneId } from "@chalkdale/kernel";
@@ -9,26 +9,29 @@
 import type { BackendServerRecord } from "../servers/server-record.js";
 import type { Configuration } from "./configuration.js";
 
-/** What an item of each kind is. */
+/** The type of the items of each kind. */
 export interface SharedItems {
     readonly configuration: Configuration;
     readonly servers: BackendServerRecord;
-    /** Availability zones that are to get no requests. */
+    /** Availability zones that operators have closed: they get no requests. */
     readonly closedZones: AvailabilityZoneId;
-    /** Orders to move a service onto servers of another version. */
+    /** Orders to move the requests of a service to servers of another version. */
     readonly rollouts: RolloutOrder;
 }
 
 /** A kind of shared state. */
 export type SharedKind = keyof SharedItems;
 
-/** All kinds. */
+/** All kinds, in a fixed order. */
 export const sharedKinds: readonly SharedKind[] = ["configuration", "servers", "closedZones", "rollouts"];
 
-/** Kinds that every box copies; the others are copied where the settings call for them. */
+/** Kinds that every box replicates; the others are replicated only if the settings enable them. */
 export const requiredKinds = ["configuration", "servers", "closedZones"] as const satisfies readonly SharedKind[];
 
-/** Returns the kinds that a box copies: without roll-outs it makes no call and sends no byte for their orders. */
+/**
+ * Returns the kinds that a box replicates. A box without roll-outs makes no store calls and sends no bytes for their
+ * orders.
+ */
 export function replicatedKinds(hasRollouts: boolean): readonly SharedKind[] {
     return hasRollouts ? sharedKinds : requiredKinds;
 }
--- a/packages/decisions/src/shared-state/store-position.ts
+++ b/packages/decisions/src/shared-state/store-position.ts
@@ -1,42 +1,43 @@
 /**
- * Where in the store's history something stands, as one number: the epoch first, and
- * within it the store's own revision.
+ * A position in the store's history as one number, made of the epoch and the store's
+ * own revision within the epoch.
  *
- * A store that comes back from an older copy gives its revisions out again, in a
- * new epoch. Positions go on rising, so that copies, digests and changes are
- * compared as plain numbers. In epoch 0, that of a store which tells none, a position is the revision itself.
+ * A store that is restored from a backup assigns the same revisions again, in a new
+ * epoch. Positions still only increase, so replicas, digests and changes can be
+ * compared as plain numbers. A store that reports no epoch is in epoch 0, in which
+ * a position equals the revision.
  *
- * Owns nothing. What boxes call a revision is a position everywhere but in the calls of the store.
+ * Owns nothing. Everywhere but in calls to the store, what boxes call a revision is a position.
  */
 
-/** Revisions of one epoch: enough for 50 years of 690 changes a second. */
-const revisionsOfEpoch = 2 ** 40;
-/** Eras that fit into a number beside them. */
-const mostEpochs = 2 ** 13;
+/** Revisions in one epoch: enough for 50 years at 690 changes per second. */
+const revisionsPerEpoch = 2 ** 40;
+/** Number of epochs; with 2 ** 40 revisions each, every position is a safe integer. */
+const maxEpochs = 2 ** 13;
 
-/** Returns the position of a revision; undefined for what is none. */
+/** Returns the position of a revision; undefined if the epoch or the revision is out of range. */
 export function storePosition(epoch: number, revision: number): number | undefined {
-    const isInRange = isBelow(epoch, mostEpochs) && isBelow(revision, revisionsOfEpoch);
-    return isInRange ? epoch * revisionsOfEpoch + revision : undefined;
+    const isInRange = isBelow(epoch, maxEpochs) && isBelow(revision, revisionsPerEpoch);
+    return isInRange ? epoch * revisionsPerEpoch + revision : undefined;
 }
 
 /** Returns the epoch of a position. */
 export function epochOf(position: number): number {
-    return Math.floor(position / revisionsOfEpoch);
+    return Math.floor(position / revisionsPerEpoch);
 }
 
 /** Returns the store's own revision within the epoch. */
 export function revisionInEpoch(position: number): number {
-    return position % revisionsOfEpoch;
+    return position % revisionsPerEpoch;
 }
 
-/** Returns a position as lines show it: the revision, after the epoch where the store tells one. */
+/** Formats a position for log lines: the revision, preceded by the epoch if the store reports one. */
 export function describePosition(position: number): string {
     const epoch = epochOf(position);
     const revision = String(revisionInEpoch(position));
     return epoch === 0 ? revision : `${epoch}/${revision}`;
 }
 
-function isBelow(value: number, end: number): boolean {
-    return value >= 0 && value < end;
+function isBelow(value: number, limit: number): boolean {
+    return value >= 0 && value < limit;
 }
--- a/packages/decisions/src/shared-state/unserved-boxes.ts
+++ b/packages/decisions/src/shared-state/unserved-boxes.ts
@@ -1,59 +1,69 @@
 /**
- * Which boxes the store turns away while it may serve others: those whose own
- * call was refused, reset, or is overdue, as each of them says with its digests.
- * Boxes of the region that were served so far, or have not asked, call in their place.
+ * Which boxes the store does not serve while it may serve others: those whose own
+ * call was refused, reset, or is overdue, as each of them reports with its digests.
+ * Other boxes of the region then call the store in their place.
  *
- * Owns what was told of each box, and for how long it holds.
+ * Owns the latest status of each box and when it expires.
  */
 
 import type { BoxId, Milliseconds } from "@chalkdale/kernel";
 
-/** Milliseconds beyond the wait of a watch after which a call is overdue; the store answers in 4 ms, a way between regions is 35 ms. */
+/**
+ * Milliseconds after the end of a watch's wait at which the call is overdue; the store answers in 4 ms, a message
+ * between regions takes 35 ms.
+ */
 export const watchOverdueAfter = 300;
-/** The same for a list, which may be large. */
+/** Milliseconds after which a list call is overdue; a list may be large. */
 export const listOverdueAfter = 1000;
 /**
- * Bounds on changes for which a box takes itself as turned away: the first of a region then tries again, which costs one call.
+ * Time for which a box regards itself as unserved, in multiples of the maximum propagation delay. Then the first box of
+ * a region tries again, which costs one call.
+ */
+const ownStatusLifetime = 2;
+/**
+ * The same for a status that another box reported; that box reports it again when the store fails to serve it again.
+ */
+const peerStatusLifetime = 3;
+/**
+ * Number of unserved boxes in a region that report it to the whole region at once; later ones are noticed by the age of
+ * the copies.
  */
-const ownFor = 2;
-/** The same for what another box told, which tells it anew when it was turned away again. */
-const toldFor = 3;
-/** Boxes of a region that tell all others of it at once; later ones are found by the age of the copies. */
 export const maxUnservedBroadcasts = 4;
 
-/** The boxes that are turned away, as far as this box knows. */
+/** The boxes that the store does not serve, as far as this box knows. */
 export interface UnservedBoxes {
-    /** The store turned this box away. True if it had not before. */
+    /** The store did not serve this box. True unless that was known already. */
     readonly onUnserved: (at: Milliseconds) => boolean;
     /** The store answered this box. */
     readonly onServed: () => void;
-    /** Another box told whether it is turned away. True if that is news. */
-    readonly onPeerReport: (box: BoxId, isTurnedAway: boolean, at: Milliseconds) => boolean;
+    /** Another box reported whether it is unserved. True if that changes its status. */
+    readonly onPeerReport: (box: BoxId, isUnserved: boolean, at: Milliseconds) => boolean;
+    /** True if the box is unserved. */
     readonly has: (box: BoxId, at: Milliseconds) => boolean;
 }
 
-/** Creates the set, empty. `changeBound`: time in which a change must be in force. */
-export function createUnservedBoxes(self: BoxId, changeBound: Milliseconds): UnservedBoxes {
-    const until = new Map<BoxId, number>();
-    const has = (box: BoxId, at: Milliseconds) => (until.get(box) ?? -Infinity) > at;
+/** Creates an empty set. `maxPropagationDelay`: time in which a change must be in force on all boxes. */
+export function createUnservedBoxes(self: BoxId, maxPropagationDelay: Milliseconds): UnservedBoxes {
+    const expiresAt = new Map<BoxId, number>();
+    const has = (box: BoxId, at: Milliseconds) => (expiresAt.get(box) ?? -Infinity) > at;
 
     return {
         has,
         onUnserved(at) {
             const isNew = !has(self, at);
-            until.set(self, at + ownFor * changeBound);
+            expiresAt.set(self, at + ownStatusLifetime * maxPropagationDelay);
             return isNew;
         },
-        onServed: () => void until.delete(self),
-        onPeerReport(box, isTurnedAway, at) {
-            const isNews = has(box, at) !== isTurnedAway;
-            if (isTurnedAway) {
-                until.set(box, at + toldFor * changeBound);
+        onServed: () => void expiresAt.delete(self),
+        onPeerReport(box, isUnserved, at) {
+            const isChanged = has(box, at) !== isUnserved;
+            if (isUnserved) {
+                expiresAt.set(box, at + peerStatusLifetime * maxPropagationDelay);
             }
             else {
-                until.delete(box);
+                expiresAt.delete(box);
             }
-            return isNews;
+            return isChanged;
         },
     };
 }
