--- a/packages/decisions/test/replica.test.ts
+++ b/packages/decisions/test/replica.test.ts
@@ -11,14 +11,14 @@
         return { replica, seen };
     }
 
-    it("never goes back to an older snapshot, whoever sent it", () => {
+    it("never goes back to an older snapshot, whichever box sent it", () => {
         const { replica, seen } = create();
         expect(replica.applySnapshot({ revision: 5, items: [{ name: "new" }] })).to.equal(true);
         expect(replica.applySnapshot({ revision: 4, items: [{ name: "old" }] })).to.equal(false);
         expect(seen).to.deep.equal([["new"]]);
     });
 
-    it("refuses changes when others may be missing before them", () => {
+    it("refuses changes if earlier ones may be missing", () => {
         const { replica } = create();
         replica.applySnapshot({ revision: 5, items: [] });
         expect(replica.applyChanges(6, [{ kind: "put", name: "a", item: { name: "a" } }], 7)).to.equal(false);
@@ -32,7 +32,7 @@
         expect(replica.snapshot()).to.deep.equal({ revision: 5, items: [{ name: "a" }] });
     });
 
-    it("takes changes that begin before its revision, as a second source tells them", () => {
+    it("takes changes that begin before its revision, as a second source sends them", () => {
         const { replica } = create();
         replica.applySnapshot({ revision: 5, items: [{ name: "a" }] });
         const changes = [
@@ -44,10 +44,10 @@
         expect(replica.snapshot()).to.deep.equal({ revision: 7, items: [{ name: "b" }] });
     });
 
-    describe("what another copy lacks", () => {
+    describe("changes that another replica lacks", () => {
         const put = (name: string) => ({ kind: "put", name, item: { name } }) as const;
 
-        it("is all batches after its revision, so that it ends up alike", () => {
+        it("are all batches after its revision, and make it equal", () => {
             const { replica } = create();
             replica.applySnapshot({ revision: 5, items: [{ name: "a" }] });
             const other = create().replica;
@@ -61,7 +61,7 @@
             expect(other.snapshot()).to.deep.equal(replica.snapshot());
         });
 
-        it("is not known before the copy was read whole, nor from before that", () => {
+        it("are unknown before the first snapshot and from before its revision", () => {
             const { replica } = create();
             expect(replica.changesSince(0)).to.equal(undefined);
             replica.applySnapshot({ revision: 5, items: [] });
@@ -69,7 +69,7 @@
             expect(replica.changesSince(5)).to.deep.equal({ since: 5, revision: 5, changes: [] });
         });
 
-        it("is forgotten batch by batch, the oldest first", () => {
+        it("are forgotten batch by batch, the oldest first", () => {
             const { replica } = create();
             replica.applySnapshot({ revision: 0, items: [] });
             for (let revision = 1; revision <= 300; revision++) {
@@ -80,7 +80,7 @@
         });
     });
 
-    it("tells the revision of the last change apart from the one it is complete to", () => {
+    it("distinguishes the revision of the last change from the one up to which it is complete", () => {
         const { replica } = create();
         replica.applySnapshot({ revision: 5, items: [{ name: "a" }] });
         replica.applyChanges(5, [], 9);
--- a/packages/decisions/test/restored-store.test.ts
+++ b/packages/decisions/test/restored-store.test.ts
@@ -1,5 +1,6 @@
 /**
- * A store that comes back from an older copy of its own, seen by copies that hear of it in any order.
+ * A store that is restored from a backup, as seen by replicas that learn of it in any order: no acknowledged change may
+ * be lost before it is written again.
  */
 
 import { milliseconds } from "@chalkdale/kernel";
@@ -19,7 +20,7 @@
 
 const position = (epoch: number, revision: number) => storePosition(epoch, revision)!;
 
-describe("a copy of a store that comes back older [P8]", () => {
+describe("a replica of a restored store [P8]", () => {
     let now: number;
     let seen: readonly BackendServerRecord[];
     let restored: string[][];
@@ -50,7 +51,7 @@
     const put = (item: BackendServerRecord) => ({ kind: "put", name: item.id, item }) as const;
     const shown = () => seen.map(({ draining, id }) => draining ? `${id} draining` : String(id)).sort();
 
-    it("takes its lists though their revisions are lower", () => {
+    it("takes its lists although their revisions are lower", () => {
         replica.applySnapshot({ revision: position(1, 53), items: [server("a")] });
         expect(replica.applySnapshot({ revision: position(2, 50), items: [server("a"), server("b")] })).to.equal(true);
         expect(shown()).to.deep.equal(["a", "b"]);
@@ -58,7 +59,7 @@
         expect(replica.applyChanges(position(1, 53), [put(server("c"))], position(1, 54))).to.equal(false);
     });
 
-    describe("holds what was acknowledged and is lost", () => {
+    describe("holds acknowledged entries that are lost", () => {
         beforeEach(() => {
             replica.applySnapshot({
                 revision: position(1, 50),
@@ -76,7 +77,7 @@
             });
         });
 
-        it("until it is written again", () => {
+        it("until they are written again", () => {
             expect(restored).to.deep.equal([["leaving", "added", "left"]]);
             expect(shown()).to.deep.equal(["added", "leaving draining", "stays"]);
             const changes = [put(server("added")), put(server("leaving", true))];
@@ -87,7 +88,7 @@
             expect(replica.snapshot()?.held).to.equal(undefined);
         });
 
-        it("as long as a server that lives may take to write again, and no longer", () => {
+        it("for as long as a running server may take to write its record again, and no longer", () => {
             now = 2499;
             replica.expireHeldEntries();
             expect(shown()).to.deep.equal(["added", "leaving draining", "stays"]);
@@ -99,13 +100,13 @@
             expect(shown()).to.deep.equal(["leaving", "left", "stays"]);
         });
 
-        it("through a second return of the store", () => {
+        it("through a second restore", () => {
             now = 2000;
             replica.applySnapshot({ revision: position(3, 49), items: [server("left"), server("leaving")] });
             expect(shown()).to.deep.equal(["added", "leaving draining", "stays"]);
         });
 
-        it("through a list of the same epoch that lacks it still", () => {
+        it("through a list of the same epoch that still lacks them", () => {
             replica.applySnapshot({
                 revision: position(2, 52),
                 items: [server("leaving"), server("stays"), server("left")],
@@ -120,11 +121,11 @@
             expect(shown()).to.deep.equal(["added", "leaving draining", "stays"]);
         });
 
-        it("and tells boxes that start of it apart from what the store has", () => {
+        it("and sends them to starting boxes apart from what the store has", () => {
             const other = createServers();
-            const told = replica.snapshot()!;
-            expect(told.items.map(({ id }) => String(id))).to.deep.equal(["left", "leaving", "stays"]);
-            other.applySnapshot(told);
+            const snapshot = replica.snapshot()!;
+            expect(snapshot.items.map(({ id }) => String(id))).to.deep.equal(["left", "leaving", "stays"]);
+            other.applySnapshot(snapshot);
             expect(shown()).to.deep.equal(["added", "leaving draining", "stays"]);
             now = 60_000;
             other.expireHeldEntries();
@@ -132,7 +133,7 @@
         });
     });
 
-    it("takes a server that starts again in its later life, and none of an earlier one", () => {
+    it("takes a server's later incarnation, and no earlier one", () => {
         const born = (bornAt: number, draining = false) =>
             createRecord("a", { draining, bornAt: bornAt as BackendServerRecord["bornAt"] });
         replica.applySnapshot({ revision: position(1, 50), items: [born(2, true)] });
@@ -145,11 +146,11 @@
     describe("of the configuration", () => {
         const version = (number: number) => ({ version: number }) as Configuration;
         let inForce: number[];
-        let copy: Replica<Configuration>;
+        let configurationReplica: Replica<Configuration>;
 
         beforeEach(() => {
             inForce = [];
-            copy = createReplica<Configuration>(
+            configurationReplica = createReplica<Configuration>(
                 () => "main",
                 ([item]) => inForce.push(item.version),
                 {
@@ -160,50 +161,62 @@
             );
         });
 
-        it("goes back to no older version, however long it takes to be written again", () => {
-            copy.applySnapshot({ revision: position(0, 53), items: [version(24)] });
-            copy.applySnapshot({ revision: position(1, 50), items: [version(22)] });
-            copy.applyChanges(position(1, 50), [{ kind: "put", name: "main", item: version(23) }], position(1, 51));
+        it("never goes back to an older version, however long it takes to be written again", () => {
+            configurationReplica.applySnapshot({ revision: position(0, 53), items: [version(24)] });
+            configurationReplica.applySnapshot({ revision: position(1, 50), items: [version(22)] });
+            configurationReplica.applyChanges(
+                position(1, 50),
+                [{ kind: "put", name: "main", item: version(23) }],
+                position(1, 51),
+            );
             now = 3_600_000;
-            copy.expireHeldEntries();
-            copy.applyChanges(position(1, 51), [{ kind: "put", name: "main", item: version(24) }], position(1, 52));
-            copy.applyChanges(position(1, 52), [{ kind: "put", name: "main", item: version(26) }], position(1, 53));
+            configurationReplica.expireHeldEntries();
+            configurationReplica.applyChanges(
+                position(1, 51),
+                [{ kind: "put", name: "main", item: version(24) }],
+                position(1, 52),
+            );
+            configurationReplica.applyChanges(
+                position(1, 52),
+                [{ kind: "put", name: "main", item: version(26) }],
+                position(1, 53),
+            );
             expect(inForce).to.deep.equal([24, 24, 24, 24, 26]);
         });
     });
 
-    describe("among others that hear of it in any order", () => {
-        /** The store as the property plays it: items by name, with copies to come back from. */
-        interface PlayedStore {
+    describe("among others that learn of it in any order", () => {
+        /** Model of the store: a configuration version, with backups from which it can be restored. */
+        interface ModelStore {
             epoch: number;
             revision: number;
             version: number;
-            readonly copies: { readonly revision: number; readonly version: number; }[];
+            readonly backups: { readonly revision: number; readonly version: number; }[];
         }
 
         type Step =
             | { readonly kind: "write"; }
-            | { readonly kind: "copy"; }
-            | { readonly kind: "restore"; readonly copy: number; }
+            | { readonly kind: "backUp"; }
+            | { readonly kind: "restore"; readonly backup: number; }
             | { readonly kind: "list"; readonly box: number; }
-            | { readonly kind: "tell"; readonly from: number; readonly to: number; };
+            | { readonly kind: "send"; readonly from: number; readonly to: number; };
 
         const boxCount = 4;
         const box = fc.integer({ min: 0, max: boxCount - 1 });
         const step: fc.Arbitrary<Step> = fc.oneof(
             fc.constant<Step>({ kind: "write" }),
-            fc.constant<Step>({ kind: "copy" }),
-            fc.record({ kind: fc.constant("restore" as const), copy: fc.nat(9) }),
+            fc.constant<Step>({ kind: "backUp" }),
+            fc.record({ kind: fc.constant("restore" as const), backup: fc.nat(9) }),
             fc.record({ kind: fc.constant("list" as const), box }),
-            fc.record({ kind: fc.constant("tell" as const), from: box, to: box }),
+            fc.record({ kind: fc.constant("send" as const), from: box, to: box }),
         );
 
-        it("no box goes back to an older version, and all end with the last one that is written", () => {
+        it("no box goes back to an older version, and all end with the last one written", () => {
             fc.assert(
                 fc.property(fc.array(step, { maxLength: 60 }), steps => {
-                    const store: PlayedStore = { epoch: 0, revision: 1, version: 1, copies: [] };
+                    const store: ModelStore = { epoch: 0, revision: 1, version: 1, backups: [] };
                     const inForce: number[][] = Array.from({ length: boxCount }, () => []);
-                    const copies = inForce.map(versions =>
+                    const replicas = inForce.map(versions =>
                         createReplica<Configuration>(() => "main", ([item]) => versions.push(item.version), {
                             clock: () => milliseconds(0),
                             policy: retentionPolicies.configuration,
@@ -215,34 +228,34 @@
                         revision: position(store.epoch, store.revision),
                         items: [{ version: store.version } as Configuration],
                     });
-                    const play = (next: Step) => {
+                    const run = (next: Step) => {
                         switch (next.kind) {
                             case "write":
                                 store.revision += 1;
                                 store.version = acknowledged += 1;
                                 return;
-                            case "copy":
-                                store.copies.push({ revision: store.revision, version: store.version });
+                            case "backUp":
+                                store.backups.push({ revision: store.revision, version: store.version });
                                 return;
                             case "restore":
-                                Object.assign(store, store.copies[next.copy % store.copies.length] ?? {});
+                                Object.assign(store, store.backups[next.backup % store.backups.length] ?? {});
                                 store.epoch += 1;
                                 return;
                             case "list":
-                                copies[next.box].applySnapshot(list());
+                                replicas[next.box].applySnapshot(list());
                                 return;
-                            case "tell": {
-                                const told = copies[next.from].snapshot();
-                                if (told !== undefined) {
-                                    copies[next.to].applySnapshot(told);
+                            case "send": {
+                                const snapshot = replicas[next.from].snapshot();
+                                if (snapshot !== undefined) {
+                                    replicas[next.to].applySnapshot(snapshot);
                                 }
                                 return;
                             }
                         }
                     };
-                    steps.forEach(play);
-                    play({ kind: "write" });
-                    copies.forEach(copy => copy.applySnapshot(list()));
+                    steps.forEach(run);
+                    run({ kind: "write" });
+                    replicas.forEach(each => each.applySnapshot(list()));
                     for (const versions of inForce) {
                         expect(versions).to.deep.equal([...versions].sort((a, b) => a - b));
                         expect(versions.at(-1)).to.equal(acknowledged);
