--- a/packages/decisions/src/membership/member-record.ts
+++ b/packages/decisions/src/membership/member-record.ts
@@ -1,36 +1,39 @@
 /**
- * What boxes say about one box, and the order of boxes that all of them agree on.
+ * The record of one box in the membership, and the order of boxes on which all boxes agree.
  *
- * Owns nothing; the fields stand in the store and in the messages between boxes.
+ * Owns nothing. Records are sent in messages between boxes, so their members keep their names.
  */
 
 import { type AvailabilityZoneId, type BoxId, hashText, type IncarnationId, type RegionId } from "@chalkdale/kernel";
 
-/** What boxes say about one box. */
+/** What boxes tell each other about one box. */
 export interface MemberRecord {
     readonly box: BoxId;
     /** A later start of the box has a greater incarnation. */
     readonly incarnation: IncarnationId;
-    /** Counts the rounds of the box: of two records of one incarnation the one with the greater heartbeat is newer. */
+    /**
+     * Counts the gossip rounds of the box: of two records of one incarnation, the one with the greater heartbeat is
+     * newer.
+     */
     readonly heartbeat: number;
     readonly leaving: boolean;
     /** False until the box can serve callers. */
     readonly ready: boolean;
     readonly region: RegionId;
     readonly zone: AvailabilityZoneId;
-    /** Where other boxes reach it. */
+    /** Address at which other boxes reach it. */
     readonly peerAddress: string;
-    /** Where callers reach it. */
+    /** Address at which callers reach it. */
     readonly callerAddress: string;
-    /** What it can carry, as a number of processor cores. */
+    /** Load that the box can carry, as a number of processor cores. */
     readonly capacity: number;
-    /** What it carries now, in the same unit. */
+    /** Load that the box carries now, in the same unit. */
     readonly load: number;
 }
 
 /**
- * Sorts boxes by what they can carry, the strongest first; boxes of equal capacity stand in an order of their own that is
- * the same on every box. Whatever all boxes must agree on without asking goes by it.
+ * Sorts boxes by capacity, the greatest first; boxes of equal capacity are sorted by a hash of their id, so the order
+ * is the same on every box. Used for all decisions on which boxes must agree without messages.
  */
 export function sortByCapacity(records: readonly MemberRecord[]): MemberRecord[] {
     return records
--- a/packages/decisions/src/membership/membership-times.ts
+++ b/packages/decisions/src/membership/membership-times.ts
@@ -1,36 +1,37 @@
 /**
- * How long boxes wait for each other: rounds, answers, suspicions.
+ * Times of the membership protocol: gossip rounds, failure timeouts, message delays.
  *
  * Owns no state. Times in milliseconds.
  */
 
 import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
 
-/** Time between two rounds of questions; a member that is lost is asked by someone in each. */
+/** Time between two gossip rounds; in each round some box probes a lost member. */
 export const gossipInterval = milliseconds(300);
-/** Time without anything from a region, heard by anyone, after which all its boxes count as failed: 13 rounds. */
+/** Time after which all boxes of a region count as failed if no box has heard from the region: 13 rounds. */
 export const regionFailureTimeout = milliseconds(3900);
-/** Time for which messages still go to a failed box, in case it was cut off. */
+/** Time for which a failed box still gets messages, in case it was only disconnected. */
 export const gossipToFailedTime = milliseconds(120_000);
 
 /**
- * Rounds for which a suspicion can be refuted: some for the box to hear of it, and as many as news takes to reach the fleet,
- * which grow with the logarithm of its size. 7 rounds at 9 boxes, 11 at 195, 13 at 740: 2.1, 3.3 and 3.9 s.
+ * Rounds for the suspected box to learn of a suspicion and refute it. They are added to the rounds in which an update
+ * reaches the whole fleet, the logarithm of its size. Together 7 rounds with 9 boxes, 11 with 195, 13 with 740: 2.1,
+ * 3.3 and 3.9 s.
  */
 const refutationRounds = 3;
 
-/** Returns the time after which a suspected box counts as failed. */
+/** Returns the time after which a suspected box counts as failed in a fleet of `boxes`. */
 export function suspicionTimeout(boxes: number): Milliseconds {
     return milliseconds(gossipInterval * (refutationRounds + Math.ceil(Math.log2(boxes))));
 }
 
-/** Messages beside the logarithm in which each box tells of a piece of news. */
-const fewestNewsSends = 12;
+/** Added to the logarithm of the fleet's size for the number of messages in which each box sends an update. */
+const baseRetransmits = 12;
 
-/** Returns in how many messages each box tells of a piece of news, so that it reaches all of a fleet. */
+/** Returns the number of messages in which each box sends an update, so that it reaches a whole fleet of `boxes`. */
 export function retransmitLimit(boxes: number): number {
-    return fewestNewsSends + Math.ceil(Math.log2(boxes));
+    return baseRetransmits + Math.ceil(Math.log2(boxes));
 }
 
-/** Milliseconds that a message is on its way at most between regions; what others heard is taken to be so much older. */
+/** Maximum delay of a message between regions, in milliseconds. It is added to all ages that a message reports. */
 export const maxMessageDelay = 100;
--- a/packages/decisions/src/membership/membership.ts
+++ b/packages/decisions/src/membership/membership.ts
@@ -1,16 +1,18 @@
 /**
- * Which boxes run, by what boxes hear of each other (after Das, Gupta and
- * Motivala, "SWIM: scalable weakly-consistent infection-style process group
+ * Which boxes run, by failure detection and gossip between them (after Das, Gupta
+ * and Motivala, "SWIM: scalable weakly-consistent infection-style process group
  * membership protocol", 2002).
  *
- * A box that does not answer is suspected; the suspicion spreads, and unless
- * someone has heard from the box since, it counts as failed after a while.
- * Only news spreads, so a datagram's size does not grow with the fleet. Nobody
- * compares clocks: messages carry ages.
+ * A box that does not answer a probe is suspected. The suspicion is disseminated, and
+ * unless some box has heard from the suspect since the probe, it counts as failed after
+ * the suspicion timeout. Only updates are disseminated, so the size of a datagram does not
+ * grow with the fleet. Messages carry ages instead of times, since clocks of different
+ * boxes are not compared.
  *
- * Owns the record of this box and the latest of all others, with the news of them
- * (`member-news`) and the silence of regions (`region-ages`); relies on whoever
- * sends and receives the messages, and on the probing for who did not answer.
+ * Owns the record of this box and the latest record of all others, with their updates
+ * (`member-updates`) and the liveness of regions (`region-liveness`); relies on its
+ * callers to send and receive the messages, and on the probing (`probing`) for which
+ * members did not answer.
  */
 
 import type { BoxId, Milliseconds, RegionId } from "@chalkdale/kernel";
@@ -19,12 +21,12 @@
 import { gossipToFailedTime, maxMessageDelay, suspicionTimeout } from "./membership-times.js";
 import { createRegionLiveness } from "./region-liveness.js";
 
-/** What a box tells of a member. */
+/** What a box reports about a member. */
 export interface MemberStatus {
     readonly record: MemberRecord;
-    /** Milliseconds since someone heard from the member itself. */
+    /** Milliseconds since any box heard from the member itself. */
     readonly heardAgo: number;
-    /** Milliseconds since the question that it left unanswered; undefined for one that is not suspected. */
+    /** Milliseconds since the probe that it did not answer; undefined for a member that is not suspected. */
     readonly suspectedFor: number | undefined;
 }
 
@@ -35,64 +37,73 @@
     readonly load: number;
 }
 
-/** Members, and who has heard from each. */
+/** The members as this box knows them. */
 export interface Membership {
     readonly ownRecord: () => MemberRecord;
-    /** Counts up the own heartbeat and returns the own record. */
+    /** Increments this box's heartbeat and returns its record. */
     readonly incrementHeartbeat: () => MemberRecord;
     readonly setOwnState: (state: MemberState) => void;
-    /** A message came from the box itself. True if it was not known before. */
+    /** A message from the box itself arrived. True if the box was not known before. */
     readonly onHeard: (record: MemberRecord, at: Milliseconds) => boolean;
-    /** Takes what another box tells of members. */
-    readonly merge: (sightings: readonly MemberStatus[], at: Milliseconds) => void;
-    /** A member did not answer what it was asked. */
-    readonly onProbeFailed: (box: BoxId, askedAt: Milliseconds) => void;
-    /** True for a member that is taken to run. */
+    /** Merges what another box reports about members. */
+    readonly merge: (statuses: readonly MemberStatus[], at: Milliseconds) => void;
+    /** A member did not answer the probe that was sent at `probedAt`. */
+    readonly onProbeFailed: (box: BoxId, probedAt: Milliseconds) => void;
+    /** True for a known member that has not failed. */
     readonly isAlive: (box: BoxId, at: Milliseconds) => boolean;
-    /** True if someone has heard from the member since. */
+    /** True if any box has heard from the member since then. */
     readonly isHeardSince: (box: BoxId, since: Milliseconds) => boolean;
     readonly find: (box: BoxId) => MemberRecord | undefined;
-    /** Boxes that run, this one included. */
+    /** Members that have not failed, this box included. */
     readonly alive: (at: Milliseconds) => readonly MemberRecord[];
-    /** Boxes to which callers may be sent: alive, ready and not leaving. */
+    /** Boxes that may serve callers: alive, ready and not leaving. */
     readonly inService: (at: Milliseconds) => readonly MemberRecord[];
-    /** True while a box is suspected and not yet taken as failed. */
+    /** True while any box is suspected and has not failed yet. */
     readonly isAnySuspected: (at: Milliseconds) => boolean;
-    /** Boxes of the own region whose suspicion is about to be believed, each once: this box should ask them itself. */
+    /**
+     * Suspects of this box's region that are about to count as failed, each once per suspicion: this box should probe
+     * them itself.
+     */
     readonly nextSuspectsToProbe: (count: number, at: Milliseconds) => readonly MemberRecord[];
-    /** Boxes heard of within the memory, to which messages may go; this one excluded. */
+    /**
+     * Boxes to which messages may be sent: those that any box heard from within `gossipToFailedTime`, this one
+     * excluded.
+     */
     readonly recentMembers: (at: Milliseconds) => readonly MemberRecord[];
-    /** What is known of all boxes that run but this one. */
+    /** Status of all members that have not failed, except this box. */
     readonly statuses: (at: Milliseconds) => readonly MemberStatus[];
-    /** Takes what others should hear next: the news that was told least, and a few members in turn. */
+    /** Returns the statuses for the next message: updates that were sent least often, and a few members in turn. */
     readonly nextUpdates: (count: number, at: Milliseconds) => readonly MemberStatus[];
-    /** Milliseconds since anyone heard from a box of each region. */
+    /** Milliseconds since any box heard from each region. */
     readonly regionAges: (at: Milliseconds) => ReadonlyMap<RegionId, number>;
     readonly mergeRegionAges: (ages: ReadonlyMap<RegionId, number>, at: Milliseconds) => void;
-    /** True once after others suspected this box: they should hear from it. */
+    /** True once after other boxes reported that they suspect this box: it should send them a message. */
     readonly consumeOwnSuspicion: () => boolean;
 }
 
-/** Part of the time of a suspicion after which a box asks the suspect itself, so that an answer still comes in time. */
-const askAfterPart = 0.5;
+/**
+ * Fraction of the suspicion timeout after which a box probes the suspect itself, so that an answer still arrives in
+ * time.
+ */
+const directProbeFraction = 0.5;
 
 interface Entry {
     record: MemberRecord;
-    /** When someone last heard from the box. */
+    /** When any box last heard from the member. */
     heardAt: number;
-    /** When it was asked what it has not answered; undefined unless it is suspected. */
+    /** When the probe was sent that it has not answered; undefined unless it is suspected. */
     suspectedAt: number | undefined;
-    /** This box itself has asked it since it is suspected. */
-    isAsked: boolean;
+    /** This box itself has probed it since it is suspected. */
+    isProbed: boolean;
 }
 
-/** Creates a membership that knows this box only. */
+/** Creates a membership that contains only this box. */
 export function createMembership(self: MemberRecord): Membership {
     const others = new Map<BoxId, Entry>();
     const regions = createRegionLiveness();
-    const news = createMemberUpdates();
+    const updates = createMemberUpdates();
     let own = self;
-    let isSuspected = false;
+    let isSelfSuspected = false;
 
     return {
         ownRecord: () => own,
@@ -106,19 +117,19 @@
         onHeard(record, at) {
             regions.onHeard(record.region, at);
             const isUnknown = record.box !== own.box && !others.has(record.box);
-            take(record, at, undefined);
+            mergeRecord(record, at, undefined);
             return isUnknown;
         },
-        merge(sightings, at) {
-            for (const { heardAgo, record, suspectedFor } of sightings) {
+        merge(statuses, at) {
+            for (const { heardAgo, record, suspectedFor } of statuses) {
                 const suspectedAt = suspectedFor === undefined ? undefined : at - suspectedFor;
-                take(record, at - heardAgo - maxMessageDelay, suspectedAt);
+                mergeRecord(record, at - heardAgo - maxMessageDelay, suspectedAt);
             }
         },
-        onProbeFailed(box, askedAt) {
+        onProbeFailed(box, probedAt) {
             const entry = others.get(box);
             if (entry !== undefined) {
-                suspect(entry, askedAt);
+                suspect(entry, probedAt);
             }
         },
         isHeardSince: (box, since) => (others.get(box)?.heardAt ?? since) >= since,
@@ -134,81 +145,81 @@
         },
         isAnySuspected: at => [...others.values()].some(entry => entry.suspectedAt !== undefined && isAlive(entry, at)),
         nextSuspectsToProbe(count, at) {
-            const doubtful = [...others.values()].filter(entry => isDoubtful(entry, at)).slice(0, count);
-            for (const entry of doubtful) {
-                entry.isAsked = true;
+            const suspects = [...others.values()].filter(entry => shouldProbe(entry, at)).slice(0, count);
+            for (const entry of suspects) {
+                entry.isProbed = true;
             }
-            return doubtful.map(entry => entry.record);
+            return suspects.map(entry => entry.record);
         },
         recentMembers: at => recordsOf(entry => at - entry.heardAt < gossipToFailedTime),
-        statuses: at => [...others.values()].filter(entry => isAlive(entry, at)).map(entry => sightingOf(entry, at)),
+        statuses: at => [...others.values()].filter(entry => isAlive(entry, at)).map(entry => statusOf(entry, at)),
         nextUpdates: (count, at) =>
-            news.nextUpdates(count, box => at - (others.get(box)?.heardAt ?? -Infinity) < gossipToFailedTime)
+            updates.nextUpdates(count, box => at - (others.get(box)?.heardAt ?? -Infinity) < gossipToFailedTime)
                 .map(box => others.get(box))
                 .filter(entry => entry !== undefined)
-                .map(entry => sightingOf(entry, at)),
+                .map(entry => statusOf(entry, at)),
         regionAges: regions.ages,
         mergeRegionAges: regions.merge,
         consumeOwnSuspicion() {
-            const wasSuspected = isSuspected;
-            isSuspected = false;
+            const wasSuspected = isSelfSuspected;
+            isSelfSuspected = false;
             return wasSuspected;
         },
     };
 
-    function take(record: MemberRecord, heardAt: number, suspectedAt: number | undefined): void {
+    function mergeRecord(record: MemberRecord, heardAt: number, suspectedAt: number | undefined): void {
         if (record.box === own.box) {
-            isSuspected ||= suspectedAt !== undefined && record.incarnation === own.incarnation;
+            isSelfSuspected ||= suspectedAt !== undefined && record.incarnation === own.incarnation;
             return;
         }
         const entry = others.get(record.box);
         if (entry === undefined || record.incarnation > entry.record.incarnation) {
-            const suspicion = suspectedAt !== undefined && suspectedAt > heardAt ? suspectedAt : undefined;
-            others.set(record.box, { record, heardAt, suspectedAt: suspicion, isAsked: false });
-            news.onMemberAdded(record);
+            const validSuspectedAt = suspectedAt !== undefined && suspectedAt > heardAt ? suspectedAt : undefined;
+            others.set(record.box, { record, heardAt, suspectedAt: validSuspectedAt, isProbed: false });
+            updates.onMemberAdded(record);
             return;
         }
         if (record.incarnation === entry.record.incarnation) {
-            hear(entry, record, heardAt);
+            applyHeard(entry, record, heardAt);
             if (suspectedAt !== undefined) {
                 suspect(entry, suspectedAt);
             }
         }
     }
 
-    /** Takes that someone heard from a box, and its state if that is newer. */
-    function hear(entry: Entry, record: MemberRecord, heardAt: number): void {
+    /** Notes that some box heard from the member, and takes over its record if that is newer. */
+    function applyHeard(entry: Entry, record: MemberRecord, heardAt: number): void {
         entry.heardAt = Math.max(entry.heardAt, heardAt);
         if (entry.suspectedAt !== undefined && entry.heardAt >= entry.suspectedAt) {
             entry.suspectedAt = undefined;
-            news.onMemberChanged(entry.record);
+            updates.onMemberChanged(entry.record);
         }
         if (record.heartbeat <= entry.record.heartbeat) {
             return;
         }
         const { leaving, ready } = entry.record;
         entry.record = record;
-        if (record.leaving !== leaving || record.ready !== ready || news.isLoadChangeSignificant(record)) {
-            news.onMemberChanged(record);
+        if (record.leaving !== leaving || record.ready !== ready || updates.isLoadChangeSignificant(record)) {
+            updates.onMemberChanged(record);
         }
     }
 
-    /** Takes a suspicion, unless someone has heard from the box since: then those who suspect it should hear that. */
-    function suspect(entry: Entry, askedAt: number): void {
-        if (entry.heardAt >= askedAt) {
-            news.onSuspicionRefuted(entry.record);
+    /** Applies a suspicion, unless some box has heard from the member since: then the suspicion is refuted. */
+    function suspect(entry: Entry, probedAt: number): void {
+        if (entry.heardAt >= probedAt) {
+            updates.onSuspicionRefuted(entry.record);
             return;
         }
         if (entry.suspectedAt === undefined) {
-            entry.suspectedAt = askedAt;
-            entry.isAsked = false;
-            news.onMemberChanged(entry.record);
+            entry.suspectedAt = probedAt;
+            entry.isProbed = false;
+            updates.onMemberChanged(entry.record);
             return;
         }
-        entry.suspectedAt = Math.min(entry.suspectedAt, askedAt);
+        entry.suspectedAt = Math.min(entry.suspectedAt, probedAt);
     }
 
-    function sightingOf({ heardAt, record, suspectedAt }: Entry, at: Milliseconds): MemberStatus {
+    function statusOf({ heardAt, record, suspectedAt }: Entry, at: Milliseconds): MemberStatus {
         return {
             record,
             heardAgo: at - heardAt,
@@ -221,9 +232,9 @@
         return !isFailed && regions.isAlive(record.region, at);
     }
 
-    function isDoubtful({ isAsked, record, suspectedAt }: Entry, at: Milliseconds): boolean {
-        return suspectedAt !== undefined && !isAsked && record.region === own.region
-            && at - suspectedAt >= suspicionTimeout(others.size + 1) * askAfterPart;
+    function shouldProbe({ isProbed, record, suspectedAt }: Entry, at: Milliseconds): boolean {
+        return suspectedAt !== undefined && !isProbed && record.region === own.region
+            && at - suspectedAt >= suspicionTimeout(others.size + 1) * directProbeFraction;
     }
 
     function recordsOf(accept: (entry: Entry) => boolean): MemberRecord[] {
--- a/packages/decisions/src/membership/probing.ts
+++ b/packages/decisions/src/membership/probing.ts
@@ -1,18 +1,17 @@
 /**
- * Whom a box asks for a sign of life in each round, and which members did not
- * answer.
+ * Which members a box probes in each gossip round, and which members did not answer.
  *
- * Each round goes to the next member of the own region, in an order that is
- * shuffled anew each time, so that each is asked by someone in about each round
- * or two whatever the number of boxes. Every other round goes to one of those
- * that callers are named, so that each box finds a lost one of these by itself
- * even when much other news is under way; while any box is suspected, each round
- * goes to both. Only so many boxes of a region as `farAskers`
- * also ask one of another region in a round: bytes between regions are dear,
- * and their number must not grow with the fleet.
+ * Rounds alternate between the next member of the box's region and the next
+ * advertised box of that region. Each order is shuffled again once all its members
+ * were probed, so that some box probes each member in about every round or every second
+ * one, whatever the number of boxes. Because of the advertised rounds, each box
+ * detects a lost advertised box by itself even while many other updates are being
+ * disseminated. While any box is suspected, each round probes both. On average only
+ * `crossRegionProbers` boxes of a region also probe a box of another region in a
+ * round: traffic between regions is expensive and must not grow with the fleet.
  *
- * Owns the questions that wait for an answer; relies on the membership for who
- * there is and who was heard.
+ * Owns the probes that wait for an answer; relies on the membership for the members
+ * and for when each was last heard from.
  */
 
 import type { BoxId, Milliseconds } from "@chalkdale/kernel";
@@ -20,127 +19,138 @@
 import { gossipInterval } from "./membership-times.js";
 import type { Membership } from "./membership.js";
 
-/** Questions of one box. */
+/** Probes of one box. */
 export interface Probing {
-    /** Begins a round: returns the members to ask now, and tells the membership of those that did not answer. */
+    /** Begins a round: returns the members to probe now, and reports to the membership those that did not answer. */
     readonly nextRound: (at: Milliseconds) => readonly MemberRecord[];
 }
 
-/** Boxes of a region that ask another region in a round, on average: some of them may be lost. */
-const farAskers = 8;
-/** Times that a member is asked before it is suspected: one datagram of a question or its answer may be lost. */
-const mostTries = 2;
 /**
- * Part of the turns in which a failed member is asked: with all, half of the messages that carry news are lost while half of a
- * fleet is.
+ * Number of boxes of a region that probe another region in a round, on average; more than one, since some may be lost.
  */
-const askFailedPart = 0.25;
-/** Suspects that a box asks in one round beside its own turn, so that the loss of half a fleet costs each box few messages. */
-const mostDoubtful = 2;
-/** Time for an answer: a way between regions and back, and a box that is busy; less than a round, since rounds vary. */
-const answerTime = gossipInterval * 0.9;
+const crossRegionProbers = 8;
+/** Number of probes before a member is suspected: one datagram of a probe or its answer may be lost. */
+const maxProbes = 2;
+/**
+ * Fraction of its turns in which a failed member is probed. If it were probed in each, half of the messages that carry
+ * updates would be lost while half of a fleet is lost.
+ */
+const failedProbeFraction = 0.25;
+/**
+ * Maximum number of suspects that a box probes in a round besides the regular probes, so that the loss of half a fleet
+ * costs each box few messages.
+ */
+const maxSuspectProbes = 2;
+/** Milliseconds for an answer: a round trip between regions and a busy box; less than a round, since rounds vary. */
+const answerTimeout = gossipInterval * 0.9;
 
-interface Question {
-    readonly askedAt: Milliseconds;
-    triedAt: Milliseconds;
-    tries: number;
+interface Probe {
+    readonly firstSentAt: Milliseconds;
+    lastSentAt: Milliseconds;
+    sendCount: number;
 }
 
 export interface ProbingOptions {
     readonly membership: Membership;
-    /** Gives numbers from 0 to 1. */
+    /** Returns numbers from 0 to 1. */
     readonly random: () => number;
-    /** True for a box that callers are named. */
+    /** True for a box whose address callers get from the directory. */
     readonly isAdvertised: (box: BoxId) => boolean;
 }
 
-/** Creates the questions of a box. */
+/** Creates the probing of a box that has sent no probes. */
 export function createProbing({ isAdvertised, membership, random }: ProbingOptions): Probing {
-    const questions = new Map<BoxId, Question>();
-    const near: MemberRecord[] = [];
-    const advertised: MemberRecord[] = [];
+    const probes = new Map<BoxId, Probe>();
+    const sameRegionQueue: MemberRecord[] = [];
+    const advertisedQueue: MemberRecord[] = [];
     let isTurnOfAdvertised = false;
-    const far: MemberRecord[] = [];
+    const otherRegionQueue: MemberRecord[] = [];
 
     return {
         nextRound(at) {
             const own = membership.ownRecord();
             const members = membership.recentMembers(at);
-            const isNear = (member: MemberRecord) => member.region === own.region;
-            const again = takeUnanswered(at);
-            const regionSize = members.filter(member => isNear(member) && membership.isAlive(member.box, at)).length
+            const isSameRegion = (member: MemberRecord) => member.region === own.region;
+            const retries = collectRetries(at);
+            const regionSize =
+                members.filter(member => isSameRegion(member) && membership.isAlive(member.box, at)).length
                 + 1;
-            const targets = [...again, ...membership.nextSuspectsToProbe(mostDoubtful, at)];
+            const targets = [...retries, ...membership.nextSuspectsToProbe(maxSuspectProbes, at)];
             isTurnOfAdvertised = !isTurnOfAdvertised;
-            const isUneasy = membership.isAnySuspected(at);
-            if (isTurnOfAdvertised || isUneasy) {
-                targets.push(...next(advertised, members, member => isNear(member) && isAdvertised(member.box), at));
+            const isAnySuspected = membership.isAnySuspected(at);
+            if (isTurnOfAdvertised || isAnySuspected) {
+                targets.push(
+                    ...next(advertisedQueue, members, member => isSameRegion(member) && isAdvertised(member.box), at),
+                );
             }
-            if (!isTurnOfAdvertised || isUneasy) {
-                targets.push(...next(near, members, isNear, at));
+            if (!isTurnOfAdvertised || isAnySuspected) {
+                targets.push(...next(sameRegionQueue, members, isSameRegion, at));
             }
-            if (random() < farAskers / regionSize) {
-                targets.push(...next(far, members, member => !isNear(member), at));
+            if (random() < crossRegionProbers / regionSize) {
+                targets.push(...next(otherRegionQueue, members, member => !isSameRegion(member), at));
             }
-            targets.forEach(({ box }) => ask(box, at));
+            targets.forEach(({ box }) => noteSent(box, at));
             return targets;
         },
     };
 
-    function ask(box: BoxId, at: Milliseconds): void {
-        const question = questions.get(box);
-        if (question === undefined) {
-            questions.set(box, { askedAt: at, triedAt: at, tries: 1 });
+    function noteSent(box: BoxId, at: Milliseconds): void {
+        const probe = probes.get(box);
+        if (probe === undefined) {
+            probes.set(box, { firstSentAt: at, lastSentAt: at, sendCount: 1 });
             return;
         }
-        question.triedAt = at;
-        question.tries += 1;
+        probe.lastSentAt = at;
+        probe.sendCount += 1;
     }
 
-    /** Ends the questions that were answered or asked in vain; returns the members to ask again. */
-    function takeUnanswered(at: Milliseconds): readonly MemberRecord[] {
-        const again: MemberRecord[] = [];
-        for (const [box, question] of questions) {
+    /** Removes the probes that were answered or have finally failed; returns the members to probe again. */
+    function collectRetries(at: Milliseconds): readonly MemberRecord[] {
+        const retries: MemberRecord[] = [];
+        for (const [box, probe] of probes) {
             const member = membership.find(box);
-            if (member === undefined || membership.isHeardSince(box, question.askedAt)) {
-                questions.delete(box);
+            if (member === undefined || membership.isHeardSince(box, probe.firstSentAt)) {
+                probes.delete(box);
                 continue;
             }
-            if (at - question.triedAt < answerTime) {
+            if (at - probe.lastSentAt < answerTimeout) {
                 continue;
             }
-            if (question.tries < mostTries) {
-                again.push(member);
+            if (probe.sendCount < maxProbes) {
+                retries.push(member);
                 continue;
             }
-            questions.delete(box);
-            membership.onProbeFailed(box, question.askedAt);
+            probes.delete(box);
+            membership.onProbeFailed(box, probe.firstSentAt);
         }
-        return again;
+        return retries;
     }
 
-    /** The next member of an order, which is made anew once all of it were asked; empty if there is none. */
+    /**
+     * Returns the next member of a queue, which is filled and shuffled again once it is empty; no member if none is
+     * due.
+     */
     function next(
-        order: MemberRecord[],
+        queue: MemberRecord[],
         members: readonly MemberRecord[],
         accept: (member: MemberRecord) => boolean,
         at: Milliseconds,
     ): readonly MemberRecord[] {
-        if (order.length === 0) {
-            order.push(...shuffle(members.filter(member => accept(member) && isAskedInTurn(member, at))));
+        if (queue.length === 0) {
+            queue.push(...shuffle(members.filter(member => accept(member) && isDueInTurn(member, at))));
         }
-        while (order.length > 0) {
-            const member = order.pop();
-            if (member !== undefined && !questions.has(member.box)) {
+        while (queue.length > 0) {
+            const member = queue.pop();
+            if (member !== undefined && !probes.has(member.box)) {
                 return [member];
             }
         }
         return [];
     }
 
-    /** A failed member is asked at times, in case it was cut off. */
-    function isAskedInTurn({ box }: MemberRecord, at: Milliseconds): boolean {
-        return membership.isAlive(box, at) || random() < askFailedPart;
+    /** A failed member is probed only sometimes, in case it was only disconnected. */
+    function isDueInTurn({ box }: MemberRecord, at: Milliseconds): boolean {
+        return membership.isAlive(box, at) || random() < failedProbeFraction;
     }
 
     function shuffle(members: readonly MemberRecord[]): readonly MemberRecord[] {
--- a/packages/decisions/src/membership/region-liveness.ts
+++ b/packages/decisions/src/membership/region-liveness.ts
@@ -1,27 +1,27 @@
 /**
- * When anyone last heard from a box of each region. A region from which nobody
- * hears anything counts as failed as a whole.
+ * When any box last heard from each region. A region from which no box hears
+ * anything counts as failed as a whole.
  *
- * Owns the latest time for each region; relies on messages for ages, since
- * nobody compares clocks.
+ * Owns the latest time for each region; relies on messages to report ages, since
+ * clocks of different boxes are not compared.
  */
 
 import type { Milliseconds, RegionId } from "@chalkdale/kernel";
 import { maxMessageDelay, regionFailureTimeout } from "./membership-times.js";
 
-/** Regions, and how long they have been silent. */
+/** When each region was last heard from. */
 export interface RegionLiveness {
     /** This box has heard from a box of the region. */
     readonly onHeard: (region: RegionId, at: Milliseconds) => void;
-    /** Another box tells how long ago anyone has heard from each region, in milliseconds. */
+    /** Another box reported how long ago any box heard from each region, in milliseconds. */
     readonly merge: (ages: ReadonlyMap<RegionId, number>, at: Milliseconds) => void;
-    /** Milliseconds since anyone heard from a box of each region. */
+    /** Milliseconds since any box heard from each region. */
     readonly ages: (at: Milliseconds) => ReadonlyMap<RegionId, number>;
-    /** True for a region that is heard of; one that never was is given time from now on. */
+    /** True unless the region has failed; a region that was never heard from counts as alive. */
     readonly isAlive: (region: RegionId, at: Milliseconds) => boolean;
 }
 
-/** Creates the ages; no region is known yet. */
+/** Creates the state without any region. */
 export function createRegionLiveness(): RegionLiveness {
     const heardAt = new Map<RegionId, number>();
 
@@ -31,9 +31,9 @@
         },
         merge(ages, at) {
             for (const [region, age] of ages) {
-                const toldAt = at - age - maxMessageDelay;
-                if (toldAt > (heardAt.get(region) ?? -Infinity)) {
-                    heardAt.set(region, toldAt);
+                const reportedAt = at - age - maxMessageDelay;
+                if (reportedAt > (heardAt.get(region) ?? -Infinity)) {
+                    heardAt.set(region, reportedAt);
                 }
             }
         },
--- a/packages/decisions/test/emulated-members.ts
+++ b/packages/decisions/test/emulated-members.ts
@@ -10,13 +10,14 @@
 } from "../src/index.js";
 import { createMember } from "./member.js";
 
-/** One message, as the product's boxes send it. */
+/** One message, with the content that boxes send. */
 interface Message {
     readonly arrivesAt: number;
     readonly to: string;
     readonly from: MemberRecord;
     readonly news: readonly MemberStatus[];
     readonly ages: ReturnType<Membership["regionAges"]>;
+    /** True for a probe, which the receiver answers. */
     readonly asks: boolean;
 }
 
@@ -30,30 +31,33 @@
 export interface EmulatedMembersOptions {
     readonly count: number;
     readonly random: () => number;
-    /** Part of the messages that are lost. */
+    /** Fraction of the messages that are lost. */
     readonly loss: number;
 }
 
 const regions = ["north", "east", "south"];
-/** One box in seven is strong, and callers are named these only. */
-const strongEvery = 7;
-const strong = 1.35;
-const weak = 0.27;
-/** Milliseconds of a way within a region and between two. */
-const nearWay = 1;
-const farWay = 35;
-/** Members in one message, as in the product. */
-const mostNews = 40;
+/** One box in seven has a great capacity, and only these are advertised to callers. */
+const advertisedEvery = 7;
+const advertisedCapacity = 1.35;
+const otherCapacity = 0.27;
+/** Milliseconds that a message takes within a region and between two. */
+const delayWithinRegion = 1;
+const delayBetweenRegions = 35;
+/** Maximum number of members in one message, as boxes have it. */
+const maxUpdates = 40;
 
-/** Boxes of three regions that tell each other who runs, on an emulated clock. All of them know each other at first. */
+/**
+ * Creates the memberships of boxes of three regions that gossip on an emulated clock. All of them know each other at
+ * first.
+ */
 export function createEmulatedMembers({ count, loss, random }: EmulatedMembersOptions) {
     const records = Array.from({ length: count }, (_, index) =>
         createMember(`box-${index}`, {
             region: regionId(regions[index % regions.length]),
             zone: availabilityZoneId(`zone-${index % 9}`),
-            capacity: index % strongEvery === 0 ? strong : weak,
+            capacity: index % advertisedEvery === 0 ? advertisedCapacity : otherCapacity,
         }));
-    const advertised = new Set(records.filter(({ capacity }) => capacity === strong).map(({ box }) => box));
+    const advertised = new Set(records.filter(({ capacity }) => capacity === advertisedCapacity).map(({ box }) => box));
     const boxes = new Map<string, EmulatedMember>(records.map(record => {
         const membership = createMembership(record);
         records.forEach(other => membership.onHeard(other, milliseconds(0)));
@@ -74,12 +78,12 @@
         start(index: number) {
             boxes.get(records[index].box)!.isRunning = true;
         },
-        /** Lets one round pass. */
+        /** Runs one gossip round of all boxes. */
         runRound() {
             const end = now + gossipInterval;
-            const begins = [...boxes.values()].map(box => ({ at: now + box.startsRoundAt, box }));
-            begins.sort((a, b) => a.at - b.at);
-            for (const { at, box } of begins) {
+            const starts = [...boxes.values()].map(box => ({ at: now + box.startsRoundAt, box }));
+            starts.sort((a, b) => a.at - b.at);
+            for (const { at, box } of starts) {
                 deliverUntil(at);
                 if (box.isRunning) {
                     beginRound(box, at);
@@ -88,16 +92,18 @@
             deliverUntil(end);
             now = end;
         },
-        /** Of all pairs of running boxes, how many where one takes the other as failed. */
+        /** Number of pairs of running boxes in which one regards the other as failed. */
         falselyFailed: () => running().reduce((sum, box) => sum + running().length - countRunningAlive(box), 0),
-        /** Of all pairs of a running and a stopped box, how many where the one takes the other as running. */
+        /** Number of pairs of a running and a stopped box in which the one regards the other as alive. */
         falselyAlive: () => running().reduce((sum, box) => sum + stoppedAlive(box).length, 0),
-        /** The same for stopped boxes that callers of the running box's region are named. */
-        falselyNamed: () =>
+        /** The same for stopped boxes that are advertised to callers of the running box's region. */
+        falselyAdvertised: () =>
             running().reduce((sum, box) => {
                 const { region } = box.membership.ownRecord();
                 return sum
-                    + stoppedAlive(box).filter(member => member.region === region && member.capacity === strong).length;
+                    + stoppedAlive(box).filter(member =>
+                        member.region === region && member.capacity === advertisedCapacity
+                    ).length;
             }, 0),
     };
 
@@ -128,14 +134,14 @@
         }
     }
 
-    function send(membership: Membership, to: MemberRecord, at: number, asks: boolean): void {
+    function send(membership: Membership, to: MemberRecord, at: number, isProbe: boolean): void {
         const from = membership.ownRecord();
-        const news = membership.nextUpdates(mostNews, milliseconds(at));
+        const news = membership.nextUpdates(maxUpdates, milliseconds(at));
         const ages = membership.regionAges(milliseconds(at));
         sent += 1;
         if (random() >= loss) {
-            const arrivesAt = at + (to.region === from.region ? nearWay : farWay);
-            messages.push({ arrivesAt, to: to.box, from, news, ages, asks });
+            const arrivesAt = at + (to.region === from.region ? delayWithinRegion : delayBetweenRegions);
+            messages.push({ arrivesAt, to: to.box, from, news, ages, asks: isProbe });
         }
     }
 
@@ -150,7 +156,7 @@
         }
     }
 
-    function deliver({ ages, arrivesAt, asks, from, news, to }: Message): void {
+    function deliver({ ages, arrivesAt, asks: isProbe, from, news, to }: Message): void {
         const box = boxes.get(to)!;
         if (!box.isRunning) {
             return;
@@ -159,7 +165,7 @@
         box.membership.onHeard(from, at);
         box.membership.merge(news, at);
         box.membership.mergeRegionAges(ages, at);
-        if (asks) {
+        if (isProbe) {
             send(box.membership, from, arrivesAt, false);
         }
     }
--- a/packages/decisions/test/member.ts
+++ b/packages/decisions/test/member.ts
@@ -1,7 +1,7 @@
 import { availabilityZoneId, boxId, incarnationId, regionId } from "@chalkdale/kernel";
 import type { MemberRecord } from "../src/index.js";
 
-/** Returns the record of a box in the north, with changes. */
+/** Returns the record of a box in the region `north`, with changes. */
 export function createMember(box: string, changes: Partial<MemberRecord> = {}): MemberRecord {
     return {
         box: boxId(box),
