--- a/packages/box/src/poison-requests/poison-request-guard.ts
+++ b/packages/box/src/poison-requests/poison-request-guard.ts
@@ -122,7 +122,7 @@
         deadly.onSeen(fingerprint, at);
         return deadly.decide(fingerprint, {
             at,
-            isUnderWay: requests.withFingerprint(fingerprint).some(({ pendingAttempts: underWay }) => underWay > 0),
+            isInProgress: requests.withFingerprint(fingerprint).some(({ pendingAttempts: underWay }) => underWay > 0),
             makesTrials: news.makesTrials(fingerprint),
         }).kind;
     }
--- a/packages/decisions/src/membership/member-record.ts
+++ b/packages/decisions/src/membership/member-record.ts
@@ -1,7 +1,7 @@
 /**
  * The record of one box in the membership, and the order of boxes on which all boxes agree.
  *
- * Owns nothing. Records are sent in messages between boxes, so their members keep their names.
+ * Owns nothing. Records are written to the store and sent in messages between boxes, so their members keep their names.
  */
 
 import { type AvailabilityZoneId, type BoxId, hashText, type IncarnationId, type RegionId } from "@chalkdale/kernel";
--- a/packages/decisions/src/poison-requests/poison-request-record.ts
+++ b/packages/decisions/src/poison-requests/poison-request-record.ts
@@ -1,12 +1,15 @@
 /**
- * What is known of one request under which servers end, and how it may be served.
+ * What is known about one suspected poison request, that is a request during which servers
+ * terminated, and how it may be served.
  *
- * Records of several boxes merge in any order and as often as they come: a record
- * is the set of lives that ended under the request, and the latest answers to it. A request that ends the server that runs it is never answered, so an answer
- * acquits: ends before it count no more. What strikes several servers at once is not a
- * request, so ends that come together count as one.
+ * A record is the set of server incarnations that terminated while they ran the request,
+ * and the latest answers to it. Records of several boxes can be merged in any order and
+ * any number of times. A poison request terminates the server that runs it and is never
+ * answered, so an answer clears the request: earlier terminations no longer count.
+ * Terminations of several servers at once have another cause than a request, so they
+ * count as one.
  *
- * Pure; times are of the box that holds the record.
+ * Owns nothing; all functions are pure. Times are those of the box that holds the record.
  */
 
 import {
@@ -17,58 +20,76 @@
     type ServerIncarnationId,
 } from "@chalkdale/kernel";
 
-/** One request under which servers ended. */
+/** One request during which servers terminated. */
 export interface PoisonRequestRecord {
     readonly fingerprint: RequestFingerprint;
-    /** Lives of servers that ended while they had the request, the earliest end first. */
+    /** Server incarnations that terminated while they ran the request, the earliest first. */
     readonly ends: readonly ObservedEvent<ServerIncarnationId>[];
-    /** The latest answers that servers gave to the request since it is known, the earliest first. */
+    /** The latest answers of servers to the request since it is known, the earliest first. */
     readonly answers: readonly ObservedEvent<AnswerId>[];
     /** When a caller last sent the request to any box. */
     readonly seenAt: Milliseconds;
 }
 
 /**
- * Something that a box saw, and when. Each message on its way adds to the time, so that of two times for one event the earlier
- * one is nearer to the truth.
+ * An event that some box observed, and when. Message delays make a reported time later, so of two times for one event
+ * the earlier one is more accurate.
  */
 export interface ObservedEvent<Id extends string> {
     readonly id: Id;
     readonly at: Milliseconds;
 }
 
-/** How a request may be served, from the mildest to the strictest. */
+/** How a request may be served, from the least to the most restrictive. */
 export type RequestRestriction =
-    /** As any other. */
+    /** Like any other request. */
     | "unsuspected"
-    /** At one server at a time for each request: no second copy beside an overdue one. */
+    /** Each request at one server at a time: no hedged attempts. */
     | "watched"
-    /** By one request at a time on each box. */
+    /** Each box serves one request with the fingerprint at a time. */
     | "oneAtATime"
-    /** Not at all, but for trials. */
+    /** Not at all, except for trials. */
     | "held";
 
-/** Ends from which a request is watched, is served one at a time, and is held: the users allow three. */
-const endsOfStanding = { oneAtATime: 2, held: 3 };
-/** Milliseconds within which ends count as one: a rack or a zone is lost at once, and boxes learn of it a way apart. */
-const togetherWithin = 100;
-/** Answers that are kept of one record: the latest counts, and the others keep it from being taken for a later one. */
-const answersKept = 3;
-/** Ends that are kept of one record at each side: the earliest tell how long it has gone on, the latest when it was last tried. */
-const endsKeptEachSide = 4;
-/** Milliseconds after the third end before a trial: an innocent request is held no longer, a guilty one ends one server more. */
-const firstTrialAfter = 30_000;
-/** The pause before a trial is so many times the time from the first end to the last, so that few trials are made in all. */
-const trialPauseGrowth = 10;
-/** Milliseconds after which a request that nobody sends is forgotten. */
+/**
+ * Number of terminations from which requests are served one at a time, and are held; from the first one they are
+ * watched. Users accept the loss of three servers.
+ */
+const restrictionThresholds = { oneAtATime: 2, held: 3 };
+/**
+ * Milliseconds within which terminations count as one: a rack or a zone fails at once, and boxes learn of it a message
+ * delay apart.
+ */
+const simultaneousWithin = 100;
+/**
+ * Maximum number of answers in a record: the latest one counts, and the others prevent that a late report of it passes
+ * for a later answer.
+ */
+const maxAnswers = 3;
+/**
+ * Number of the earliest and of the latest terminations in a record: the first show how long servers have terminated,
+ * the last when the request was last tried.
+ */
+const maxEndsPerSide = 4;
+/**
+ * Milliseconds from the third termination to the first trial. A harmless request is held no longer; a poison request
+ * terminates one more server.
+ */
+const firstTrialDelay = 30_000;
+/**
+ * The delay before a trial is this many times the time from the first termination to the last, so that there are few
+ * trials in all.
+ */
+const trialDelayGrowth = 10;
+/** Milliseconds after which the record of a request that no caller sends is removed. */
 export const poisonRecordLifetime = 30 * 60_000;
 
-/** A record of a request that nothing speaks against yet. */
+/** Creates a record without terminations and answers. */
 export function createPoisonRequestRecord(fingerprint: RequestFingerprint, at: Milliseconds): PoisonRequestRecord {
     return { fingerprint, ends: [], answers: [], seenAt: at };
 }
 
-/** Returns what two records of one request say together. */
+/** Merges two records of one request. Commutative and idempotent. */
 export function mergePoisonRequestRecords(
     first: PoisonRequestRecord,
     second: PoisonRequestRecord,
@@ -76,7 +97,7 @@
     const merged = {
         fingerprint: first.fingerprint,
         ends: mergeEvents(first.ends, second.ends),
-        answers: mergeEvents(first.answers, second.answers).slice(-answersKept),
+        answers: mergeEvents(first.answers, second.answers).slice(-maxAnswers),
         seenAt: milliseconds(Math.max(first.seenAt, second.seenAt)),
     };
     return { ...merged, ends: endsToKeep(merged) };
@@ -94,47 +115,47 @@
     return [...byId.values()].sort((a, b) => a.at - b.at || (a.id < b.id ? -1 : 1));
 }
 
-/** Ends that count no more go first, then those between the earliest and the latest. */
+/** Bounds the terminations: drops those that no longer count first, then those between the earliest and the latest. */
 function endsToKeep(record: PoisonRequestRecord): PoisonRequestRecord["ends"] {
-    if (record.ends.length <= endsKeptEachSide + endsKeptEachSide) {
+    if (record.ends.length <= maxEndsPerSide + maxEndsPerSide) {
         return record.ends;
     }
     const counted = endsSinceLastAnswer(record);
-    return counted.filter((_, index) => index < endsKeptEachSide || index >= counted.length - endsKeptEachSide);
+    return counted.filter((_, index) => index < maxEndsPerSide || index >= counted.length - maxEndsPerSide);
 }
 
-/** The ends since the latest answer. */
+/** Returns the terminations since the latest answer, which are those that count. */
 export function endsSinceLastAnswer({ answers, ends }: PoisonRequestRecord): PoisonRequestRecord["ends"] {
     const answeredAt = answers.at(-1)?.at ?? -Infinity;
     return ends.filter(({ at }) => at > answeredAt);
 }
 
-/** Returns how a request may be served by what is known of it. */
+/** Returns how the request of a record may be served. */
 export function restrictionOf(record: PoisonRequestRecord): RequestRestriction {
     const count = countEnds(record);
-    if (count >= endsOfStanding.held) {
+    if (count >= restrictionThresholds.held) {
         return "held";
     }
-    if (count >= endsOfStanding.oneAtATime) {
+    if (count >= restrictionThresholds.oneAtATime) {
         return "oneAtATime";
     }
     return count > 0 ? "watched" : "unsuspected";
 }
 
-/** Returns when a held request may be tried once more, to find out whether it still ends servers. */
+/** Returns when a held request may be tried again, to find out whether it still terminates servers. */
 export function trialDueAt(record: PoisonRequestRecord): Milliseconds {
     const ends = endsSinceLastAnswer(record);
     const first = ends[0].at;
     const last = ends[ends.length - 1].at;
-    return milliseconds(last + Math.max(firstTrialAfter, (last - first) * trialPauseGrowth));
+    return milliseconds(last + Math.max(firstTrialDelay, (last - first) * trialDelayGrowth));
 }
 
-/** Ends that count, those that came together as one. */
+/** Counts the terminations since the latest answer; simultaneous ones count as one. */
 function countEnds(record: PoisonRequestRecord): number {
     let count = 0;
     let since = -Infinity;
     for (const { at } of endsSinceLastAnswer(record)) {
-        if (at - since >= togetherWithin) {
+        if (at - since >= simultaneousWithin) {
             count += 1;
             since = at;
         }
--- a/packages/decisions/src/poison-requests/poison-requests.ts
+++ b/packages/decisions/src/poison-requests/poison-requests.ts
@@ -1,9 +1,10 @@
 /**
- * The requests under which servers end, as one box knows them, and whether one of
- * them may be sent to a server now.
+ * The suspected poison requests that one box knows, and whether one of them may be sent
+ * to a server now.
  *
- * Owns the records, within a bound; relies on whoever confirms that a server has
- * ended, and on other boxes' records for what ended elsewhere.
+ * Owns the records, of which there are at most `maxRecords`; relies on its callers to
+ * confirm that a server has terminated, and on other boxes' records for terminations
+ * that those observed.
  */
 
 import {
@@ -25,95 +26,97 @@
     trialDueAt,
 } from "./poison-request-record.js";
 
-/** What a request may do now. */
-type Clearance =
+/** Whether a request may be sent to a server now. */
+type SendDecision =
     | { readonly kind: "go"; }
-    /** Another one of its kind is at a server: what becomes of that tells. */
+    /** Another request with the fingerprint is at a server: its outcome decides. */
     | { readonly kind: "wait"; }
     | { readonly kind: "refuse"; };
 
-/** What this box has of a request besides its record. */
-interface ClearanceInputs {
-    /** This box sends a request of the kind to a server now. */
-    readonly isUnderWay: boolean;
-    /** This box makes the trials of the kind; one box does, so that a trial costs one server. */
+/** What a decision on a request depends on besides its record. */
+interface SendDecisionInputs {
+    /** This box has a request with the fingerprint at a server now. */
+    readonly isInProgress: boolean;
+    /** This box makes the trials of the fingerprint; only one box does, so that a trial costs one server. */
     readonly makesTrials: boolean;
     readonly at: Milliseconds;
 }
 
-/** A record that says more than before. */
+/** A change of a record, with the restriction before and after it. */
 export interface PoisonRequestChange {
     readonly record: PoisonRequestRecord;
     readonly before: RequestRestriction;
     readonly now: RequestRestriction;
 }
 
-/** The requests of one box under which servers end. */
+/** The suspected poison requests that one box knows. */
 export interface PoisonRequests {
     readonly isEmpty: () => boolean;
     readonly find: (fingerprint: RequestFingerprint) => PoisonRequestRecord | undefined;
-    /** The standing of a request; "unsuspected" for one that isn't known. */
+    /** Returns how a request may be served; "unsuspected" if it has no record. */
     readonly restriction: (fingerprint: RequestFingerprint) => RequestRestriction;
-    readonly decide: (fingerprint: RequestFingerprint, inputs: ClearanceInputs) => Clearance;
-    /** A server ended while it had the request. */
+    /** Decides whether a request with the fingerprint may be sent to a server now. */
+    readonly decide: (fingerprint: RequestFingerprint, inputs: SendDecisionInputs) => SendDecision;
+    /** A server terminated while it ran the request. */
     readonly onServerEnded: (
         fingerprint: RequestFingerprint,
-        life: ServerIncarnationId,
+        incarnation: ServerIncarnationId,
         at: Milliseconds,
     ) => PoisonRequestChange;
-    /** A server answered a request that is known. Undefined for another, and for one that nothing spoke against. */
+    /** A server answered the request. Undefined if the request was unsuspected. */
     readonly onAnswer: (
         fingerprint: RequestFingerprint,
         answer: AnswerId,
         at: Milliseconds,
     ) => PoisonRequestChange | undefined;
-    /** A caller sent a request that is known. */
+    /** A caller sent the request. Requests without a record are ignored. */
     readonly onSeen: (fingerprint: RequestFingerprint, at: Milliseconds) => void;
-    /** Takes another box's record; undefined if it says nothing new of how the request may be served. */
+    /** Merges another box's record; undefined if that does not change how the request may be served. */
     readonly onRecord: (record: PoisonRequestRecord) => PoisonRequestChange | undefined;
     readonly records: () => readonly PoisonRequestRecord[];
     readonly fingerprints: () => Iterable<RequestFingerprint>;
-    /** Forgets what nobody sends any more. */
+    /** Removes records of requests that no caller has sent for `poisonRecordLifetime`. */
     readonly sweep: (at: Milliseconds) => void;
 }
 
-/** Requests that are known at most: each costs some 0.5 KB, and the least suspect goes first. */
-const mostRecords = 256;
-/** Boxes to which an end is told first: two, so that one of them may be lost. */
-const collectorsOfRequest = 2;
+/** Maximum number of records: each takes about 0.5 KB; the least restricted one is removed first. */
+const maxRecords = 256;
+/** Number of boxes that collect the terminations of a request: two, so that one of them may be lost. */
+const collectorsPerRequest = 2;
+/** All restrictions, from the least to the most restrictive. */
 const strictness: readonly RequestRestriction[] = ["unsuspected", "watched", "oneAtATime", "held"];
 
-/** Creates the records of a box that knows of none. */
+/** Creates an empty set of records. */
 export function createPoisonRequests(): PoisonRequests {
     const records = new Map<RequestFingerprint, PoisonRequestRecord>();
 
     return {
         isEmpty: () => records.size === 0,
         find: fingerprint => records.get(fingerprint),
-        restriction: standing,
-        decide(fingerprint, { at, isUnderWay, makesTrials }) {
+        restriction: currentRestriction,
+        decide(fingerprint, { at, isInProgress, makesTrials }) {
             const record = records.get(fingerprint);
-            switch (standing(fingerprint)) {
+            switch (currentRestriction(fingerprint)) {
                 case "unsuspected":
                 case "watched":
                     return { kind: "go" };
                 case "oneAtATime":
-                    return { kind: isUnderWay ? "wait" : "go" };
+                    return { kind: isInProgress ? "wait" : "go" };
                 case "held": {
-                    const isTrial = makesTrials && !isUnderWay && record !== undefined && at >= trialDueAt(record);
+                    const isTrial = makesTrials && !isInProgress && record !== undefined && at >= trialDueAt(record);
                     return { kind: isTrial ? "go" : "refuse" };
                 }
             }
         },
-        onServerEnded(fingerprint, life, at) {
-            const record = { ...createPoisonRequestRecord(fingerprint, at), ends: [{ id: life, at }] };
-            return take(record);
+        onServerEnded(fingerprint, incarnation, at) {
+            const record = { ...createPoisonRequestRecord(fingerprint, at), ends: [{ id: incarnation, at }] };
+            return mergeRecord(record);
         },
         onAnswer(fingerprint, answer, at) {
-            if (standing(fingerprint) === "unsuspected") {
+            if (currentRestriction(fingerprint) === "unsuspected") {
                 return undefined;
             }
-            return take({ ...createPoisonRequestRecord(fingerprint, at), answers: [{ id: answer, at }] });
+            return mergeRecord({ ...createPoisonRequestRecord(fingerprint, at), answers: [{ id: answer, at }] });
         },
         onSeen(fingerprint, at) {
             const record = records.get(fingerprint);
@@ -122,7 +125,7 @@
             }
         },
         onRecord(record) {
-            const change = take(record);
+            const change = mergeRecord(record);
             return change.before === change.now ? undefined : change;
         },
         records: () => [...records.values()],
@@ -136,24 +139,24 @@
         },
     };
 
-    function standing(fingerprint: RequestFingerprint): RequestRestriction {
+    function currentRestriction(fingerprint: RequestFingerprint): RequestRestriction {
         const record = records.get(fingerprint);
         return record === undefined ? "unsuspected" : restrictionOf(record);
     }
 
-    function take(record: PoisonRequestRecord): PoisonRequestChange {
+    function mergeRecord(record: PoisonRequestRecord): PoisonRequestChange {
         const { fingerprint } = record;
-        const before = standing(fingerprint);
+        const before = currentRestriction(fingerprint);
         const known = records.get(fingerprint) ?? createPoisonRequestRecord(fingerprint, record.seenAt);
         const merged = mergePoisonRequestRecords(known, record);
         records.set(fingerprint, merged);
-        if (records.size > mostRecords) {
-            records.delete(leastSuspect());
+        if (records.size > maxRecords) {
+            records.delete(findLeastRestricted());
         }
         return { record: merged, before, now: restrictionOf(merged) };
     }
 
-    function leastSuspect(): RequestFingerprint {
+    function findLeastRestricted(): RequestFingerprint {
         const [first] = [...records.values()].sort((a, b) =>
             strictness.indexOf(restrictionOf(a)) - strictness.indexOf(restrictionOf(b)) || a.seenAt - b.seenAt
         );
@@ -161,14 +164,14 @@
     }
 }
 
-/** True for a standing that every box has to know. */
-export function requiresBroadcast(standing: RequestRestriction): boolean {
-    return standing === "oneAtATime" || standing === "held";
+/** True for a restriction that every box has to apply. */
+export function requiresBroadcast(restriction: RequestRestriction): boolean {
+    return restriction === "oneAtATime" || restriction === "held";
 }
 
 /**
- * Returns the boxes that collect what is known of a request, the one that makes its trials first: by rendezvous hashing, so that
- * all boxes that know each other find the same ones.
+ * Returns the boxes that collect what is known of a request, the one that makes its trials first. They are chosen by
+ * rendezvous hashing, so that all boxes that know each other choose the same ones.
  */
 export function collectorsOf<Box extends { readonly box: string; }>(
     fingerprint: RequestFingerprint,
@@ -176,10 +179,10 @@
 ): readonly Box[] {
     const hash = hashText(fingerprint);
     const scores = new Map(boxes.map(box => [box, rendezvousScore(hash, hashText(box.box), 1)]));
-    return [...boxes].sort((a, b) => scores.get(b)! - scores.get(a)!).slice(0, collectorsOfRequest);
+    return [...boxes].sort((a, b) => scores.get(b)! - scores.get(a)!).slice(0, collectorsPerRequest);
 }
 
-/** Returns a time that lies so long before another. */
+/** Returns the time `age` milliseconds before `at`; a negative age counts as 0. */
 export function timeBefore(at: Milliseconds, age: number): Milliseconds {
     return milliseconds(at - Math.max(0, age));
 }
--- a/packages/testing/src/promises/decision-mutations.ts
+++ b/packages/testing/src/promises/decision-mutations.ts
@@ -362,7 +362,7 @@
         promise: "P26",
         name: "the hold of a request under which three servers ended",
         file: decisionsFile("poison-requests/poison-request-record"),
-        find: "if (count >= endsOfStanding.held) {",
+        find: "if (count >= restrictionThresholds.held) {",
         replace: "if (false) {",
         testFiles: [decisionsTestFile("poison-requests")],
     },
