--- a/packages/box/src/poison-requests/poison-request-gossip.ts
+++ b/packages/box/src/poison-requests/poison-request-gossip.ts
@@ -1,6 +1,7 @@
 /**
- * What a box tells others of requests that end servers: to the boxes that collect
- * what is known of one, to all boxes, and in turn with gossip.
+ * What a box sends to others about suspected poison requests: directly to the boxes
+ * that collect what is known of a request, directly to all boxes, and in rotation with
+ * gossip.
  *
  * Owns what is still to be repeated; relies on the records for what is known. Any
  * message may be lost.
@@ -20,80 +21,85 @@
 export interface PoisonRequestGossipOptions {
     readonly clock: Clock;
     readonly self: BoxId;
+    /** The records of this box. */
     readonly deadly: Pick<PoisonRequests, "find" | "records" | "restriction">;
-    /** Boxes that callers are named, this one included if it is. */
+    /** Boxes that are advertised to callers, this one included if it is. */
     readonly advertised: () => readonly MemberRecord[];
-    /** All other boxes that run. */
+    /** All other boxes to which messages may be sent. */
     readonly recentMembers: () => readonly MemberRecord[];
     readonly send: (box: MemberRecord, reports: readonly PoisonRequestReport[]) => void;
 }
 
-/** The news of one box. */
+/** Sends the reports of one box. */
 export interface PoisonRequestGossip {
     /** True if this box collects what is known of a request. */
     readonly isCollector: (fingerprint: RequestFingerprint) => boolean;
     /** True if this box makes the trials of a request that is held. */
     readonly makesTrials: (fingerprint: RequestFingerprint) => boolean;
+    /** Sends a record to the boxes that collect what is known of its request. */
     readonly sendToCollectors: (record: PoisonRequestRecord) => void;
-    /** The same, and again in the next rounds. */
+    /** The same, repeated in the next gossip rounds. */
     readonly sendToCollectorsRepeatedly: (record: PoisonRequestRecord) => void;
     readonly sendToAll: (record: PoisonRequestRecord) => void;
-    /** A request that others may still hold was answered. */
+    /** A request that other boxes may still restrict was answered. */
     readonly onCleared: (fingerprint: RequestFingerprint) => void;
-    /** What goes with gossip; undefined while there is nothing to tell. */
+    /** Returns the reports for the next gossip message; undefined if there are none. */
     readonly gossipPayload: () => readonly PoisonRequestReport[] | undefined;
-    /** Due with each round of gossip. */
+    /** To be called in each gossip round. */
     readonly onGossipRound: () => void;
 }
 
 /**
- * Reports of one datagram of gossip: up to 0.5 KB each, so that they stay below its 8 KB together with 2.6 KB of heartbeats and 1.8 KB of
- * reports on servers; a datagram that is too large would lose these too.
+ * Maximum number of reports in one gossip datagram. A report takes up to 0.5 KB; together with 2.6 KB of heartbeats and
+ * 1.8 KB of reports on servers they stay below the 8 KB of a datagram. One that is too large would lose these too.
  */
-const mostReports = 3;
-/** Rounds of gossip in which an end is told again to those who collect it, since a datagram may be lost. */
+const maxReports = 3;
+/** Number of gossip rounds in which a termination is sent again to its collectors, since a datagram may be lost. */
 const repeatedRounds = 3;
-/** Milliseconds for which gossip tells of an end: as long as other boxes may take a lost one for running. */
-const endNews = 5000;
-/** Milliseconds for which gossip says that a request was answered: as long as it may take to reach every box of a fleet. */
-const acquittalNews = 10_000;
+/** Milliseconds for which gossip contains a termination: as long as other boxes may regard a lost box as alive. */
+const terminationGossipTime = 5000;
+/**
+ * Milliseconds for which gossip contains that a request was cleared: as long as it may take to reach every box of a
+ * fleet.
+ */
+const clearedGossipTime = 10_000;
 
-/** Creates the news of a box that has nothing to tell. */
+/** Creates the sender of a box that has nothing to repeat. */
 export function createPoisonRequestGossip(options: PoisonRequestGossipOptions): PoisonRequestGossip {
-    const { clock, deadly, self } = options;
-    /** Rounds in which the ends under a request are still told again. */
-    const toRepeat = new Map<RequestFingerprint, number>();
-    /** Until when gossip says of requests that they were answered. */
-    const acquittedUntil = new Map<RequestFingerprint, Milliseconds>();
-    /** Records that gossip has told so far. */
-    let told = 0;
+    const { clock, deadly: poisonRequests, self } = options;
+    /** Number of rounds in which the terminations of each request are still to be repeated. */
+    const repeatsLeft = new Map<RequestFingerprint, number>();
+    /** Until when gossip contains that each request was cleared. */
+    const clearedUntil = new Map<RequestFingerprint, Milliseconds>();
+    /** Number of reports returned for gossip so far, by which records take turns. */
+    let gossipedCount = 0;
 
     return {
         isCollector: fingerprint => collectors(fingerprint).some(({ box }) => box === self),
         makesTrials: fingerprint => collectors(fingerprint).at(0)?.box === self,
-        sendToCollectors: tellCollectors,
+        sendToCollectors,
         sendToCollectorsRepeatedly(record) {
-            toRepeat.set(record.fingerprint, repeatedRounds);
-            tellCollectors(record);
+            repeatsLeft.set(record.fingerprint, repeatedRounds);
+            sendToCollectors(record);
         },
-        sendToAll: record => send(options.recentMembers(), record),
+        sendToAll: record => sendTo(options.recentMembers(), record),
         onCleared(fingerprint) {
-            acquittedUntil.set(fingerprint, milliseconds(clock() + acquittalNews));
+            clearedUntil.set(fingerprint, milliseconds(clock() + clearedGossipTime));
         },
         gossipPayload() {
-            const news = deadly.records().filter(isNews);
-            if (news.length === 0) {
+            const gossiped = poisonRequests.records().filter(isGossiped);
+            if (gossiped.length === 0) {
                 return undefined;
             }
-            const first = told % news.length;
-            told += mostReports;
-            const inTurn = [...news.slice(first), ...news.slice(0, first)];
-            return inTurn.slice(0, mostReports).map(record => encodePoisonRequestReport(record, clock()));
+            const first = gossipedCount % gossiped.length;
+            gossipedCount += maxReports;
+            const inTurn = [...gossiped.slice(first), ...gossiped.slice(0, first)];
+            return inTurn.slice(0, maxReports).map(record => encodePoisonRequestReport(record, clock()));
         },
         onGossipRound() {
-            [...toRepeat.keys()].forEach(repeat);
+            [...repeatsLeft.keys()].forEach(repeat);
             const now = clock();
-            [...acquittedUntil].filter(([, until]) => now >= until).forEach(([known]) => acquittedUntil.delete(known));
+            [...clearedUntil].filter(([, until]) => now >= until).forEach(([cleared]) => clearedUntil.delete(cleared));
         },
     };
 
@@ -101,32 +107,35 @@
         return collectorsOf(fingerprint, options.advertised());
     }
 
-    function tellCollectors(record: PoisonRequestRecord): void {
-        send(collectors(record.fingerprint), record);
+    function sendToCollectors(record: PoisonRequestRecord): void {
+        sendTo(collectors(record.fingerprint), record);
     }
 
     function repeat(fingerprint: RequestFingerprint): void {
-        const left = (toRepeat.get(fingerprint) ?? 0) - 1;
-        const record = deadly.find(fingerprint);
+        const roundsLeft = (repeatsLeft.get(fingerprint) ?? 0) - 1;
+        const record = poisonRequests.find(fingerprint);
         if (record !== undefined) {
-            tellCollectors(record);
+            sendToCollectors(record);
         }
-        if (record === undefined || left <= 0) {
-            toRepeat.delete(fingerprint);
+        if (record === undefined || roundsLeft <= 0) {
+            repeatsLeft.delete(fingerprint);
             return;
         }
-        toRepeat.set(fingerprint, left);
+        repeatsLeft.set(fingerprint, roundsLeft);
     }
 
-    /** What all boxes have to know, and what has just ended: the boxes that collect it may both be lost. */
-    function isNews(record: PoisonRequestRecord): boolean {
+    /**
+     * True for requests that all boxes have to restrict or that were cleared, and for recent terminations, since both
+     * collectors may be lost.
+     */
+    function isGossiped(record: PoisonRequestRecord): boolean {
         const { fingerprint } = record;
-        const lastEnd = endsSinceLastAnswer(record).at(-1)?.at ?? -Infinity;
-        return acquittedUntil.has(fingerprint) || requiresBroadcast(deadly.restriction(fingerprint))
-            || clock() - lastEnd < endNews;
+        const lastTerminatedAt = endsSinceLastAnswer(record).at(-1)?.at ?? -Infinity;
+        return clearedUntil.has(fingerprint) || requiresBroadcast(poisonRequests.restriction(fingerprint))
+            || clock() - lastTerminatedAt < terminationGossipTime;
     }
 
-    function send(boxes: readonly MemberRecord[], record: PoisonRequestRecord): void {
+    function sendTo(boxes: readonly MemberRecord[], record: PoisonRequestRecord): void {
         const reports = [encodePoisonRequestReport(record, clock())];
         boxes.filter(({ box }) => box !== self).forEach(box => options.send(box, reports));
     }
--- a/packages/box/src/poison-requests/poison-request-guard.ts
+++ b/packages/box/src/poison-requests/poison-request-guard.ts
@@ -1,13 +1,14 @@
 /**
- * Keeps requests that end servers from the servers of all boxes.
+ * Keeps poison requests, which terminate the servers that run them, away from the
+ * servers of all boxes.
  *
- * Follows each request while it is served. As long as no server ends under one,
- * that costs an entry in a set; then the request is known by its fingerprint, what
- * ended is told to the boxes that collect it, and these tell all boxes once the
- * request is to be served with care, or not at all.
+ * Tracks each request while it is served. Until a server terminates while it runs one,
+ * that costs an entry in a set. Then the request is identified by its fingerprint, the
+ * termination is sent to the boxes that collect terminations of that request, and these
+ * inform all boxes once the request must be served one at a time, or not at all.
  *
  * Owns the records of this box; relies on the decisions for how a request may be
- * served, on attempts for whether a server ended, and on the news between boxes.
+ * served, on attempts for whether a server terminated, and on messages between boxes.
  */
 
 import {
@@ -37,40 +38,40 @@
     readonly log: Log;
 }
 
-/** A request that is followed while it is served. */
+/** A request that is tracked while it is served. */
 export interface TrackedRequest {
-    /** True if the request is stopped, wherever it is: servers end under it. */
+    /** True if the request was stopped, at servers too, since its fingerprint is held. */
     readonly isStopped: () => boolean;
-    /** True if servers have ended under requests of its kind: it gets no second copy beside an overdue one. */
+    /** True if servers have terminated while they ran requests with its fingerprint: it gets no hedged attempts. */
     readonly isSuspect: () => boolean;
-    /** Waits until the request may go to a server. Never rejects. */
+    /** Waits until the request may be sent to a server. Never rejects. */
     readonly waitForPermission: () => Promise<"go" | "refuse" | "callerLeft">;
-    /** An attempt ended; whether its server did may still be asked. */
+    /** An attempt ended; whether its server terminated may not be known yet. */
     readonly onAttemptEnded: (server: BackendServer, outcome: AttemptOutcome) => void;
-    /** The request has its end. */
+    /** The request is completed; it is no longer tracked. */
     readonly end: () => void;
 }
 
 /** The guard of one box. */
 export interface PoisonRequestGuard {
-    /** Begins to follow a request; `controller` ends its attempts. */
+    /** Begins to track a request; `controller` aborts its attempts. */
     readonly track: (active: ActiveRequest, body: Buffer, controller: AbortController) => TrackedRequest;
-    /** Another box told what it knows. */
+    /** Reports from another box arrived. */
     readonly onReports: (reports: readonly PoisonRequestReport[]) => void;
-    /** What goes with gossip; undefined while there is nothing that all boxes have to know. */
+    /** Returns the reports for the next gossip message; undefined if there are none. */
     readonly gossipPayload: () => readonly PoisonRequestReport[] | undefined;
-    /** Tells again what ended here lately, and forgets what is over. Due with each round of gossip. */
+    /** Repeats recent terminations and removes old records. To be called in each gossip round. */
     readonly onGossipRound: () => void;
-    /** Requests that are held now. */
+    /** Number of requests that are held now. */
     readonly heldCount: () => number;
 }
 
-/** Creates the guard of a box that knows of no such request. */
+/** Creates the guard of a box without any records. */
 export function createPoisonRequestGuard(options: PoisonRequestGuardOptions): PoisonRequestGuard {
     const { clock, log, self } = options;
-    const deadly = createPoisonRequests();
+    const poisonRequests = createPoisonRequests();
     const requests = createRequestsInProgress();
-    const news = createPoisonRequestGossip({ ...options, deadly });
+    const gossip = createPoisonRequestGossip({ ...options, deadly: poisonRequests });
     let answerCount = 0;
 
     return {
@@ -78,8 +79,8 @@
             const request = requests.begin(active, body, controller);
             return {
                 isStopped: () => request.isStopped,
-                isSuspect: () => knownFingerprint(request) !== undefined,
-                waitForPermission: () => clearance(request),
+                isSuspect: () => suspectedFingerprint(request) !== undefined,
+                waitForPermission: () => waitForPermission(request),
                 onAttemptEnded: (server, outcome) => void onAttemptEnded(request, server, outcome),
                 end: () => requests.end(request),
             };
@@ -88,16 +89,17 @@
             const now = clock();
             reports.forEach(report => onReport(report, now));
         },
-        gossipPayload: news.gossipPayload,
+        gossipPayload: gossip.gossipPayload,
         onGossipRound() {
-            news.onGossipRound();
-            deadly.sweep(clock());
+            gossip.onGossipRound();
+            poisonRequests.sweep(clock());
         },
         heldCount: () =>
-            deadly.records().filter(({ fingerprint }) => deadly.restriction(fingerprint) === "held").length,
+            poisonRequests.records().filter(({ fingerprint }) => poisonRequests.restriction(fingerprint) === "held")
+                .length,
     };
 
-    async function clearance(request: RequestInProgress): Promise<"go" | "refuse" | "callerLeft"> {
+    async function waitForPermission(request: RequestInProgress): Promise<"go" | "refuse" | "callerLeft"> {
         const { signal } = request.controller;
         for (;;) {
             if (request.isStopped) {
@@ -106,12 +108,12 @@
             if (signal.aborted) {
                 return "callerLeft";
             }
-            const fingerprint = knownFingerprint(request);
-            const decided = fingerprint === undefined ? "go" : decide(fingerprint);
-            if (decided !== "wait") {
-                request.pendingAttempts += decided === "go" ? 1 : 0;
+            const fingerprint = suspectedFingerprint(request);
+            const decision = fingerprint === undefined ? "go" : decide(fingerprint);
+            if (decision !== "wait") {
+                request.pendingAttempts += decision === "go" ? 1 : 0;
                 request.active.fingerprint = fingerprint;
-                return decided;
+                return decision;
             }
             await requests.nextChange(signal);
         }
@@ -119,11 +121,11 @@
 
     function decide(fingerprint: RequestFingerprint): "go" | "wait" | "refuse" {
         const at = clock();
-        deadly.onSeen(fingerprint, at);
-        return deadly.decide(fingerprint, {
+        poisonRequests.onSeen(fingerprint, at);
+        return poisonRequests.decide(fingerprint, {
             at,
-            isInProgress: requests.withFingerprint(fingerprint).some(({ pendingAttempts: underWay }) => underWay > 0),
-            makesTrials: news.makesTrials(fingerprint),
+            isInProgress: requests.withFingerprint(fingerprint).some(({ pendingAttempts }) => pendingAttempts > 0),
+            makesTrials: gossip.makesTrials(fingerprint),
         }).kind;
     }
 
@@ -133,9 +135,9 @@
         outcome: AttemptOutcome,
     ): Promise<void> {
         if (outcome.kind === "broken" && outcome.serverTerminatedAt !== undefined) {
-            const endedAt = await outcome.serverTerminatedAt;
-            if (endedAt !== undefined) {
-                onServerEnded(request, server, endedAt);
+            const terminatedAt = await outcome.serverTerminatedAt;
+            if (terminatedAt !== undefined) {
+                onServerEnded(request, server, terminatedAt);
             }
         }
         if (outcome.kind === "answered" && isSuccessStatus(outcome.answer.status)) {
@@ -145,67 +147,69 @@
         requests.wakeWaiting();
     }
 
-    function onServerEnded(request: RequestInProgress, server: BackendServer, endedAt: Milliseconds): void {
+    function onServerEnded(request: RequestInProgress, server: BackendServer, terminatedAt: Milliseconds): void {
         const fingerprint = request.fingerprint();
-        const life = lifeOf(server);
-        const change = deadly.onServerEnded(fingerprint, life, endedAt);
+        const incarnation = incarnationOf(server);
+        const change = poisonRequests.onServerEnded(fingerprint, incarnation, terminatedAt);
         log.info("server.endedUnder", {
             request: request.active.requestId,
             route: request.active.route.name,
             fingerprint,
             server: server.id,
-            life,
+            life: incarnation,
             standing: change.now,
         });
-        news.sendToCollectorsRepeatedly(change.record);
-        apply(change, "own");
+        gossip.sendToCollectorsRepeatedly(change.record);
+        applyChange(change, "own");
     }
 
-    /** The request can be run, so it is not what ends servers: boxes that have heard of it learn so. */
+    /** A server has run the request, so it is no poison request: boxes with a record of it are informed. */
     function onAnswered(request: RequestInProgress): void {
-        const fingerprint = knownFingerprint(request);
+        const fingerprint = suspectedFingerprint(request);
         if (fingerprint === undefined) {
             return;
         }
         answerCount += 1;
-        const change = deadly.onAnswer(fingerprint, answerId(`${self}#${answerCount}`), clock());
+        const change = poisonRequests.onAnswer(fingerprint, answerId(`${self}#${answerCount}`), clock());
         if (change !== undefined) {
-            news.sendToCollectors(change.record);
-            apply(change, "own");
+            gossip.sendToCollectors(change.record);
+            applyChange(change, "own");
         }
     }
 
     function onReport(report: PoisonRequestReport, now: Milliseconds): void {
         const record = decodePoisonRequestReport(report, now);
-        const change = deadly.onRecord(record);
+        const change = poisonRequests.onRecord(record);
         if (change !== undefined) {
-            apply(change, "told");
+            applyChange(change, "told");
         }
-        // A box that was cut off may still hold what was answered meanwhile.
-        if (requiresBroadcast(restrictionOf(record)) && deadly.restriction(record.fingerprint) === "unsuspected") {
-            news.onCleared(record.fingerprint);
+        // A box that was disconnected may still restrict a request that was cleared in the meantime.
+        if (
+            requiresBroadcast(restrictionOf(record)) && poisonRequests.restriction(record.fingerprint) === "unsuspected"
+        ) {
+            gossip.onCleared(record.fingerprint);
         }
     }
 
-    function apply(change: PoisonRequestChange, source: "own" | "told"): void {
+    function applyChange(change: PoisonRequestChange, source: "own" | "told"): void {
         const { before, now, record } = change;
         if (before === now) {
             return;
         }
         if (requiresBroadcast(before) || requiresBroadcast(now)) {
-            pass(change, source);
+            broadcast(change, source);
         }
         if (now === "held") {
-            stop(record.fingerprint);
+            stopAll(record.fingerprint);
         }
         if (now === "unsuspected" && requiresBroadcast(before)) {
-            news.onCleared(record.fingerprint);
+            gossip.onCleared(record.fingerprint);
         }
         requests.wakeWaiting();
     }
 
-    /** What all boxes have to know goes to them from those who collect it, and from the box that saw it. */
-    function pass({ before, now, record }: PoisonRequestChange, source: "own" | "told"): void {
+    /** A change that all boxes have to apply is sent to them by its collectors and by the box that observed it. */
+    function broadcast({ before, now, record }: PoisonRequestChange, source: "own" | "told"): void {
         const { fingerprint } = record;
         log.info("deadlyRequest.changed", {
             fingerprint,
@@ -214,13 +218,13 @@
             source,
             lives: endsSinceLastAnswer(record).map(({ id }) => id).join(",") || undefined,
         });
-        if (source === "own" || news.isCollector(fingerprint)) {
-            news.sendToAll(record);
+        if (source === "own" || gossip.isCollector(fingerprint)) {
+            gossip.sendToAll(record);
         }
     }
 
-    /** Requests of the kind that are at servers leave them: one that waits there for a slot has not begun to run. */
-    function stop(fingerprint: RequestFingerprint): void {
+    /** Aborts requests with the fingerprint at servers too: one that waits there for a slot has not begun to run. */
+    function stopAll(fingerprint: RequestFingerprint): void {
         for (const request of requests.withFingerprint(fingerprint)) {
             request.isStopped = true;
             request.active.fingerprint = fingerprint;
@@ -228,17 +232,19 @@
         }
     }
 
-    /** The fingerprint of a request under whose kind servers have ended; nothing is worked out while there is none. */
-    function knownFingerprint(request: RequestInProgress): RequestFingerprint | undefined {
-        if (deadly.isEmpty() || !isHeadKnown(request)) {
+    /**
+     * Returns the fingerprint of a suspected request, otherwise undefined; computes none while there are no records.
+     */
+    function suspectedFingerprint(request: RequestInProgress): RequestFingerprint | undefined {
+        if (poisonRequests.isEmpty() || !matchesAnyHead(request)) {
             return undefined;
         }
         const fingerprint = request.fingerprint();
-        return deadly.restriction(fingerprint) === "unsuspected" ? undefined : fingerprint;
+        return poisonRequests.restriction(fingerprint) === "unsuspected" ? undefined : fingerprint;
     }
 
-    function isHeadKnown(request: RequestInProgress): boolean {
-        for (const fingerprint of deadly.fingerprints()) {
+    function matchesAnyHead(request: RequestInProgress): boolean {
+        for (const fingerprint of poisonRequests.fingerprints()) {
             if (request.matchesHeadOf(fingerprint)) {
                 return true;
             }
@@ -247,7 +253,7 @@
     }
 }
 
-function lifeOf({ id, state }: BackendServer): ServerIncarnationId {
+function incarnationOf({ id, state }: BackendServer): ServerIncarnationId {
     const { bornAt } = state.record();
     return serverIncarnationId(bornAt === undefined ? id : `${id}@${bornAt}`);
 }
--- a/packages/box/src/poison-requests/poison-request-messages.ts
+++ b/packages/box/src/poison-requests/poison-request-messages.ts
@@ -1,17 +1,19 @@
 /**
- * Records of requests under which servers end, as boxes send them: with ages in
- * place of times, since clocks differ.
+ * Records of suspected poison requests as boxes send them: with ages instead of times,
+ * since clocks of different boxes differ.
  *
- * Owns nothing; what arrives is checked in full before it is used.
+ * Owns nothing. Received reports are validated in full before they are used.
  */
 
 import { type ObservedEvent, type PoisonRequestRecord, timeBefore } from "@chalkdale/decisions";
 import { answerId, type Milliseconds, requestFingerprint, serverIncarnationId } from "@chalkdale/kernel";
 
-/** What a box saw, and how long ago in milliseconds: a life of a server, or an answer. */
+/**
+ * An event that a box observed, with its age in milliseconds: the termination of a server incarnation, or an answer.
+ */
 type EventEntry = readonly [id: string, age: number];
 
-/** One record. Ages in milliseconds. */
+/** One record as it is sent. Ages in milliseconds. */
 export interface PoisonRequestReport {
     readonly fingerprint: string;
     readonly ends: readonly EventEntry[];
@@ -19,7 +21,7 @@
     readonly seenAgo: number;
 }
 
-/** Returns a record as it is sent. */
+/** Returns the report of a record. */
 export function encodePoisonRequestReport(
     { answers, ends, fingerprint, seenAt }: PoisonRequestRecord,
     now: Milliseconds,
@@ -29,25 +31,25 @@
     return { fingerprint, ends: ends.map(entryOf), answers: answers.map(entryOf), seenAgo: ageOf(seenAt) };
 }
 
-/** Returns the record of a report that has just come. */
+/** Returns the record of a report that has just arrived. */
 export function decodePoisonRequestReport(
     { answers, ends, fingerprint, seenAgo }: PoisonRequestReport,
     now: Milliseconds,
 ): PoisonRequestRecord {
     return {
         fingerprint: requestFingerprint(fingerprint),
-        ends: ends.map(([life, age]) => ({ id: serverIncarnationId(life), at: timeBefore(now, age) })),
+        ends: ends.map(([incarnation, age]) => ({ id: serverIncarnationId(incarnation), at: timeBefore(now, age) })),
         answers: answers.map(([answer, age]) => ({ id: answerId(answer), at: timeBefore(now, age) })),
         seenAt: timeBefore(now, seenAgo),
     };
 }
 
-/** True for records as boxes send them. */
+/** True for a list of valid reports. */
 export function arePoisonRequestReports(value: unknown): value is readonly PoisonRequestReport[] {
-    return Array.isArray(value) && value.every(isDeadlyReport);
+    return Array.isArray(value) && value.every(isPoisonRequestReport);
 }
 
-function isDeadlyReport(value: unknown): boolean {
+function isPoisonRequestReport(value: unknown): boolean {
     const report = value as PoisonRequestReport | null;
     return typeof report === "object" && report !== null && typeof report.fingerprint === "string"
         && areEntries(report.ends) && areEntries(report.answers) && Number.isFinite(report.seenAgo);
--- a/packages/box/src/poison-requests/requests-in-progress.ts
+++ b/packages/box/src/poison-requests/requests-in-progress.ts
@@ -1,8 +1,8 @@
 /**
- * The requests that a box serves now, found by their fingerprints, and those of
- * them that wait for one of their kind.
+ * The requests that a box serves now, which can be found by their fingerprints, and
+ * those of them that wait for another request with the same fingerprint.
  *
- * Owns which requests these are; works a fingerprint out when it is first asked for.
+ * Owns the set of these requests. A fingerprint is computed when it is first needed.
  */
 
 import type { RequestFingerprint } from "@chalkdale/kernel";
@@ -12,29 +12,29 @@
 /** A request while it is served. */
 export interface RequestInProgress {
     readonly active: ActiveRequest;
-    /** Ends its attempts. */
+    /** Aborts its attempts. */
     readonly controller: AbortController;
     readonly fingerprint: () => RequestFingerprint;
-    /** True if a fingerprint begins as that of this request. Costs no look at the body. */
+    /** True if the fingerprint's part for the head is that of this request. Does not read the body. */
     readonly matchesHeadOf: (fingerprint: RequestFingerprint) => boolean;
-    /** Its servers end: it must leave them. */
+    /** True once its fingerprint is held: it must not be sent to servers, and its attempts are aborted. */
     isStopped: boolean;
-    /** Attempts that run, or of whose servers it isn't known yet what became of them. */
+    /** Number of attempts that run, or of which it is not known yet whether the server terminated. */
     pendingAttempts: number;
 }
 
-/** The requests of one box. */
+/** The requests that one box serves now. */
 export interface RequestsInProgress {
     readonly begin: (active: ActiveRequest, body: Buffer, controller: AbortController) => RequestInProgress;
     readonly end: (request: RequestInProgress) => void;
     readonly withFingerprint: (fingerprint: RequestFingerprint) => readonly RequestInProgress[];
-    /** Resolves when `wake` is called, or the signal aborts. */
+    /** Resolves when `wakeWaiting` is called, or the signal aborts. */
     readonly nextChange: (signal: AbortSignal) => Promise<void>;
-    /** Requests that wait may go on, as far as they find. */
+    /** Wakes the requests that wait; each checks whether it may be sent now. */
     readonly wakeWaiting: () => void;
 }
 
-/** Creates the requests of a box that serves none. */
+/** Creates an empty set of requests. */
 export function createRequestsInProgress(): RequestsInProgress {
     const requests = new Set<RequestInProgress>();
     const waiting = new Set<() => void>();
@@ -47,7 +47,7 @@
         },
         end(request) {
             requests.delete(request);
-            wake();
+            wakeWaiting();
         },
         withFingerprint: fingerprint =>
             [...requests].filter(request =>
@@ -55,30 +55,30 @@
             ),
         nextChange: signal =>
             new Promise(resolve => {
-                const goOn = () => {
-                    waiting.delete(goOn);
-                    signal.removeEventListener("abort", goOn);
+                const resume = () => {
+                    waiting.delete(resume);
+                    signal.removeEventListener("abort", resume);
                     resolve();
                 };
-                waiting.add(goOn);
-                signal.addEventListener("abort", goOn, { once: true });
+                waiting.add(resume);
+                signal.addEventListener("abort", resume, { once: true });
             }),
-        wakeWaiting: wake,
+        wakeWaiting,
     };
 
-    function wake(): void {
-        [...waiting].forEach(goOn => goOn());
+    function wakeWaiting(): void {
+        [...waiting].forEach(resume => resume());
     }
 }
 
 function createRequest(active: ActiveRequest, body: Buffer, controller: AbortController): RequestInProgress {
     let head: string | undefined;
-    let whole: RequestFingerprint | undefined;
+    let fullFingerprint: RequestFingerprint | undefined;
 
     return {
         active,
         controller,
-        fingerprint: () => whole ??= fingerprintOf(active, body),
+        fingerprint: () => fullFingerprint ??= fingerprintOf(active, body),
         matchesHeadOf: fingerprint => headOfFingerprint(fingerprint) === (head ??= fingerprintOfHead(active)),
         isStopped: false,
         pendingAttempts: 0,
--- a/packages/box/test/poison-request-guard.test.ts
+++ b/packages/box/test/poison-request-guard.test.ts
@@ -1,6 +1,6 @@
 /**
- * The guards of many boxes against a request that ends servers, with messages that
- * take their time and may be lost.
+ * The guards of many boxes against a poison request, with messages that are delayed and
+ * may be lost.
  */
 
 import { type BackendServer, collectorsOf } from "@chalkdale/decisions";
@@ -19,14 +19,14 @@
 import { createEmulatedGossip, type EmulatedGossip, type GossipingBox } from "./emulated-gossip.js";
 import { sampleMember } from "./sample-member.js";
 
-/** Milliseconds within which all boxes must keep a request from servers, from the third end on: the shortest that users set. */
-const contact = 2500;
+/** Milliseconds from the third termination within which all boxes must hold a request: the shortest that users set. */
+const maxHoldDelay = 2500;
 
 interface GuardedBox extends GossipingBox {
     readonly guard: PoisonRequestGuard;
 }
 
-describe("the guards of all boxes against a request that ends servers [P26]", () => {
+describe("the guards of all boxes against a poison request [P26]", () => {
     const body = Buffer.from("a climb");
     const path = "/save/deadly";
     let loss: number;
@@ -63,7 +63,7 @@
         boxes.push(added);
     }
 
-    function follow({ guard }: GuardedBox, path = "/save/deadly", controller = new AbortController()): TrackedRequest {
+    function track({ guard }: GuardedBox, path = "/save/deadly", controller = new AbortController()): TrackedRequest {
         const head = {
             host: "app.example",
             method: "POST",
@@ -75,73 +75,73 @@
         return guard.track(head as unknown as ActiveRequest, body, controller);
     }
 
-    async function endUnder(box: GuardedBox, server: string): Promise<void> {
-        const followed = follow(box);
-        expect(await followed.waitForPermission()).to.equal("go");
+    async function terminateAt(box: GuardedBox, server: string): Promise<void> {
+        const tracked = track(box);
+        expect(await tracked.waitForPermission()).to.equal("go");
         const outcome: AttemptOutcome = {
             kind: "broken",
             reason: "closed",
             wasStaleConnection: false,
             serverTerminatedAt: Promise.resolve(gossip.now()),
         };
-        followed.onAttemptEnded(serverOf(server), outcome);
+        tracked.onAttemptEnded(serverOf(server), outcome);
         await settled();
-        followed.end();
+        tracked.end();
     }
 
     async function answer(box: GuardedBox): Promise<void> {
-        const followed = follow(box);
-        expect(await followed.waitForPermission()).to.equal("go");
-        followed.onAttemptEnded(serverOf("i-good"), { kind: "answered", answer: { status: 200 } } as AttemptOutcome);
+        const tracked = track(box);
+        expect(await tracked.waitForPermission()).to.equal("go");
+        tracked.onAttemptEnded(serverOf("i-good"), { kind: "answered", answer: { status: 200 } } as AttemptOutcome);
         await settled();
-        followed.end();
+        tracked.end();
     }
 
     const serverOf = (id: string) =>
         ({ id: backendServerId(id), state: { record: () => ({ bornAt: 1 }) } }) as unknown as BackendServer;
     const settled = () => new Promise(setImmediate);
 
-    async function holding(): Promise<number> {
-        const clearances = await Promise.all(boxes.map(async box => {
-            const followed = follow(box);
-            const clearance = await followed.waitForPermission();
-            followed.end();
-            return clearance;
+    async function countHolding(): Promise<number> {
+        const permissions = await Promise.all(boxes.map(async box => {
+            const tracked = track(box);
+            const permission = await tracked.waitForPermission();
+            tracked.end();
+            return permission;
         }));
-        return clearances.filter(clearance => clearance === "refuse").length;
+        return permissions.filter(permission => permission === "refuse").length;
     }
 
-    /** One server after the other ends, each under a request of one of the boxes. */
-    async function endSome(at: readonly number[] = [0, 1, 2]): Promise<void> {
+    /** Servers terminate one after the other, each while it runs a request of one of the boxes. */
+    async function terminateSome(at: readonly number[] = [0, 1, 2]): Promise<void> {
         for (const [turn, index] of at.entries()) {
-            await endUnder(boxes[index], `i-${turn}`);
+            await terminateAt(boxes[index], `i-${turn}`);
             await gossip.play(200);
         }
     }
 
-    it("hold it at all of nine boxes once three servers have ended at three of them", async () => {
+    it("hold it at all of nine boxes once three of them have observed a termination", async () => {
         start(9);
-        await endSome();
-        expect(await holding()).to.equal(9);
+        await terminateSome();
+        expect(await countHolding()).to.equal(9);
     });
 
-    it("hold it if all three ended at one box", async () => {
+    it("hold it if one box has observed all three terminations", async () => {
         start(9);
-        await endSome([4, 4, 4]);
-        expect(await holding()).to.equal(9);
+        await terminateSome([4, 4, 4]);
+        expect(await countHolding()).to.equal(9);
     });
 
     for (const count of [9, 67, 195, 740]) {
-        it(`hold it at all of ${count} boxes within the bound while three of ten messages are lost`, async () => {
+        it(`hold it at all of ${count} boxes in time while three of ten messages are lost`, async () => {
             start(count);
             loss = 0.3;
-            await endSome();
-            await gossip.play(contact);
-            expect(await holding()).to.equal(count);
+            await terminateSome();
+            await gossip.play(maxHoldDelay);
+            expect(await countHolding()).to.equal(count);
         });
     }
 
-    it("say little in one datagram, and tell in turn of as many as there are", async () => {
+    it("send few reports in one datagram, and all of them in rotation", async () => {
         start(2);
         const ends = Array.from(
             { length: 20 },
@@ -154,26 +154,26 @@
         expect(new Set(parts.flat().map(({ fingerprint }) => fingerprint)).size).to.equal(12);
     });
 
-    it("go on without a message while nothing ends", async () => {
+    it("send no message while no server terminates", async () => {
         start(67);
         await gossip.play(3000);
         expect(gossip.messages()).to.equal(0);
     });
 
-    it("tell a box that starts, and one that was cut off", async () => {
+    it("inform a box that starts, and one that was disconnected", async () => {
         start(9);
         boxes[8].isCutOff = true;
-        await endSome();
+        await terminateSome();
         await gossip.play(3000);
-        expect(await holding()).to.equal(8);
+        expect(await countHolding()).to.equal(8);
         boxes[8].isCutOff = false;
         addBox("b-new");
-        await gossip.play(contact);
-        expect(await holding()).to.equal(10);
+        await gossip.play(maxHoldDelay);
+        expect(await countHolding()).to.equal(10);
     });
 
     for (const [what, at] of [["one box", [0, 0, 0]], ["three boxes", [0, 1, 2]]] as const) {
-        it(`hold it though both boxes that collect what ${what} saw are lost`, async () => {
+        it(`hold it although both boxes that collect what ${what} observed are lost`, async () => {
             start(9);
             const fingerprint = fingerprintOf({ host: "app.example", method: "POST", path, customer: undefined }, body);
             const lost = new Set(collectorsOf(fingerprint, boxes.map(({ record }) => record)));
@@ -181,92 +181,92 @@
                 box.isCutOff = lost.has(box.record);
             });
             boxes.sort((a, b) => Number(a.isCutOff) - Number(b.isCutOff));
-            await endSome(at);
-            await gossip.play(contact);
-            expect(await holding()).to.equal(7);
+            await terminateSome(at);
+            await gossip.play(maxHoldDelay);
+            expect(await countHolding()).to.equal(7);
         });
     }
 
-    it("forget it at all boxes once one of them has an answer", async () => {
+    it("clear it at all boxes once one of them has an answer", async () => {
         start(67);
         loss = 0.3;
-        await endSome([0, 1]);
+        await terminateSome([0, 1]);
         await answer(boxes[2]);
-        await gossip.play(contact);
-        await endUnder(boxes[3], "i-3");
-        await gossip.play(contact);
-        expect(await holding()).to.equal(0);
+        await gossip.play(maxHoldDelay);
+        await terminateAt(boxes[3], "i-3");
+        await gossip.play(maxHoldDelay);
+        expect(await countHolding()).to.equal(0);
     });
 
-    it("stop requests that are at servers once it is held, and leave others there", async () => {
+    it("abort its requests at servers once it is held, and no others", async () => {
         start(9);
         const controllers = [new AbortController(), new AbortController()];
-        const [deadly, other] = [
-            follow(boxes[5], undefined, controllers[0]),
-            follow(boxes[5], "/save/other", controllers[1]),
+        const [poison, other] = [
+            track(boxes[5], undefined, controllers[0]),
+            track(boxes[5], "/save/other", controllers[1]),
         ];
-        expect([await deadly.waitForPermission(), await other.waitForPermission()]).to.deep.equal(["go", "go"]);
-        await endSome();
-        expect([deadly.isStopped(), controllers[0].signal.aborted]).to.deep.equal([true, true]);
+        expect([await poison.waitForPermission(), await other.waitForPermission()]).to.deep.equal(["go", "go"]);
+        await terminateSome();
+        expect([poison.isStopped(), controllers[0].signal.aborted]).to.deep.equal([true, true]);
         expect([other.isStopped(), controllers[1].signal.aborted]).to.deep.equal([false, false]);
     });
 
-    it("let one go at a time after the second end, and the next once that has its end", async () => {
+    it("send one at a time after the second termination, and the next once that is completed", async () => {
         start(9);
-        await endSome([0, 1]);
-        const [first, second] = [follow(boxes[2]), follow(boxes[2])];
+        await terminateSome([0, 1]);
+        const [first, second] = [track(boxes[2]), track(boxes[2])];
         expect(await first.waitForPermission()).to.equal("go");
-        let isSecondCleared = false;
-        const cleared = second.waitForPermission().then(clearance => {
-            isSecondCleared = true;
-            return clearance;
+        let isSecondPermitted = false;
+        const secondPermission = second.waitForPermission().then(permission => {
+            isSecondPermitted = true;
+            return permission;
         });
         await settled();
-        expect(isSecondCleared).to.equal(false);
+        expect(isSecondPermitted).to.equal(false);
         first.onAttemptEnded(serverOf("i-9"), { kind: "notRun", status: 503, hasFreeSlots: false });
-        expect(await cleared).to.equal("go");
+        expect(await secondPermission).to.equal("go");
     });
 
-    it("let the next one go if the first one finds no server", async () => {
+    it("send the next one if the first one finds no server", async () => {
         start(9);
-        await endSome([0, 1]);
-        const [first, second] = [follow(boxes[2]), follow(boxes[2])];
+        await terminateSome([0, 1]);
+        const [first, second] = [track(boxes[2]), track(boxes[2])];
         expect(await first.waitForPermission()).to.equal("go");
-        const cleared = second.waitForPermission();
+        const secondPermission = second.waitForPermission();
         first.end();
-        expect(await cleared).to.equal("go");
+        expect(await secondPermission).to.equal("go");
     });
 
-    it("count a request as under way until it is known what became of its first server, though it was sent on", async () => {
+    it("regard a request as in progress until the outcome at its first server is known, retried or not", async () => {
         start(9);
-        await endSome([0, 1]);
-        const [first, second] = [follow(boxes[2]), follow(boxes[2])];
+        await terminateSome([0, 1]);
+        const [first, second] = [track(boxes[2]), track(boxes[2])];
         expect(await first.waitForPermission()).to.equal("go");
-        let tell: (endedAt: undefined) => void = () => undefined;
-        const serverEnded = new Promise<undefined>(resolve => tell = resolve);
+        let resolveTerminated: (terminatedAt: undefined) => void = () => undefined;
+        const serverTerminated = new Promise<undefined>(resolve => resolveTerminated = resolve);
         first.onAttemptEnded(serverOf("i-2"), {
             kind: "broken",
             reason: "closed",
             wasStaleConnection: false,
-            serverTerminatedAt: serverEnded,
+            serverTerminatedAt: serverTerminated,
         });
-        const [sentOn, cleared] = [first.waitForPermission(), second.waitForPermission()];
-        tell(undefined);
-        expect(await sentOn).to.equal("go");
-        let isSecondCleared = false;
-        void cleared.then(() => isSecondCleared = true);
+        const [sentAgain, secondPermission] = [first.waitForPermission(), second.waitForPermission()];
+        resolveTerminated(undefined);
+        expect(await sentAgain).to.equal("go");
+        let isSecondPermitted = false;
+        void secondPermission.then(() => isSecondPermitted = true);
         await settled();
-        expect(isSecondCleared).to.equal(false);
+        expect(isSecondPermitted).to.equal(false);
     });
 
-    it("end a wait when its caller leaves", async () => {
+    it("end the wait of a request whose caller leaves", async () => {
         start(9);
-        await endSome([0, 1]);
+        await terminateSome([0, 1]);
         const controller = new AbortController();
-        const [first, second] = [follow(boxes[2]), follow(boxes[2], undefined, controller)];
+        const [first, second] = [track(boxes[2]), track(boxes[2], undefined, controller)];
         await first.waitForPermission();
-        const cleared = second.waitForPermission();
+        const secondPermission = second.waitForPermission();
         controller.abort();
-        expect(await cleared).to.equal("callerLeft");
+        expect(await secondPermission).to.equal("callerLeft");
     });
 });
--- a/packages/testing/src/promises/box-mutations.ts
+++ b/packages/testing/src/promises/box-mutations.ts
@@ -1,5 +1,6 @@
 /**
- * The lines that keep promises in the box and the adapter, which carry the decisions out, with what they are replaced by to take each out.
+ * The lines that keep promises in the box and the adapter, which carry the decisions out, with what they are replaced
+ * by to take each out.
  */
 
 import { boxFile, boxTestFile, integrationTestFile, type Mutation } from "./mutation.js";
@@ -242,7 +243,7 @@
         promise: "P26",
         name: "what the boxes that collect ends tell all others",
         file: boxFile("poison-requests/poison-request-guard"),
-        find: "news.sendToAll(record);",
+        find: "gossip.sendToAll(record);",
         replace: "",
         testFiles: [boxTestFile("poison-request-guard")],
     },
