--- a/packages/decisions/src/shared-state/relay-role.ts
+++ b/packages/decisions/src/shared-state/relay-role.ts
@@ -118,7 +118,7 @@
     readonly isStale: (kind: SharedKind, age: number) => boolean;
     /** True if this box should report to its whole region at once that it is unserved: few others have done so. */
     readonly shouldBroadcastUnserved: () => boolean;
-    /** True while the store turns a box of the region away, as far as this box knows. */
+    /** True while a box of the region is unserved, as far as this box knows. */
     readonly isAnyUnserved: () => boolean;
     /** Time after its start in which the box does not follow the store yet. */
     readonly settleTime: Milliseconds;
