--- a/packages/decisions/src/rollouts/rollout-decider.ts
+++ b/packages/decisions/src/rollouts/rollout-decider.ts
@@ -2,15 +2,16 @@
  * Decides one order at the deciding box: watching -> moving -> completed or
  * rolledBack.
  *
- * - `running` stands in the store before anything is granted: so a decider that
- *   finds it there knows that others may have granted.
- * - The version is watched until `moveAt` (`rollout-plan`); then all new requests go
- *   to it, out of the account, until those in progress elsewhere have ended, and `completed` is written.
- * - A bad verdict is told at once and then written; it is final. What is undecided
- *   at the end is rolled back.
+ * - `running` is written to the store before anything is granted. A decider that finds
+ *   it there knows that another one may have granted requests.
+ * - The version is watched until `moveAt` (`rollout-plan`). Then all new requests go to
+ *   it, within the exposure budget. Once those in progress at other versions have
+ *   ended, `completed` is written.
+ * - A bad verdict is final: it is announced at once and then written. An order that is
+ *   still undecided when the outcome has to be written is rolled back.
  *
- * Owns the account, the evidence of all boxes and the stage; all of it is rebuilt
- * from reports when another box takes over.
+ * Owns the exposure budget, the evidence of all boxes and the stage. All of it is
+ * rebuilt from reports when another box takes over.
  */
 
 import { type BoxId, type Milliseconds, milliseconds } from "@chalkdale/kernel";
@@ -22,18 +23,24 @@
 import type { RolloutDecision, RolloutGrant, RolloutReport, RolloutStage } from "./rollout-messages.js";
 import type { RolloutBounds, RolloutId, RolloutOrder } from "./rollout-order.js";
 import { planRollout, type RolloutPlan } from "./rollout-plan.js";
-import { describeVerdict, judgeTrial } from "./verdict.js";
+import { describeVerdict, evaluateTrial } from "./verdict.js";
 import type { EvidenceWindow } from "./version-comparison.js";
 
-/** Decides one order. */
+/** The decider of one order. */
 export interface RolloutDecider {
-    /** Takes a box's report and answers with its grant. */
+    /** Takes a box's report and returns its grant. */
     readonly onReport: (box: BoxId, report: RolloutReport, at: Milliseconds) => RolloutGrant;
-    /** Due some times a second. The same action is returned until the copy of the order shows its effect. */
+    /**
+     * Advances the order. Call it several times a second; it returns the same action until the order's state
+     * shows the write.
+     */
     readonly step: (at: Milliseconds, inputs: RolloutStepInputs) => RolloutAction;
-    /** Grants to push to boxes after a step that changed the stage; empty after others. */
+    /** Grants to push to boxes if the last step changed the stage; empty otherwise. */
     readonly grantsToPush: () => readonly AddressedGrant[];
-    /** What to tell all boxes: `rolledBack` as soon as it is decided, `completed` once the store has it. */
+    /**
+     * The decision to announce to all boxes: `rolledBack` as soon as it is taken, `completed` once the store has
+     * it.
+     */
     readonly news: () => RolloutDecision | undefined;
     readonly status: (at: Milliseconds) => RolloutStatus;
 }
@@ -41,83 +48,95 @@
 export interface RolloutDeciderOptions {
     readonly order: RolloutOrder;
     readonly bounds: RolloutBounds;
-    /** Servers of the target that are listed now. */
+    /** Number of listed servers of the target version. */
     readonly serverCount: () => number;
-    /** Time since the order, as far as this box knows; undefined if it can't know. */
+    /** Time since the order as this box knows it; undefined if it doesn't. */
     readonly age: Milliseconds | undefined;
-    /** The store has had the order running, and may have lost that: boxes may have been granted requests. */
+    /**
+     * The order has run before, even if a restore of the store has lost its state: boxes may have been granted
+     * requests.
+     */
     readonly hasRun: boolean;
     readonly at: Milliseconds;
 }
 
-/** Milliseconds in which a decider that takes over hears of all boxes, before it grants anything. */
-const settleTime = 1000;
-/** Milliseconds since the order where nobody knows: a loss of all memory takes as long at least. */
-const unknownAge = 4000;
-/** Parts of the duration whose evidence is looked at besides the whole. */
-const spanParts = [0.2, 0.45];
-/** Milliseconds of evidence that a span has at least. */
-const shortestSpan = 2000;
-/** Part of the requests in progress elsewhere when the move began, which may be left when it counts as done. */
-const leftInProgress = 0.02;
-/** Milliseconds of work that is assumed before any is known. */
-const firstWorkTime = milliseconds(800);
-/** Milliseconds before the write is due in which no move begins: no box would hear of it in time. */
-const latestMove = 100;
+/** Milliseconds for which a decider that takes over collects reports from all boxes before it grants anything. */
+const takeoverWait = 1000;
+/**
+ * Minimum age in milliseconds of an order that has run but whose granted total no box knows: losing it on all
+ * boxes takes at least this long.
+ */
+const minUnknownAge = 4000;
+/** Fractions of the duration that the evidence windows cover, besides the window of the whole trial. */
+const windowFractions = [0.2, 0.45];
+/** Minimum length of an evidence window in milliseconds. */
+const minWindowLength = 2000;
+/**
+ * Fraction of the requests in progress at other versions when the move began that may remain when it counts as
+ * done.
+ */
+const maxRemainingFraction = 0.02;
+/** Mean request time in milliseconds that is assumed before there is an estimate. */
+const initialRequestTime = milliseconds(800);
+/** A move does not begin within this many milliseconds before the write is due: no box would hear of it in time. */
+const minMoveTime = 100;
 
-/** A move that has begun. */
+/** A move that is in progress. */
 interface Move {
     readonly at: Milliseconds;
     readonly inProgress: number;
-    /** Sum of caps with which boxes heard of it. */
-    total: number;
+    /** Granted total of the grants that announced the move; Infinity until they are made. */
+    grantedTotal: number;
 }
 
-/** Creates the decider of an order; it knows nothing of boxes yet. */
+/** Creates the decider of an order. It starts without reports; see `takeoverWait`. */
 export function createRolloutDecider(options: RolloutDeciderOptions): RolloutDecider {
     const { bounds, order: { createdAt, duration, service, targetVersion } } = options;
     const rollout: RolloutId = { createdAt, service, targetVersion };
-    const account = createExposureBudget(bounds);
-    const grants = createRolloutGrants({ rollout, budget: account, serverCount: options.serverCount });
+    const budget = createExposureBudget(bounds);
+    const grants = createRolloutGrants({ rollout, budget, serverCount: options.serverCount });
     const boxes = createReportingBoxes();
-    const history = createEvidenceHistory();
+    const evidenceHistory = createEvidenceHistory();
     let order = options.order;
     let stage: RolloutStage = "watching";
     let reason: string | undefined;
     let ageAtStart: number = options.age ?? 0;
     let move: Move | undefined;
-    let knowsTotal = false;
-    /** Since when this box waits to hear what boxes were granted before: another box let the order run. */
+    let isGrantHistoryKnown = false;
+    /**
+     * When this box began to collect earlier grants from reports; undefined while no other box can have granted
+     * any.
+     */
     let takenOverAt = options.order.state === "running" || options.hasRun ? options.at : undefined;
-    let isSettled = takenOverAt === undefined;
-    let hasAskedToRun = false;
-    let workTime = firstWorkTime;
-    let changed: readonly AddressedGrant[] = [];
-    let verdict = judgeTrial([{ table: history.sinceStart(), isMoving: false }]);
+    let isTakeoverComplete = takenOverAt === undefined;
+    let hasRequestedRunning = false;
+    let meanRequestTime = initialRequestTime;
+    let stageChangeGrants: readonly AddressedGrant[] = [];
+    let verdict = evaluateTrial([{ table: evidenceHistory.sinceStart(), isMoving: false }]);
 
     return {
         onReport(box, report, at) {
-            knowsTotal ||= report.knownGrantedTotal !== undefined;
+            isGrantHistoryKnown ||= report.knownGrantedTotal !== undefined;
             ageAtStart = Math.max(ageAtStart, report.age - (at - options.at));
-            account.onReport(box, report);
+            budget.onReport(box, report);
             boxes.onReport(box, report, at);
-            history.onReport(box, report);
-            return grantTo(box, report, at, leftInAccount());
+            evidenceHistory.onReport(box, report);
+            return grantTo(box, report, at, remainingBudget());
         },
         step(at, inputs) {
-            noteTakeover(inputs.order, at);
+            detectTakeover(inputs.order, at);
             order = inputs.order;
-            history.takeSnapshot(at);
-            learnWorkTime(at);
-            settle(at);
-            const stageBefore = shownStage();
+            evidenceHistory.takeSnapshot(at);
+            updateMeanRequestTime(at);
+            completeTakeover(at);
+            const stageBefore = announcedStage();
             advance(at, inputs);
-            changed = shownStage() === stageBefore ? [] : grantAll(at);
+            stageChangeGrants = announcedStage() === stageBefore ? [] : grantAll(at);
             return actionFor(inputs);
         },
-        grantsToPush: () => changed,
+        grantsToPush: () => stageChangeGrants,
         news() {
-            const decision = shownStage();
+            const decision = announcedStage();
             return decision === "completed" || decision === "rolledBack"
                 ? { rollout, decision, reason: reason ?? "" }
                 : undefined;
@@ -127,10 +146,10 @@
             stage,
             age: ageAt(at),
             plan: planAt(at),
-            sent: account.sent(),
-            sentToTrial: account.sentToTrial(),
-            grantedTotal: account.grantedTotal(),
-            allowed: account.allowed(),
+            sent: budget.sent(),
+            sentToTrial: budget.sentToTrial(),
+            grantedTotal: budget.grantedTotal(),
+            allowed: budget.allowed(),
             verdict,
             reason,
         }),
@@ -138,19 +157,19 @@
 
     function advance(at: Milliseconds, inputs: RolloutStepInputs): void {
         if (order.state === "completed" || order.state === "rolledBack") {
-            end(order.state, "found in the store");
+            conclude(order.state, "outcome found in the store");
             return;
         }
-        if (stage === "rolledBack" || !isSettled) {
+        if (stage === "rolledBack" || !isTakeoverComplete) {
             return;
         }
         if (inputs.isTargetProven && order.state === undefined) {
-            end("completed", "target proven already");
+            conclude("completed", "target is already the proven version");
             return;
         }
-        verdict = judgeTrial(spansAt(at));
+        verdict = evaluateTrial(windowsAt(at));
         if (verdict.kind === "bad") {
-            end("rolledBack", describeVerdict(verdict));
+            conclude("rolledBack", describeVerdict(verdict));
             return;
         }
         if (stage !== "completed") {
@@ -162,34 +181,40 @@
         const age = ageAt(at);
         const { moveAt, writeAt } = planAt(at);
         if (age >= writeAt) {
-            // Moved as far as the account allowed: what the version showed decides.
-            end(verdict.kind === "good" ? "completed" : "rolledBack", describeVerdict(verdict));
+            // The time is up, however far the move has come; the current verdict decides.
+            conclude(verdict.kind === "good" ? "completed" : "rolledBack", describeVerdict(verdict));
             return;
         }
         if (move !== undefined) {
-            endMove(move, at);
+            completeMoveWhenDone(move, at);
             return;
         }
         const mayMove = order.state === "running" && isStoreReachable && boxes.hasQuorum(at);
-        if (mayMove && verdict.kind === "good" && age >= moveAt && age < writeAt - latestMove) {
+        if (mayMove && verdict.kind === "good" && age >= moveAt && age < writeAt - minMoveTime) {
             stage = "moving";
-            move = { at, inProgress: boxes.inProgressOnOtherVersions(at), total: Infinity };
+            move = { at, inProgress: boxes.inProgressOnOtherVersions(at), grantedTotal: Infinity };
         }
     }
 
-    /** The move is done when all boxes have heard of it and hardly a request is left elsewhere; answers to it count first. */
-    function endMove({ at: beganAt, inProgress, total }: Move, at: Milliseconds): void {
-        const hasReached = boxes.active(at).every(({ report }) => (report.knownGrantedTotal ?? 0) >= total);
-        const hasEnded = boxes.inProgressOnOtherVersions(at) <= inProgress * leftInProgress;
-        if (hasReached && hasEnded && at - beganAt >= workTime && verdict.kind === "good") {
-            end("completed", describeVerdict(verdict));
+    /**
+     * Completes the order once all boxes have received the move's grants and nearly all requests at other
+     * versions have ended. The move takes at least a mean request time, so that its own answers count in the
+     * verdict.
+     */
+    function completeMoveWhenDone({ at: beganAt, inProgress, grantedTotal }: Move, at: Milliseconds): void {
+        const haveAllBoxesHeard = boxes.active(at).every(({ report }) =>
+            (report.knownGrantedTotal ?? 0) >= grantedTotal
+        );
+        const haveOthersDrained = boxes.inProgressOnOtherVersions(at) <= inProgress * maxRemainingFraction;
+        if (haveAllBoxesHeard && haveOthersDrained && at - beganAt >= meanRequestTime && verdict.kind === "good") {
+            conclude("completed", describeVerdict(verdict));
         }
     }
 
-    function end(outcome: "completed" | "rolledBack", why: string): void {
+    function conclude(outcome: "completed" | "rolledBack", outcomeReason: string): void {
         if (stage !== outcome) {
             stage = outcome;
-            reason = why;
+            reason = outcomeReason;
         }
     }
 
@@ -204,58 +229,61 @@
                 return { kind: "writeRolledBack", reason: reason ?? "" };
             case "watching":
             case "moving":
-                return order.state === undefined && isStoreReachable ? askToRun() : { kind: "none" };
+                return order.state === undefined && isStoreReachable ? requestRunning() : { kind: "none" };
         }
     }
 
-    function askToRun(): RolloutAction {
-        hasAskedToRun = true;
+    function requestRunning(): RolloutAction {
+        hasRequestedRunning = true;
         return { kind: "writeRunning" };
     }
 
-    /** An order that runs though this box has not asked for it was granted from by another box. */
-    function noteTakeover({ state }: RolloutOrder, at: Milliseconds): void {
-        if (state === "running" && order.state === undefined && !hasAskedToRun) {
+    /** If the order starts running without this box's request, another box may have granted requests for it. */
+    function detectTakeover({ state }: RolloutOrder, at: Milliseconds): void {
+        if (state === "running" && order.state === undefined && !hasRequestedRunning) {
             takenOverAt ??= at;
-            isSettled = false;
+            isTakeoverComplete = false;
         }
     }
 
-    function grantTo(box: BoxId, report: RolloutReport, at: Milliseconds, left: number): RolloutGrant {
+    function grantTo(box: BoxId, report: RolloutReport, at: Milliseconds, remaining: number): RolloutGrant {
         return grants.grantTo(box, report, {
-            stage: shownStage(),
+            stage: announcedStage(),
             age: ageAt(at),
             plan: planAt(at),
             rate: boxes.rate(at),
-            left,
-            isOpen: order.state === "running" && isSettled && stage !== "rolledBack",
+            remaining,
+            isOpen: order.state === "running" && isTakeoverComplete && stage !== "rolledBack",
         });
     }
 
-    function leftInAccount(): number {
-        return Math.max(0, account.allowed() - account.grantedTotal());
+    function remainingBudget(): number {
+        return Math.max(0, budget.allowed() - budget.grantedTotal());
     }
 
     function grantAll(at: Milliseconds): readonly AddressedGrant[] {
-        const left = leftInAccount();
-        const all = boxes.active(at).map(({ box, report }) => ({ box, grant: grantTo(box, report, at, left) }));
-        if (move?.total === Infinity) {
-            move.total = account.grantedTotal();
+        const remaining = remainingBudget();
+        const all = boxes.active(at).map(({ box, report }) => ({ box, grant: grantTo(box, report, at, remaining) }));
+        if (move?.grantedTotal === Infinity) {
+            move.grantedTotal = budget.grantedTotal();
         }
-        return all.map(({ box, grant }) => ({ box, grant: { ...grant, grantedTotal: account.grantedTotal() } }));
+        return all.map(({ box, grant }) => ({ box, grant: { ...grant, grantedTotal: budget.grantedTotal() } }));
     }
 
-    /** Boxes go on moving until the store has the outcome: then the versions that are served follow it. */
-    function shownStage(): RolloutStage {
+    /**
+     * The stage to announce: boxes keep moving until the store has the outcome, which then determines the served
+     * versions.
+     */
+    function announcedStage(): RolloutStage {
         return stage === "completed" && order.state !== "completed" ? "moving" : stage;
     }
 
-    function spansAt(at: Milliseconds): [EvidenceWindow, ...EvidenceWindow[]] {
+    function windowsAt(at: Milliseconds): [EvidenceWindow, ...EvidenceWindow[]] {
         const isMoving = stage === "moving" || stage === "completed";
-        const lengths = spanParts.map(part => Math.max(shortestSpan, duration * part));
+        const lengths = windowFractions.map(fraction => Math.max(minWindowLength, duration * fraction));
         return [
-            { table: history.sinceStart(), isMoving },
-            ...lengths.map(length => ({ table: history.since(milliseconds(at - length)), isMoving })),
+            { table: evidenceHistory.sinceStart(), isMoving },
+            ...lengths.map(length => ({ table: evidenceHistory.since(milliseconds(at - length)), isMoving })),
         ];
     }
 
@@ -264,26 +292,27 @@
             bounds,
             duration,
             rate: boxes.rate(at),
-            meanRequestTime: workTime,
-            allowed: account.allowed(),
+            meanRequestTime,
+            allowed: budget.allowed(),
             age: ageAt(at),
         });
     }
 
-    function learnWorkTime(at: Milliseconds): void {
+    function updateMeanRequestTime(at: Milliseconds): void {
         if (stage === "watching") {
-            workTime = estimateMeanRequestTime(boxes.inProgressOnOtherVersions(at), boxes.rate(at)) ?? workTime;
+            meanRequestTime = estimateMeanRequestTime(boxes.inProgressOnOtherVersions(at), boxes.rate(at))
+                ?? meanRequestTime;
         }
     }
 
-    function settle(at: Milliseconds): void {
-        if (takenOverAt === undefined || isSettled || at - takenOverAt < settleTime) {
+    function completeTakeover(at: Milliseconds): void {
+        if (takenOverAt === undefined || isTakeoverComplete || at - takenOverAt < takeoverWait) {
             return;
         }
-        isSettled = true;
-        if (!knowsTotal) {
-            account.onGrantHistoryLost();
-            ageAtStart = Math.max(ageAtStart, unknownAge);
+        isTakeoverComplete = true;
+        if (!isGrantHistoryKnown) {
+            budget.onGrantHistoryLost();
+            ageAtStart = Math.max(ageAtStart, minUnknownAge);
         }
     }
 
--- a/packages/decisions/src/rollouts/rollout-grants.ts
+++ b/packages/decisions/src/rollouts/rollout-grants.ts
@@ -1,11 +1,13 @@
 /**
- * How the account of an order is divided among boxes: in proportion to what each
- * sent, evenly over the time that is watched, and all that is left for the move.
+ * Divides the exposure budget of an order among the boxes, in proportion to the requests
+ * that each has sent. While the version is watched the budget is spent evenly over time;
+ * the move gets all that remains.
  *
- * Parts of a request are rounded by a hash of the box, so that of many boxes with
- * little traffic some get one and others none, and the sum is right.
+ * Fractions of a request are rounded by a hash of the box id. Of many boxes with little
+ * traffic some get one request and others none, and the sum comes out right.
  *
- * Owns the caps at the beginning; relies on the account to grant no more than it holds.
+ * Owns the cap that each box had at first. Relies on the budget to grant no more than it
+ * holds.
  */
 
 import { type BoxId, hashText, type Milliseconds } from "@chalkdale/kernel";
@@ -14,21 +16,21 @@
 import type { RolloutId } from "./rollout-order.js";
 import type { RolloutPlan } from "./rollout-plan.js";
 
-/** Grants of one order. */
+/** Makes the grants of one order. */
 export interface RolloutGrants {
-    /** Raises a box's cap to what it is due, and returns its grant. */
+    /** Raises a box's cap to its share of the plan, and returns its grant. */
     readonly grantTo: (box: BoxId, report: RolloutReport, context: GrantContext) => RolloutGrant;
 }
 
-/** What a grant goes by, besides the report. */
+/** Inputs of a grant besides the report. */
 interface GrantContext {
     readonly stage: RolloutStage;
     readonly age: Milliseconds;
     readonly plan: RolloutPlan;
-    /** Requests a second of all boxes. */
+    /** Requests per second of all boxes. */
     readonly rate: number;
-    /** What the account held before it was divided for this round of grants. */
-    readonly left: number;
+    /** Requests that were left in the budget before this round of grants. */
+    readonly remaining: number;
     /** False while nothing may be granted. */
     readonly isOpen: boolean;
 }
@@ -36,38 +38,41 @@
 export interface RolloutGrantsOptions {
     readonly rollout: RolloutId;
     readonly budget: ExposureBudget;
-    /** Servers of the target that are listed now. */
+    /** Number of listed servers of the target version. */
     readonly serverCount: () => number;
 }
 
-/** Milliseconds by which caps run ahead of the plan: two rounds of reports. */
-const capLead = 700;
-/** Times the planned share that boxes pace themselves by, so that the caps bind. */
-const shareLead = 1.5;
-/** Part of the requests that try the target at most while it is watched; also what is assumed before the rate is known. */
-const greatestShare = 0.5;
-/** Part of the requests that try the target before the rate is known. */
-const firstShare = 0.1;
-/** Servers that a sample has at least while it is spread, one for each group. */
-const fewestSpread = 8;
-/** Servers that a sample has at least while it is concentrated: two might be bad at once, and their version good. */
-const fewestLoaded = 3;
-/** Stands for all servers of the target. */
+/** Milliseconds by which caps run ahead of the plan: two reporting rounds. */
+const capLeadTime = 700;
+/** Factor on the planned share that boxes pace themselves by, so that the cap is the binding limit. */
+const shareLeadFactor = 1.5;
+/** Maximum share of the requests that try the target while it is watched. */
+const maxWatchShare = 0.5;
+/** Share of the requests that try the target before the rate is known. */
+const initialShare = 0.1;
+/** Minimum number of sampled servers while the sample is spread: one for each group. */
+const minSpreadServers = 8;
+/**
+ * Minimum number of sampled servers while the sample is concentrated: two servers of a good version might fail
+ * at once.
+ */
+const minConcentratedServers = 3;
+/** Sample size that includes all servers of the target. */
 const allServers = 1_000_000;
-/** Milliseconds of a second, the unit of the rate. */
+/** One second in milliseconds; rates are in requests per second. */
 const second = 1000;
-/** Number of values that a hash of 32 bits can have. */
-const twoToThe32 = 4294967296;
+/** Number of values of a 32-bit hash. */
+const hashRange = 4294967296;
 
-/** Where the watch began. */
+/** State of the order when the first grant of the watch was made. */
 interface WatchStart {
     readonly age: Milliseconds;
-    readonly total: number;
+    readonly grantedTotal: number;
 }
 
-/** Creates the division of an account. */
-export function createRolloutGrants({ budget: account, rollout, serverCount }: RolloutGrantsOptions): RolloutGrants {
-    const capAtFirst = new Map<string, number>();
+/** Creates the grants of an order over its exposure budget. */
+export function createRolloutGrants({ budget, rollout, serverCount }: RolloutGrantsOptions): RolloutGrants {
+    const initialCaps = new Map<string, number>();
     let watchStart: WatchStart | undefined;
 
     return {
@@ -80,10 +85,10 @@
             return {
                 rollout,
                 stage,
-                cap: account.capOf(box, report.incarnation),
+                cap: budget.capOf(box, report.incarnation),
                 share,
-                sampledServerCount: sampledServers(share, context),
-                grantedTotal: account.grantedTotal(),
+                sampledServerCount: sampleSize(share, context),
+                grantedTotal: budget.grantedTotal(),
                 age,
             };
         },
@@ -91,62 +96,72 @@
 
     function raiseCap(box: BoxId, report: RolloutReport, context: GrantContext): void {
         const { incarnation, sent } = report;
-        const cap = account.capOf(box, incarnation);
-        const part = sent / Math.max(1, account.sent());
+        const cap = budget.capOf(box, incarnation);
+        const fraction = sent / Math.max(1, budget.sent());
         if (context.stage === "moving") {
-            account.raiseCap(box, incarnation, cap + Math.floor(context.left * part + roundingOf(box)));
+            budget.raiseCap(box, incarnation, cap + Math.floor(context.remaining * fraction + roundingOffset(box)));
             return;
         }
-        const name = `${box} ${incarnation}`;
-        const first = capAtFirst.get(name) ?? cap;
-        capAtFirst.set(name, first);
-        account.raiseCap(box, incarnation, first + Math.floor(part * plannedBy(context) + roundingOf(box)));
+        const key = `${box} ${incarnation}`;
+        const initialCap = initialCaps.get(key) ?? cap;
+        initialCaps.set(key, initialCap);
+        budget.raiseCap(
+            box,
+            incarnation,
+            initialCap + Math.floor(fraction * plannedRequests(context) + roundingOffset(box)),
+        );
     }
 
-    /** Requests that all boxes together may have sent to the target by now, since the watch began. */
-    function plannedBy({ age, plan }: GrantContext): number {
-        const start = watchStart ??= { age, total: account.grantedTotal() };
-        const due = age + capLead;
-        const ahead = due < plan.concentrateAt
-            ? between(due, start.age, plan.concentrateAt) * (plan.requestsBeforeConcentration - start.total)
-            : plan.requestsBeforeConcentration - start.total
-                + between(due, plan.concentrateAt, plan.samplingEndsAt)
+    /** Requests that all boxes together should have been granted by now, since the watch began. */
+    function plannedRequests({ age, plan }: GrantContext): number {
+        const start = watchStart ??= { age, grantedTotal: budget.grantedTotal() };
+        const due = age + capLeadTime;
+        const plannedSinceStart = due < plan.concentrateAt
+            ? progressBetween(due, start.age, plan.concentrateAt)
+                * (plan.requestsBeforeConcentration - start.grantedTotal)
+            : plan.requestsBeforeConcentration - start.grantedTotal
+                + progressBetween(due, plan.concentrateAt, plan.samplingEndsAt)
                     * (plan.requestsBeforeMove - plan.requestsBeforeConcentration);
-        return Math.max(0, ahead);
+        return Math.max(0, plannedSinceStart);
     }
 
     function shareOf({ age, plan, rate, stage }: GrantContext): number {
         if (stage === "moving") {
             return 1;
         }
-        const start = watchStart ?? { age: 0, total: 0 };
-        const [time, planned] = isLoading(age, plan)
+        const start = watchStart ?? { age: 0, grantedTotal: 0 };
+        const [watchTime, planned] = isConcentrating(age, plan)
             ? [plan.samplingEndsAt - plan.concentrateAt, plan.requestsBeforeMove - plan.requestsBeforeConcentration]
-            : [plan.concentrateAt - start.age, plan.requestsBeforeConcentration - start.total];
-        const requests = rate * Math.max(0, time) / second;
-        return requests <= 0 ? firstShare : Math.min(greatestShare, shareLead * Math.max(0, planned) / requests);
+            : [plan.concentrateAt - start.age, plan.requestsBeforeConcentration - start.grantedTotal];
+        const requests = rate * Math.max(0, watchTime) / second;
+        return requests <= 0
+            ? initialShare
+            : Math.min(maxWatchShare, shareLeadFactor * Math.max(0, planned) / requests);
     }
 
-    /** While the sample is concentrated, as many as bear the load of a full day by the share: some versions fail under load only. */
-    function sampledServers(share: number, { age, plan, stage }: GrantContext): number {
+    /**
+     * As many servers as the share loads as in full operation, since some versions fail only under load; at
+     * least the minimum.
+     */
+    function sampleSize(share: number, { age, plan, stage }: GrantContext): number {
         if (stage === "moving") {
             return allServers;
         }
-        const loaded = Math.floor(share / shareLead * serverCount());
-        return Math.max(isLoading(age, plan) ? fewestLoaded : fewestSpread, loaded);
+        const serversForLoad = Math.floor(share / shareLeadFactor * serverCount());
+        return Math.max(isConcentrating(age, plan) ? minConcentratedServers : minSpreadServers, serversForLoad);
     }
 }
 
-/** Boxes hear of it a round later. */
-function isLoading(age: Milliseconds, plan: RolloutPlan): boolean {
+/** True once the sample is concentrated on few servers. Boxes learn of it one reporting round later. */
+function isConcentrating(age: Milliseconds, plan: RolloutPlan): boolean {
     return age >= plan.concentrateAt;
 }
 
-/** Part of the way from one time to another, from 0 to 1. */
-function between(at: number, from: number, to: number): number {
+/** Returns how far `at` is between two times, clamped to 0 to 1. */
+function progressBetween(at: number, from: number, to: number): number {
     return Math.min(1, Math.max(0, (at - from) / Math.max(1, to - from)));
 }
 
-function roundingOf(box: BoxId): number {
-    return hashText(box) / twoToThe32;
+function roundingOffset(box: BoxId): number {
+    return hashText(box) / hashRange;
 }
--- a/packages/decisions/src/rollouts/trial-traffic.ts
+++ b/packages/decisions/src/rollouts/trial-traffic.ts
@@ -1,12 +1,12 @@
 /**
- * A box's part in one order: which of its requests try the target version, what
- * it sent, and what the answers show.
+ * The trial traffic of one order at one box: selects the requests that try the target
+ * version, and counts what was sent and answered.
  *
- * The cap bounds what the box sends, the share paces it. A box whose own
- * evidence shows a bad version sends it nothing more.
+ * The cap of the grant bounds the requests that the box sends to the target, and the
+ * share paces them. If the box's own evidence shows a bad version, it sends no more.
  *
- * Owns the counts of this box since it learned of the order, and its grant; relies
- * on grants of the deciding box and on `ServedVersions` for what a server takes part in.
+ * Owns this box's counts since it learned of the order, and its grant. Relies on grants
+ * of the deciding box, and on `ServedVersions` for the cohorts of servers.
  */
 
 import { hashText, type IncarnationId, type Milliseconds, milliseconds } from "@chalkdale/kernel";
@@ -17,33 +17,33 @@
 import { createRouteSampling } from "./route-sampling.js";
 import type { ServedVersions } from "./served-versions.js";
 import { createTrialEvidence, type TrialAnswer } from "./trial-evidence.js";
-import { judgeTrial } from "./verdict.js";
+import { evaluateTrial } from "./verdict.js";
 
 /** The traffic of one order at one box. */
 export interface TrialTraffic {
     /**
-     * True if the first try of a request shall go to the target. It counts against the cap until `onSent` or `onNotSent`: one
-     * of them must follow.
+     * Returns true if the first attempt of a request is to go to the target. The request then counts against the
+     * cap, and a call of `onSent` or `onNotSent` must follow.
      */
     readonly assign: (routeName: string) => boolean;
-    /** No server of the sample could take an assigned request. */
+    /** An assigned request was not sent because no sampled server could take it. */
     readonly onNotSent: () => void;
-    /** A request of the service, or a further try of it, goes to a server. */
+    /** An attempt of any request of the service is sent to a server. */
     readonly onSent: (server: BackendServer) => void;
-    /** It ended in any way. */
+    /** An attempt has ended, whatever its outcome. */
     readonly onEnded: (server: BackendServer) => void;
     readonly onAnswer: (answer: TrialAnswer) => void;
     readonly onGrant: (grant: RolloutGrant, at: Milliseconds) => void;
-    readonly onDecision: (news: RolloutDecision) => void;
-    /** What this box tells the deciding box; undefined once the order is decided. */
+    readonly onDecision: (received: RolloutDecision) => void;
+    /** The report for the deciding box; undefined once the order is decided. */
     readonly report: (at: Milliseconds) => RolloutReport | undefined;
-    /** What news told; the store's state is not looked at here. */
+    /** The latest decision passed to `onDecision`. */
     readonly decision: () => RolloutDecision["decision"] | undefined;
     readonly stage: () => RolloutStage;
-    /** Part of the requests that try the target now. */
+    /** Share of the requests that try the target now, from 0 to 1. */
     readonly share: () => number;
     readonly sampledServerCount: () => number;
-    /** Time since the order, as far as this box knows. */
+    /** Time since the order as this box knows it. */
     readonly age: (at: Milliseconds) => Milliseconds;
 }
 
@@ -51,33 +51,36 @@
     readonly order: RolloutOrder;
     readonly incarnation: IncarnationId;
     readonly versions: Pick<ServedVersions, "cohortOf" | "trialVersion">;
-    /** Time since the order when this box learned of it; 0 if it saw it come. */
+    /** Time since the order when this box learned of it; 0 if the box learned of it at once. */
     readonly age: Milliseconds;
     readonly at: Milliseconds;
 }
 
-/** Answers of a trial by this box between two looks at its own evidence. */
-const answersBetweenLooks = 8;
+/** Number of trial answers at this box after which it evaluates its own evidence again. */
+const answersPerEvaluation = 8;
 
-/** Cap from which a box keeps one of it for rare routes until the move. */
-const capOfReserve = 3;
-/** One in so many boxes keeps one of a smaller cap: of many boxes with little traffic some must have one left when a rare route comes. */
-const reservingBoxes = 6;
+/** Minimum cap of which every box reserves one request for rare routes until the move. */
+const minReservingCap = 3;
+/**
+ * One in this many boxes reserves a request of a smaller cap too: among many boxes with little traffic, some
+ * must have one left when a request of a rare route arrives.
+ */
+const reservingBoxInterval = 6;
 
-/** Creates the traffic of an order that this box has just learned of; nothing is granted yet. */
+/** Creates the traffic of an order that this box has just learned of, without a grant. */
 export function createTrialTraffic(options: TrialTrafficOptions): TrialTraffic {
     const { order, versions } = options;
     const evidence = createTrialEvidence();
     const sampling = createRouteSampling();
-    const isReserving = hashText(options.incarnation) % reservingBoxes === 0;
+    const isReserving = hashText(options.incarnation) % reservingBoxInterval === 0;
     let ageAtStart: number = options.age;
     let sent = 0;
     let sentToTrial = 0;
     let assigned = 0;
-    let inProgressElsewhere = 0;
-    let answersSeen = 0;
+    let inProgressOnOtherVersions = 0;
+    let trialAnswerCount = 0;
     let isOwnVerdictBad = false;
-    let knownTotal: number | undefined;
+    let knownGrantedTotal: number | undefined;
     let grant: RolloutGrant | undefined;
     let decision: RolloutDecision["decision"] | undefined;
 
@@ -89,7 +92,7 @@
             if (share() <= 0 || left < 1 || versions.trialVersion(order.service) !== order.targetVersion) {
                 return false;
             }
-            if (!sampling.take(routeName, share(), left, isReserving || cap >= capOfReserve ? 1 : 0)) {
+            if (!sampling.take(routeName, share(), left, isReserving || cap >= minReservingCap ? 1 : 0)) {
                 return false;
             }
             assigned += 1;
@@ -100,27 +103,27 @@
         },
         onSent(server) {
             sent += 1;
-            if (isOfTarget(server)) {
+            if (hasTargetVersion(server)) {
                 assigned = Math.max(0, assigned - 1);
                 sentToTrial += 1;
                 return;
             }
-            inProgressElsewhere += 1;
+            inProgressOnOtherVersions += 1;
         },
         onEnded(server) {
-            if (!isOfTarget(server)) {
-                inProgressElsewhere = Math.max(0, inProgressElsewhere - 1);
+            if (!hasTargetVersion(server)) {
+                inProgressOnOtherVersions = Math.max(0, inProgressOnOtherVersions - 1);
             }
         },
         onAnswer(answer) {
-            const place = versions.cohortOf(answer.server);
-            if (place === undefined || answer.wasCold) {
+            const cohort = versions.cohortOf(answer.server);
+            if (cohort === undefined || answer.wasCold) {
                 return;
             }
-            evidence.add(answer, place);
-            answersSeen += place.isTrial ? 1 : 0;
-            if (place.isTrial && answersSeen % answersBetweenLooks === 0) {
-                lookAtOwnEvidence();
+            evidence.add(answer, cohort);
+            trialAnswerCount += cohort.isTrial ? 1 : 0;
+            if (cohort.isTrial && trialAnswerCount % answersPerEvaluation === 0) {
+                evaluateOwnEvidence();
             }
         },
         onGrant(next, at) {
@@ -128,17 +131,17 @@
                 return;
             }
             const cap = Math.max(next.cap, grant?.cap ?? 0);
-            // A grant that was overtaken on its way must not open again what a later one closed.
+            // An older grant that arrives late must not reopen a trial that a newer one has ended.
             grant = { ...(grant !== undefined && isFinal(grant.stage) ? grant : next), cap };
-            knownTotal = Math.max(next.grantedTotal, knownTotal ?? 0);
+            knownGrantedTotal = Math.max(next.grantedTotal, knownGrantedTotal ?? 0);
             ageAtStart = Math.max(ageAtStart, next.age - (at - options.at));
         },
-        onDecision(news) {
-            if (isSameRollout(news.rollout, order)) {
-                decision = news.decision;
+        onDecision(received) {
+            if (isSameRollout(received.rollout, order)) {
+                decision = received.decision;
             }
         },
-        report: at => isDecided() ? undefined : reportAt(at),
+        report: at => isDecided() ? undefined : createReport(at),
         decision: () => decision,
         stage: () => decision ?? grant?.stage ?? "watching",
         share,
@@ -146,16 +149,16 @@
         age,
     };
 
-    function reportAt(at: Milliseconds): RolloutReport {
+    function createReport(at: Milliseconds): RolloutReport {
         const { createdAt, service, targetVersion } = order;
         return {
             rollout: { createdAt, service, targetVersion },
             incarnation: options.incarnation,
             sent,
             sentToTrial,
-            inProgressOnOtherVersions: inProgressElsewhere,
+            inProgressOnOtherVersions,
             cap: grant?.cap ?? 0,
-            knownGrantedTotal: knownTotal,
+            knownGrantedTotal,
             age: age(at),
             cells: evidence.cells(),
         };
@@ -169,12 +172,12 @@
         return isDecided() || isOwnVerdictBad || grant === undefined ? 0 : grant.share;
     }
 
-    function lookAtOwnEvidence(): void {
+    function evaluateOwnEvidence(): void {
         const isMoving = grant?.stage === "moving";
-        isOwnVerdictBad ||= judgeTrial([{ table: evidence.table(), isMoving }]).kind === "bad";
+        isOwnVerdictBad ||= evaluateTrial([{ table: evidence.table(), isMoving }]).kind === "bad";
     }
 
-    function isOfTarget(server: BackendServer): boolean {
+    function hasTargetVersion(server: BackendServer): boolean {
         return versionOf(server) === order.targetVersion;
     }
 
@@ -183,7 +186,7 @@
     }
 }
 
-/** True for a stage on which nothing follows. */
+/** True for a stage that is not followed by another. */
 function isFinal(stage: RolloutStage): boolean {
     return stage === "completed" || stage === "rolledBack";
 }
--- a/packages/decisions/src/rollouts/verdict.ts
+++ b/packages/decisions/src/rollouts/verdict.ts
@@ -1,87 +1,98 @@
 /**
- * Whether a version on trial is bad: it fails or is slow against the proven
- * version at the same time.
+ * Decides whether a trial version is bad: whether it fails more often or is slower than
+ * the proven version over the same time.
  *
- * Both sides are summed up by groups of servers, and the groups are compared, not
- * the answers: the rank-sum test on the summaries of clusters (Rosner, Glynn and
- * Lee, 2003; Datta and Satten, 2005). One bad server among good ones is one group of
- * eight, however many answers it spoils, and a fault that strikes servers of both versions at random strikes groups of both.
- * The evidence is looked at again and again, so the bound on the score is constant and high (Pocock, 1977).
+ * Both sides are summed by server group, and the groups are compared rather than the
+ * answers, by the rank-sum test on cluster summaries (Rosner, Glynn and Lee, 2003; Datta
+ * and Satten, 2005). One bad server among good ones affects one group of eight, however
+ * many answers it spoils, and a fault that hits servers of both versions at random affects
+ * groups of both. The evidence is evaluated repeatedly, so the critical score is constant
+ * and high (Pocock, 1977).
  *
- * A version counts as good by its estimates without the worst groups of each side (trimmed means), once enough has been answered.
+ * A version is good once there are enough answers and its estimates without the worst
+ * groups of each side (trimmed means) leave no reason for doubt.
  *
- * Owns nothing; relies on sums of the answers.
+ * Relies on the sums of `evidence`.
  */
 
 import { compareVersions, type EvidenceWindow, thresholdsOf, type VersionComparison } from "./version-comparison.js";
 
-/** What the evidence says. */
+/** The result of evaluating the evidence of a trial. */
 export type Verdict =
     | { readonly kind: "bad"; readonly figures: VersionComparison; }
     | { readonly kind: "good"; readonly answers: number; }
     | { readonly kind: "undecided"; readonly cause: "fewAnswers" | "unclear"; readonly figures: VersionComparison; };
 
-/** Times the logarithms that slowness must reach while all requests move. */
-const movingFactor = 1.25;
-/** Standard score from which a difference is a reason to doubt. */
+/** Factor on the slowness thresholds (mean logarithms) while all requests move. */
+const movingSlownessFactor = 1.25;
+/** Standard score from which a difference is doubtful. */
 const doubtfulScore = 2.6;
-/** Standard score below which a difference is taken for chance, however great it is. */
-const chanceScore = 2;
-/** Times the tolerated difference that is borne where there are too few groups for a score. */
-const toleratedOfFew = 2;
-/** Share of failures above the proven version's that so few groups must show that the bound on the score is out of reach. */
-const leastFailuresOfFew = 0.2;
-/** The same for slowness. */
-const leastSlownessOfFew = 0.3;
-/** Answers of the proven version, and the share of failures among them, that show that no fault is about. */
-const fewestClean = 100;
-/** Share of failures, from 0 to 1, of a proven version without faults. */
-const cleanShare = 0.002;
-/** Failures, their groups and their share of the answers against a proven version without any, that decide, */
-const decidingAgainstNone = 4;
-/** that are a reason to doubt, */
-const doubtfulAgainstNone = 3;
-/** groups that they must lie in, */
-const fewestGroupsAgainstNone = 3;
-/** the part of all groups that these are, */
-const leastGroupPart = 0.5;
-/** and their share of the answers at least, from 0 to 1. */
-const leastAgainstNone = 0.03;
-/** Bad answers, by the estimates, from which doubt suffices: half of the 50 after which a bad version must soon get nothing. */
-const mostInDoubt = 25;
-/** Slowness that one slow answer adds to the sum at least: twice the expected time against 1.5 times. */
-const slownessOfOne = Math.log(2 / 1.5);
-/** Failures of the version on trial that a verdict by failures needs. */
-const fewestFailures = 3;
-/** Answers of the version on trial that a verdict by slowness needs. */
-const fewestAnswers = 8;
-/** Part of the answers of all routes below which a route is too rare to hold a good version up. */
-const rarePart = 0.01;
+/** Standard score below which a difference counts as chance, however large it is. */
+const maxChanceScore = 2;
+/** Factor on the tolerated difference where there are too few groups for a score. */
+const fewGroupsToleranceFactor = 2;
+/**
+ * Minimum difference in the share of failures where there are so few groups that the usual critical score is out
+ * of reach.
+ */
+const fewGroupsMinFailureDifference = 0.2;
+/** The same for the mean logarithm of slowness. */
+const fewGroupsMinSlownessDifference = 0.3;
+/** Minimum number of answers of the proven version from which it can count as clean, that is, free of faults. */
+const minCleanControlAnswers = 100;
+/** Maximum share of failures, from 0 to 1, of a clean proven version. */
+const maxCleanFailureShare = 0.002;
+/** Failures of the trial version against a clean proven version from which it is bad. */
+const decisiveFailuresAgainstClean = 4;
+/** Failures against a clean proven version from which the trial version is doubtful. */
+const doubtfulFailuresAgainstClean = 3;
+/** Minimum number of groups with failures for a verdict against a clean proven version. */
+const minFailedGroupsAgainstClean = 3;
+/** Minimum fraction of the trial version's groups that these must be. */
+const minFailedGroupsFraction = 0.5;
+/** Minimum difference in the share of failures, from 0 to 1, for a verdict against a clean proven version. */
+const minDifferenceAgainstClean = 0.03;
+/**
+ * Estimated bad answers from which a doubtful version is bad: half of the 50 after which a bad version must soon
+ * get nothing.
+ */
+const maxDoubtfulBadAnswers = 25;
+/** Minimum logarithm that one slow answer adds to the sum: twice the expected time against 1.5 times. */
+const minSlownessOfSlowAnswer = Math.log(2 / 1.5);
+/** Minimum number of failures of the trial version for a bad verdict by failures. */
+const minFailuresForBad = 3;
+/** Minimum number of answers of the trial version for a bad verdict by slowness. */
+const minAnswersForSlow = 8;
+/** Fraction of the answers of all routes below which a route is too rare to delay a good verdict. */
+const rareRouteFraction = 0.01;
 
-/** Judges spans of time, the whole trial first; one span that shows a bad version suffices. */
-export function judgeTrial(spans: readonly [EvidenceWindow, ...EvidenceWindow[]]): Verdict {
-    const [whole, ...others] = spans.map(compareVersions);
-    const bad = [whole, ...others].flat().find(figures => isBad(figures, spans[0].isMoving));
+/**
+ * Evaluates the evidence of several time windows, the whole trial first. One window that shows a bad version
+ * suffices.
+ */
+export function evaluateTrial(windows: readonly [EvidenceWindow, ...EvidenceWindow[]]): Verdict {
+    const [whole, ...others] = windows.map(compareVersions);
+    const bad = [whole, ...others].flat().find(figures => isBad(figures, windows[0].isMoving));
     if (bad !== undefined) {
         return { kind: "bad", figures: bad };
     }
     const [all] = whole;
     const isRare = (figures: VersionComparison) =>
-        figures.answers + figures.controlAnswers < rarePart * (all.answers + all.controlAnswers);
-    const thin = whole.find(figures => figures.answers < thresholdsOf(figures).enoughAnswers && !isRare(figures));
-    if (thin !== undefined) {
-        return { kind: "undecided", cause: "fewAnswers", figures: thin };
+        figures.answers + figures.controlAnswers < rareRouteFraction * (all.answers + all.controlAnswers);
+    const tooFew = whole.find(figures => figures.answers < thresholdsOf(figures).minAnswersForGood && !isRare(figures));
+    if (tooFew !== undefined) {
+        return { kind: "undecided", cause: "fewAnswers", figures: tooFew };
     }
-    const unclear = whole.find(figures => isUnclear(figures, spans[0].isMoving));
+    const unclear = whole.find(figures => isUnclear(figures, windows[0].isMoving));
     return unclear === undefined
         ? { kind: "good", answers: all.answers }
         : { kind: "undecided", cause: "unclear", figures: unclear };
 }
 
-/** Returns a verdict with its figures as one line for logs and operators. */
+/** Returns the verdict with its figures as one line of text, for logs and operators. */
 export function describeVerdict(verdict: Verdict): string {
     if (verdict.kind === "good") {
-        return `good by ${verdict.answers} answers`;
+        return `good after ${verdict.answers} answers`;
     }
     const { answers, controlAnswers, difference, failures, route, score, test } = verdict.figures;
     const where = route === undefined ? "all routes" : `route ${route}`;
@@ -92,60 +103,67 @@
 }
 
 function isBad(figures: VersionComparison, isMoving: boolean): boolean {
-    if (failuresAgainstNone(figures) >= decidingAgainstNone || isTooManyInDoubt(figures, isMoving)) {
+    if (failuresAgainstClean(figures) >= decisiveFailuresAgainstClean || hasTooManyDoubtfulAnswers(figures, isMoving)) {
         return true;
     }
     if (figures.score < figures.criticalScore) {
         return false;
     }
-    const { leastFailures, leastSlowness, score } = thresholdsOf(figures);
-    const isOfFewGroups = figures.criticalScore < score;
+    const { minFailureDifference, minSlownessDifference, criticalScore: requiredScore } = thresholdsOf(figures);
+    const hasFewGroups = figures.criticalScore < requiredScore;
     if (figures.test === "failures") {
-        const least = isOfFewGroups ? leastFailuresOfFew : leastFailures;
-        return figures.failures >= fewestFailures && figures.difference >= least;
+        const minDifference = hasFewGroups ? fewGroupsMinFailureDifference : minFailureDifference;
+        return figures.failures >= minFailuresForBad && figures.difference >= minDifference;
     }
-    const least = isOfFewGroups ? leastSlownessOfFew : leastSlowness;
-    return figures.answers >= fewestAnswers && figures.difference >= least * (isMoving ? movingFactor : 1);
+    const minDifference = hasFewGroups ? fewGroupsMinSlownessDifference : minSlownessDifference;
+    return figures.answers >= minAnswersForSlow
+        && figures.difference >= minDifference * (isMoving ? movingSlownessFactor : 1);
 }
 
 /**
- * Failures of the version on trial in several groups, where many answers of the proven version show none; else 0. A fault that
- * strikes servers at random would be seen there as well, so each answer counts for itself.
+ * Returns the failures of the trial version if they are spread over several groups while the proven version is
+ * clean; otherwise 0. A fault that hits servers at random would show on the control side as well, so each
+ * failure counts by itself.
  */
-function failuresAgainstNone(figures: VersionComparison): number {
+function failuresAgainstClean(figures: VersionComparison): number {
     const { controlAnswers, controlFailures, difference, failedGroups, failures, groups, route, test } = figures;
-    const isClean = controlAnswers >= fewestClean && controlFailures <= controlAnswers * cleanShare;
+    const isClean = controlAnswers >= minCleanControlAnswers
+        && controlFailures <= controlAnswers * maxCleanFailureShare;
     const isComparable = test === "failures" && route === undefined && isClean;
-    const isSpread = failedGroups >= Math.max(fewestGroupsAgainstNone, groups * leastGroupPart);
-    return isComparable && isSpread && difference >= leastAgainstNone ? failures : 0;
+    const isSpread = failedGroups >= Math.max(minFailedGroupsAgainstClean, groups * minFailedGroupsFraction);
+    return isComparable && isSpread && difference >= minDifferenceAgainstClean ? failures : 0;
 }
 
 /**
- * True if so many answers are bad by the estimates that no more may be waited for, though the score is short of its bound: a bad
- * version must get nothing soon after its 50th bad answer, and eight groups that a fault strikes as well never reach the bound.
+ * True if so many answers are estimated to be bad that the verdict can't wait, although the score is below the
+ * critical score. A bad version must get nothing soon after its 50th bad answer, and if a fault also affects
+ * some of the eight groups, the critical score may never be reached.
  */
-function isTooManyInDoubt(figures: VersionComparison, isMoving: boolean): boolean {
-    const { answers, difference, score, test, trimmedDifference: trimmed } = figures;
-    const { toleratedFailures, toleratedSlowness } = thresholdsOf(figures);
-    const bad = answers * difference / (test === "failures" ? 1 : slownessOfOne);
-    const tolerated = test === "failures" ? toleratedFailures : toleratedSlowness * (isMoving ? movingFactor : 1);
-    return bad >= mostInDoubt && trimmed > tolerated && score >= chanceScore;
+function hasTooManyDoubtfulAnswers(figures: VersionComparison, isMoving: boolean): boolean {
+    const { answers, difference, score, test, trimmedDifference } = figures;
+    const { toleratedFailureDifference, toleratedSlownessDifference } = thresholdsOf(figures);
+    const bad = answers * difference / (test === "failures" ? 1 : minSlownessOfSlowAnswer);
+    const maxDifference = test === "failures"
+        ? toleratedFailureDifference
+        : toleratedSlownessDifference * (isMoving ? movingSlownessFactor : 1);
+    return bad >= maxDoubtfulBadAnswers && trimmedDifference > maxDifference && score >= maxChanceScore;
 }
 
-/** True if the estimates don't yet allow to call the version good. */
+/** True if the estimates don't allow a good verdict yet. */
 function isUnclear(figures: VersionComparison, isMoving: boolean): boolean {
-    const { leastFailures, leastSlowness, toleratedFailures, toleratedSlowness } = thresholdsOf(figures);
-    const factor = figures.test === "slowness" && isMoving ? movingFactor : 1;
-    const [least, tolerated] = figures.test === "failures"
-        ? [leastFailures, toleratedFailures]
-        : [leastSlowness, toleratedSlowness];
+    const { minFailureDifference, minSlownessDifference, toleratedFailureDifference, toleratedSlownessDifference } =
+        thresholdsOf(figures);
+    const factor = figures.test === "slowness" && isMoving ? movingSlownessFactor : 1;
+    const [minDifference, maxDifference] = figures.test === "failures"
+        ? [minFailureDifference, toleratedFailureDifference]
+        : [minSlownessDifference, toleratedSlownessDifference];
     const isDoubtful = figures.score >= Math.min(doubtfulScore, figures.criticalScore)
-        && figures.difference >= least * factor;
-    if (isDoubtful || failuresAgainstNone(figures) >= doubtfulAgainstNone) {
+        && figures.difference >= minDifference * factor;
+    if (isDoubtful || failuresAgainstClean(figures) >= doubtfulFailuresAgainstClean) {
         return true;
     }
     if (figures.criticalScore === Infinity) {
-        return figures.trimmedDifference > tolerated * factor * toleratedOfFew;
+        return figures.trimmedDifference > maxDifference * factor * fewGroupsToleranceFactor;
     }
-    return figures.trimmedDifference > tolerated * factor && figures.score >= chanceScore;
+    return figures.trimmedDifference > maxDifference * factor && figures.score >= maxChanceScore;
 }
--- a/packages/decisions/src/rollouts/version-comparison.ts
+++ b/packages/decisions/src/rollouts/version-comparison.ts
@@ -1,85 +1,93 @@
 /**
- * Compares the two sides of a trial by groups of servers: failures, and slowness,
- * for all routes together and for each.
+ * Compares the failures and the slowness of the two sides of a trial by server group, for
+ * all routes together and for each route.
  *
- * Owns nothing; relies on sums of the answers.
+ * Relies on the sums of `evidence`.
  */
 
 import { type EvidenceSides, type EvidenceTable, type GroupEvidence, routesOf, sidesOf } from "./evidence.js";
 import { rankSumScore } from "./rank-sum.js";
 
-/** What was compared. */
+/** The quantity that is compared. */
 type VerdictTest = "failures" | "slowness";
 
-/** Figures that a verdict goes by. */
+/** Figures of one comparison, the basis of a verdict. */
 export interface VersionComparison {
     readonly test: VerdictTest;
-    /** Hash of the route; undefined for all together. */
+    /** Hash of the route's name; undefined for all routes together. */
     readonly route: number | undefined;
-    /** Answers of the version on trial that were compared. */
+    /** Answers of the trial version that were compared: all for failures, only successes for slowness. */
     readonly answers: number;
-    /** Of these, failures. */
+    /** Failures of the trial version. */
     readonly failures: number;
-    /** Groups of the version on trial, and those of them that have a failure. */
+    /** Groups of the trial version that have compared answers. */
     readonly groups: number;
+    /** Groups of the trial version that have a failure. */
     readonly failedGroups: number;
     readonly controlAnswers: number;
     readonly controlFailures: number;
-    /** Share of failures, or mean of the logarithms of slowness, above that of the proven version. */
+    /** Share of failures, or mean logarithm of slowness, of the trial version minus that of the proven version. */
     readonly difference: number;
     /** The same without the worst groups of each side. */
     readonly trimmedDifference: number;
     /** Standard score of the difference. */
     readonly score: number;
-    /** Score from which the difference is taken for real. */
+    /** Score from which the difference counts as significant; Infinity with too few groups. */
     readonly criticalScore: number;
 }
 
-/** Evidence of one span of time. */
+/** Evidence of one time window. */
 export interface EvidenceWindow {
     readonly table: EvidenceTable;
-    /** The version gets all requests: its servers wait and learn keys as the others did not have to, so times say less. */
+    /**
+     * The trial version gets all new requests: its servers queue and learn keys, unlike the others before, so
+     * times mean less.
+     */
     readonly isMoving: boolean;
 }
 
-/** What a test needs and bears. */
-interface TestBounds {
-    readonly score: number;
-    readonly leastFailures: number;
-    readonly leastSlowness: number;
-    /** Answers of the version on trial from which it may count as good. */
-    readonly enoughAnswers: number;
-    readonly toleratedFailures: number;
-    readonly toleratedSlowness: number;
-    /** Groups that each side needs. */
-    readonly fewestGroups: number;
+/** Thresholds of the comparisons. Differences are in shares of failures, or in mean logarithms of slowness. */
+interface TestThresholds {
+    readonly criticalScore: number;
+    readonly minFailureDifference: number;
+    readonly minSlownessDifference: number;
+    /** Minimum number of answers of the trial version for a good verdict. */
+    readonly minAnswersForGood: number;
+    readonly toleratedFailureDifference: number;
+    readonly toleratedSlownessDifference: number;
+    /** Minimum number of groups on each side for a score. */
+    readonly minGroups: number;
 }
 
-/** For all routes together. The least differences are ones that no test finds in few answers, or that no caller would mind. */
-const ofAll: TestBounds = {
-    score: 2.9,
-    leastFailures: 0.02,
-    leastSlowness: 0.15,
-    enoughAnswers: 20,
-    toleratedFailures: 0.06,
-    toleratedSlowness: 0.08,
-    fewestGroups: 3,
+/** For all routes together. Smaller differences are not detectable in few answers, or would not matter to callers. */
+const allRoutesThresholds: TestThresholds = {
+    criticalScore: 2.9,
+    minFailureDifference: 0.02,
+    minSlownessDifference: 0.15,
+    minAnswersForGood: 20,
+    toleratedFailureDifference: 0.06,
+    toleratedSlownessDifference: 0.08,
+    minGroups: 3,
 };
-/** For one route: there are up to nine of them, so chance has nine times as many. */
-const ofRoute: TestBounds = {
-    score: 2.9,
-    leastFailures: 0.05,
-    leastSlowness: 0.2,
-    enoughAnswers: 2,
-    toleratedFailures: 0.2,
-    toleratedSlowness: 0.1,
-    fewestGroups: 5,
+/** For one route. There are up to nine routes, and thus nine times as many chances of a false alarm. */
+const singleRouteThresholds: TestThresholds = {
+    criticalScore: 2.9,
+    minFailureDifference: 0.05,
+    minSlownessDifference: 0.2,
+    minAnswersForGood: 2,
+    toleratedFailureDifference: 0.2,
+    toleratedSlownessDifference: 0.1,
+    minGroups: 5,
 };
-/** Part of the groups, the worst ones, that trimmed estimates leave out: 16 in 100 servers may do badly at once. */
-const trimmedPart = 0.375;
-/** Part of the score of perfectly separated groups that suffices where there are too few groups for the bound. */
-const separatedPart = 0.98;
-/** The comparisons of a span; the first ones are of all routes together. */
+/** Fraction of the groups, the worst ones, that trimmed estimates leave out: 16 % of the servers may fail at once. */
+const trimmedFraction = 0.375;
+/**
+ * Fraction of the score of perfectly separated groups that suffices where there are too few groups to reach the
+ * usual score.
+ */
+const separatedScoreFraction = 0.98;
+
+/** Returns the comparisons of a window, those of all routes together first. */
 export function compareVersions({ table }: EvidenceWindow): readonly VersionComparison[] {
     return [undefined, ...routesOf(table)].flatMap(route => {
         const sides = sidesOf(table, route);
@@ -87,31 +95,33 @@
     });
 }
 
-/** Returns what the tests of a route, or of all together, need and bear. */
-export function thresholdsOf({ route }: Pick<VersionComparison, "route">): TestBounds {
-    return route === undefined ? ofAll : ofRoute;
+/** Returns the thresholds for one route, or for all routes together. */
+export function thresholdsOf({ route }: Pick<VersionComparison, "route">): TestThresholds {
+    return route === undefined ? allRoutesThresholds : singleRouteThresholds;
 }
 
 function compare(test: VerdictTest, route: number | undefined, sides: EvidenceSides): VersionComparison {
-    const trial = sides.trial.filter(group => countOf(test, group) > 0);
-    const control = sides.control.filter(group => countOf(test, group) > 0);
-    const summaryOf = (group: GroupEvidence) => sumOf(test, group) / countOf(test, group);
-    const separated = Math.sqrt(3 * trial.length * control.length / (trial.length + control.length + 1));
-    const isComparable = Math.min(trial.length, control.length) >= thresholdsOf({ route }).fewestGroups;
+    const trial = sides.trial.filter(group => observationCount(test, group) > 0);
+    const control = sides.control.filter(group => observationCount(test, group) > 0);
+    const summaryOf = (group: GroupEvidence) => observationSum(test, group) / observationCount(test, group);
+    const separatedScore = Math.sqrt(3 * trial.length * control.length / (trial.length + control.length + 1));
+    const isComparable = Math.min(trial.length, control.length) >= thresholdsOf({ route }).minGroups;
     return {
         test,
         route,
-        answers: total(sides.trial, group => countOf(test, group)),
+        answers: total(sides.trial, group => observationCount(test, group)),
         failures: total(sides.trial, group => group.failures),
         groups: trial.length,
         failedGroups: sides.trial.filter(group => group.failures > 0).length,
-        controlAnswers: total(sides.control, group => countOf(test, group)),
+        controlAnswers: total(sides.control, group => observationCount(test, group)),
         controlFailures: total(sides.control, group => group.failures),
-        difference: pooled(test, trial) - pooled(test, control),
-        trimmedDifference: pooled(test, withoutWorst(trial, summaryOf))
-            - pooled(test, withoutWorst(control, summaryOf)),
+        difference: pooledMean(test, trial) - pooledMean(test, control),
+        trimmedDifference: pooledMean(test, withoutWorst(trial, summaryOf))
+            - pooledMean(test, withoutWorst(control, summaryOf)),
         score: rankSumScore(trial.map(summaryOf), control.map(summaryOf)),
-        criticalScore: isComparable ? Math.min(thresholdsOf({ route }).score, separated * separatedPart) : Infinity,
+        criticalScore: isComparable
+            ? Math.min(thresholdsOf({ route }).criticalScore, separatedScore * separatedScoreFraction)
+            : Infinity,
     };
 }
 
@@ -120,19 +130,20 @@
     summaryOf: (group: GroupEvidence) => number,
 ): readonly GroupEvidence[] {
     const worstFirst = groups.toSorted((a, b) => summaryOf(b) - summaryOf(a));
-    return worstFirst.slice(Math.floor(groups.length * trimmedPart));
+    return worstFirst.slice(Math.floor(groups.length * trimmedFraction));
 }
 
-function pooled(test: VerdictTest, groups: readonly GroupEvidence[]): number {
-    return total(groups, group => sumOf(test, group)) / Math.max(1, total(groups, group => countOf(test, group)));
+function pooledMean(test: VerdictTest, groups: readonly GroupEvidence[]): number {
+    return total(groups, group => observationSum(test, group))
+        / Math.max(1, total(groups, group => observationCount(test, group)));
 }
 
-/** Failures say nothing of times. */
-function countOf(test: VerdictTest, { answers, failures }: GroupEvidence): number {
+/** Returns the number of answers to compare; failures have no meaningful time. */
+function observationCount(test: VerdictTest, { answers, failures }: GroupEvidence): number {
     return test === "failures" ? answers : answers - failures;
 }
 
-function sumOf(test: VerdictTest, { failures, slownessSum }: GroupEvidence): number {
+function observationSum(test: VerdictTest, { failures, slownessSum }: GroupEvidence): number {
     return test === "failures" ? failures : slownessSum;
 }
 
--- a/packages/decisions/test/rollout-fixtures.ts
+++ b/packages/decisions/test/rollout-fixtures.ts
@@ -8,8 +8,8 @@
     createServerCatalog,
     createServerState,
     createSlowStart,
+    evaluateTrial,
     type EvidenceCell,
-    judgeTrial,
     type RolloutBounds,
     type RolloutOrder,
     type RolloutReport,
@@ -60,7 +60,7 @@
 }
 
 export function judge(cells: readonly EvidenceCell[]) {
-    return judgeTrial([{ table: addCells(new Map(), cells), isMoving: false }]);
+    return evaluateTrial([{ table: addCells(new Map(), cells), isMoving: false }]);
 }
 
 export function createServers(count: number): readonly BackendServer[] {
--- a/packages/decisions/test/rollouts.test.ts
+++ b/packages/decisions/test/rollouts.test.ts
@@ -10,8 +10,8 @@
     createRouteSampling,
     createTrialTraffic,
     createWorkEstimate,
+    evaluateTrial,
     groupOf,
-    judgeTrial,
     rankForSampling,
     rankSumScore,
     type RolloutGrant,
@@ -149,8 +149,8 @@
             const whole = cellsOf(() => ({ answers: 100, failures: 2 }), () => ({ answers: 800, failures: 12 }));
             const late = cellsOf(() => ({ answers: 4, failures: 2 }), none);
             const spans = [whole, late].map(cells => ({ table: addCells(new Map(), cells), isMoving: false }));
-            expect(judgeTrial([spans[0]]).kind).to.equal("good");
-            expect(judgeTrial([spans[0], spans[1]]).kind).to.equal("bad");
+            expect(evaluateTrial([spans[0]]).kind).to.equal("good");
+            expect(evaluateTrial([spans[0], spans[1]]).kind).to.equal("bad");
         });
     });
 
