--- a/packages/decisions/test/emulated-rollout.ts
+++ b/packages/decisions/test/emulated-rollout.ts
@@ -1,6 +1,6 @@
 /**
- * A roll-out with drawn outcomes of requests: the deciding box and the traffic of
- * some boxes, with no network and no servers but their answers.
+ * Emulates a roll-out with a deciding box, the trial traffic of several boxes and random
+ * outcomes of requests, without a network and without real servers.
  */
 
 import {
@@ -31,18 +31,19 @@
 } from "../src/index.js";
 import { createRoute } from "./choice-setup.js";
 
-/** How the new version behaves; shares and factors hold from a part of the duration on. */
+/** Behavior of the target version. Failures and slowness begin at `from`, a fraction of the duration. */
 export interface VersionBehavior {
     readonly failureShare?: number;
     readonly slowdownFactor?: number;
     readonly from?: number;
-    /** Only where a server gets more than this part of a full day's rate. */
+    /** Only servers that get at least this fraction of the rate of full operation are bad. */
     readonly minimumLoad?: number;
+    /** Index of the only route that is bad; all routes by default. */
     readonly route?: number;
-    /** Servers are cold for so many milliseconds. */
+    /** Milliseconds for which its servers are cold. */
     readonly coldFor?: number;
-    /** Part of the requests whose keys its servers don't know. */
-    readonly unknownShare?: number;
+    /** Probability that a request to the target version is cold work because its server doesn't know the key. */
+    readonly unknownKeyShare?: number;
 }
 
 export type Fault = "none" | "lostMessages" | "deciderLost" | "burst" | "badServers" | "lostAnswers";
@@ -59,12 +60,12 @@
 
 export interface RolloutOutcome {
     readonly state: RolloutOrder["state"];
-    /** Milliseconds since the order. */
+    /** Milliseconds from the order to the write of its outcome. */
     readonly decidedAt: number;
     readonly reason: string;
-    /** Requests to the new version before `completed`, over what the bound allows for the requests until then: the greatest. */
+    /** Maximum ratio, before `completed`, of the requests to the target version to what the bound allowed by then. */
     readonly exposure: number;
-    /** Milliseconds from the 50th bad answer to the last request sent to the new version; 0 if none was sent. */
+    /** Milliseconds from the 50th bad answer to the last request sent to the target version; 0 if none was sent. */
     readonly stopDelay: number;
     /** Requests in progress at servers of the old version when `completed` was written. */
     readonly interruptedRequests: number;
@@ -75,26 +76,27 @@
 const bounds = { exposedShare: 0.1, exposedAllowance: 50, rollbackTime: milliseconds(5000) };
 const routes = ["lookup", "reserve", "rare"].map(name => createRoute({ name, goal: milliseconds(1100) }));
 const routeShares = [0.6, 0.96];
-const meanWork = 400;
-const coldFactor = 3.3;
-const tick = 10;
-const reportTicks = 30;
-const messageTime = 30;
-const storeTime = 150;
+/** Times are in milliseconds. */
+const meanRequestTime = 400;
+const coldSlowdown = 3.3;
+const tickLength = 10;
+const ticksPerReport = 30;
+const messageDelay = 30;
+const storeWriteDelay = 150;
 
 interface EmulatedBox {
     readonly id: ReturnType<typeof boxId>;
     readonly versions: ServedVersions;
     readonly traffic: TrialTraffic;
-    /** Admitted servers to ordinary and trial requests, as of a version of the admission. */
-    readonly lists: { readonly version: number; readonly servers: readonly BackendServer[]; }[];
+    /** Servers admitted for ordinary requests (index 0) and trial requests (index 1), cached by admission version. */
+    readonly admittedServers: { readonly version: number; readonly servers: readonly BackendServer[]; }[];
 }
 
-/** Plays one order to its end. */
+/** Emulates one order over its whole duration. */
 export function emulateRollout(options: EmulatedRolloutOptions): RolloutOutcome {
     const { duration, fault, kind, rate } = options;
     const random = createRandom(options.seed);
-    const due = new Map<number, (() => void)[]>();
+    const tasksByTick = new Map<number, (() => void)[]>();
     let now = milliseconds(0);
     let order: RolloutOrder = {
         service,
@@ -106,40 +108,40 @@
     };
     const catalog = createCatalog(options);
     const servers = catalog.ofService(service);
-    const isStruck = new Set(servers.filter(() => random() < (fault === "lostAnswers" ? 0.45 : 0.16)));
-    const isGreyDay = options.seed % 2 === 0;
-    const work = trainedEstimate();
+    const affectedServers = new Set(servers.filter(() => random() < (fault === "lostAnswers" ? 0.45 : 0.16)));
+    const hasGreyFailures = options.seed % 2 === 0;
+    const work = createTrainedEstimate();
     const boxes = Array.from({ length: options.boxes }, (_, index) => createBox(`box-${index}`));
-    const lastSent = new Map<BackendServer, { at: number; rate: number; }>();
+    const recentLoads = new Map<BackendServer, { at: number; rate: number; }>();
     let decider = createDecider();
-    let isDeciderAway = false;
+    let isDeciderLost = false;
     let isWriting = false;
-    let total = 0;
-    let exposed = 0;
+    let totalRequests = 0;
+    let exposedRequests = 0;
     let exposure = 0;
     let badAnswers = 0;
     let fiftiethBadAt: number | undefined;
     let lastTrialAt = 0;
     let decidedAt = Infinity;
     let reason = "";
-    let inProgressAtOld = 0;
-    let cutOff = 0;
+    let inProgressOnOldVersion = 0;
+    let interruptedRequests = 0;
 
-    for (let step = 0; step * tick < duration; step++) {
-        now = milliseconds(step * tick);
-        due.get(step)?.forEach(task => task());
-        due.delete(step);
-        arrive();
-        if (step % reportTicks === 0) {
-            boxes.forEach((box, index) => after(index * 17 % 300, () => report(box)));
+    for (let tickIndex = 0; tickIndex * tickLength < duration; tickIndex++) {
+        now = milliseconds(tickIndex * tickLength);
+        tasksByTick.get(tickIndex)?.forEach(task => task());
+        tasksByTick.delete(tickIndex);
+        receiveRequests();
+        if (tickIndex % ticksPerReport === 0) {
+            boxes.forEach((box, index) => schedule(index * 17 % 300, () => report(box)));
         }
-        if (step % 25 === 0 && !isDeciderAway) {
+        if (tickIndex % 25 === 0 && !isDeciderLost) {
             decide();
         }
-        if (fault === "deciderLost" && step === Math.floor(duration / 2 / tick)) {
-            isDeciderAway = true;
-            after(1500, () => {
-                isDeciderAway = false;
+        if (fault === "deciderLost" && tickIndex === Math.floor(duration / 2 / tickLength)) {
+            isDeciderLost = true;
+            schedule(1500, () => {
+                isDeciderLost = false;
                 decider = createDecider();
             });
         }
@@ -150,13 +152,13 @@
         reason,
         exposure,
         stopDelay: fiftiethBadAt === undefined ? 0 : Math.max(0, lastTrialAt - fiftiethBadAt),
-        interruptedRequests: cutOff,
-        tried: exposed,
+        interruptedRequests,
+        tried: exposedRequests,
     };
 
-    function after(time: number, task: () => void): void {
-        const step = Math.ceil((now + Math.max(tick, time)) / tick);
-        due.set(step, [...due.get(step) ?? [], task]);
+    function schedule(time: number, task: () => void): void {
+        const tickIndex = Math.ceil((now + Math.max(tickLength, time)) / tickLength);
+        tasksByTick.set(tickIndex, [...tasksByTick.get(tickIndex) ?? [], task]);
     }
 
     function createBox(name: string): EmulatedBox {
@@ -175,7 +177,7 @@
             age: milliseconds(0),
             at: now,
         });
-        return { id, versions, traffic, lists: [] };
+        return { id, versions, traffic, admittedServers: [] };
     }
 
     function createDecider(): RolloutDecider {
@@ -193,16 +195,16 @@
         return fault === "burst" && now > duration * 0.4 && now < duration * 0.65;
     }
 
-    function arrive(): void {
-        const expected = rate * tick / 1000 * (isBurst() ? 1.7 : 1);
+    function receiveRequests(): void {
+        const expected = rate * tickLength / 1000 * (isBurst() ? 1.7 : 1);
         const count = Math.floor(expected + random());
         for (let index = 0; index < count; index++) {
-            serve(boxes[Math.floor(random() * boxes.length)]);
+            dispatch(boxes[Math.floor(random() * boxes.length)]);
         }
-        total += count;
+        totalRequests += count;
     }
 
-    function serve(box: EmulatedBox): void {
+    function dispatch(box: EmulatedBox): void {
         const drawn = random();
         const route = routeShares.findIndex(share => drawn < share);
         const routeIndex = route < 0 ? 2 : route;
@@ -220,87 +222,93 @@
         }
     }
 
-    /** The choice leaves out most of the servers that do badly, but not those of a trial. */
+    /**
+     * For ordinary requests, avoids most picks of bad servers, as the choice of servers would; a trial's sample
+     * avoids none.
+     */
     function pick(box: EmulatedBox, isTrial: boolean): BackendServer | undefined {
         const admitted = admittedAt(box, isTrial);
         const drawn = admitted[Math.floor(random() * admitted.length)];
-        const avoids = !isTrial && fault === "badServers" && isStruck.has(drawn) && random() < 0.7;
-        return avoids ? admitted[Math.floor(random() * admitted.length)] : drawn;
+        const isAvoided = !isTrial && fault === "badServers" && affectedServers.has(drawn) && random() < 0.7;
+        return isAvoided ? admitted[Math.floor(random() * admitted.length)] : drawn;
     }
 
-    function admittedAt({ versions, lists }: EmulatedBox, isTrial: boolean): readonly BackendServer[] {
+    function admittedAt({ versions, admittedServers }: EmulatedBox, isTrial: boolean): readonly BackendServer[] {
         const version = versions.version(service);
-        const known = lists[Number(isTrial)];
-        if (known?.version === version) {
-            return known.servers;
+        const cached = admittedServers[Number(isTrial)];
+        if (cached?.version === version) {
+            return cached.servers;
         }
         const admitted = servers.filter(server => versions.admits(server, isTrial));
-        lists[Number(isTrial)] = { version, servers: admitted };
+        admittedServers[Number(isTrial)] = { version, servers: admitted };
         return admitted;
     }
 
     function send(box: EmulatedBox, server: BackendServer, routeIndex: number): void {
-        const isNew = server.state.record().version === order.targetVersion;
+        const isTarget = server.state.record().version === order.targetVersion;
         box.traffic.onSent(server);
-        if (isNew && order.state !== "completed") {
-            exposed += 1;
+        if (isTarget && order.state !== "completed") {
+            exposedRequests += 1;
             lastTrialAt = now;
-            exposure = Math.max(exposure, exposed / (bounds.exposedShare * total + bounds.exposedAllowance));
+            exposure = Math.max(
+                exposure,
+                exposedRequests / (bounds.exposedShare * totalRequests + bounds.exposedAllowance),
+            );
         }
-        inProgressAtOld += isNew ? 0 : 1;
+        inProgressOnOldVersion += isTarget ? 0 : 1;
         const wasCold = server.state.isCold(now);
-        const known = !isNew && random() < 0.7;
-        const { duration: time, isBad, isFailure } = draw(server, isNew, routeIndex, known);
+        const isKeyKnown = !isTarget && random() < 0.7;
+        const { duration: time, isBad, isFailure } = drawOutcome(server, isTarget, routeIndex, isKeyKnown);
         const route = routes[routeIndex];
-        const slowness = work.slownessOf(route, known, milliseconds(time), milliseconds(0));
-        const toldAfter = slowness < earlyReportSlowness
+        const slowness = work.slownessOf(route, isKeyKnown, milliseconds(time), milliseconds(0));
+        const reportedAfter = slowness < earlyReportSlowness
             ? time
-            : work.durationAtSlowness(route, known, earlyReportSlowness, milliseconds(0));
-        after(toldAfter, () => {
-            const isSeen = toldAfter >= time;
+            : work.durationAtSlowness(route, isKeyKnown, earlyReportSlowness, milliseconds(0));
+        schedule(reportedAfter, () => {
+            const hasEnded = reportedAfter >= time;
             box.traffic.onAnswer({
                 server,
                 routeName: route.name,
-                isFailure: isFailure && isSeen,
+                isFailure: isFailure && hasEnded,
                 slowness: Math.min(slowness, earlyReportSlowness),
                 wasCold,
             });
         });
-        after(time, () => {
-            inProgressAtOld -= isNew ? 0 : 1;
+        schedule(time, () => {
+            inProgressOnOldVersion -= isTarget ? 0 : 1;
             badAnswers += isBad ? 1 : 0;
             fiftiethBadAt ??= badAnswers >= 50 ? now : undefined;
             box.traffic.onEnded(server);
         });
     }
 
-    function draw(server: BackendServer, isNew: boolean, routeIndex: number, known: boolean) {
-        const applies = isNew && now >= (kind.from ?? 0) * duration
+    function drawOutcome(server: BackendServer, isTarget: boolean, routeIndex: number, isKeyKnown: boolean) {
+        const applies = isTarget && now >= (kind.from ?? 0) * duration
             && (kind.route === undefined || kind.route === routeIndex)
             && loadOf(server) >= (kind.minimumLoad ?? 0);
-        const fails = applies && random() < (kind.failureShare ?? 0);
-        const slow = applies ? kind.slowdownFactor ?? 1 : 1;
-        const isCold = !known && random() < (isNew ? kind.unknownShare ?? 0.85 : 0.2);
-        const struck = isStruck.has(server);
-        const isLost = fault === "lostAnswers" && struck && random() < 0.15;
-        const isGrey = fault === "badServers" && isGreyDay && struck && random() < 0.4;
-        const isSlowServer = fault === "badServers" && !isGreyDay && struck;
+        const isFailing = applies && random() < (kind.failureShare ?? 0);
+        const slowdown = applies ? kind.slowdownFactor ?? 1 : 1;
+        const isCold = !isKeyKnown && random() < (isTarget ? kind.unknownKeyShare ?? 0.85 : 0.2);
+        const isAffected = affectedServers.has(server);
+        const isLostAnswer = fault === "lostAnswers" && isAffected && random() < 0.15;
+        const isGreyFailure = fault === "badServers" && hasGreyFailures && isAffected && random() < 0.4;
+        const isSlowServer = fault === "badServers" && !hasGreyFailures && isAffected;
         const noise = Math.exp(0.4 * normal() - 0.08);
-        const time = meanWork * noise * slow * (isCold ? coldFactor : 1) * (isSlowServer ? 5 : 1)
-            * (isBurst() ? 1.6 : 1) * (isNew && server.state.isCold(now) ? 3 : 1);
+        const time = meanRequestTime * noise * slowdown * (isCold ? coldSlowdown : 1) * (isSlowServer ? 5 : 1)
+            * (isBurst() ? 1.6 : 1) * (isTarget && server.state.isCold(now) ? 3 : 1);
         return {
-            duration: isLost ? 5000 : time,
-            isBad: fails || applies && slow > 1,
-            isFailure: fails || isLost || isGrey,
+            duration: isLostAnswer ? 5000 : time,
+            isBad: isFailing || applies && slowdown > 1,
+            isFailure: isFailing || isLostAnswer || isGreyFailure,
         };
     }
 
-    /** Part of a full day's rate that a server gets, over the last requests. */
+    /** Fraction of the rate of full operation that a server gets, over the last requests. */
     function loadOf(server: BackendServer): number {
-        const known = lastSent.get(server) ?? { at: now - 1000, rate: 0 };
-        const faded = known.rate * Math.exp((known.at - now) / 500);
-        lastSent.set(server, { at: now, rate: faded + 2 });
-        return faded / (rate / options.servers);
+        const recentLoad = recentLoads.get(server) ?? { at: now - 1000, rate: 0 };
+        const decayedRate = recentLoad.rate * Math.exp((recentLoad.at - now) / 500);
+        recentLoads.set(server, { at: now, rate: decayedRate + 2 });
+        return decayedRate / (rate / options.servers);
     }
 
     function isLostMessage(): boolean {
@@ -308,20 +316,20 @@
     }
 
     function report(box: EmulatedBox): void {
-        const told = box.traffic.report(now);
-        if (told === undefined || isLostMessage()) {
+        const boxReport = box.traffic.report(now);
+        if (boxReport === undefined || isLostMessage()) {
             return;
         }
-        after(messageTime, () => {
-            if (!isDeciderAway) {
-                sendGrant(box, decider.onReport(box.id, told, now));
+        schedule(messageDelay, () => {
+            if (!isDeciderLost) {
+                sendGrant(box, decider.onReport(box.id, boxReport, now));
             }
         });
     }
 
     function sendGrant(box: EmulatedBox, grant: RolloutGrant): void {
         if (!isLostMessage()) {
-            after(messageTime, () => box.traffic.onGrant(grant, now));
+            schedule(messageDelay, () => box.traffic.onGrant(grant, now));
         }
     }
 
@@ -330,9 +338,11 @@
         for (const { box: id, grant } of decider.grantsToPush()) {
             sendGrant(boxes.find(box => box.id === id)!, grant);
         }
-        const news = decider.news();
-        if (news !== undefined) {
-            boxes.filter(() => !isLostMessage()).forEach(box => after(messageTime, () => box.traffic.onDecision(news)));
+        const decision = decider.news();
+        if (decision !== undefined) {
+            boxes.filter(() => !isLostMessage()).forEach(box =>
+                schedule(messageDelay, () => box.traffic.onDecision(decision))
+            );
         }
         if (action.kind === "none" || isWriting) {
             return;
@@ -344,12 +354,12 @@
             ? "completed"
             : "rolledBack";
         reason = "reason" in action ? action.reason : reason;
-        after(storeTime, () => {
+        schedule(storeWriteDelay, () => {
             isWriting = false;
             order = { ...order, state, revision: order.revision + 1 };
             if (state !== "running") {
                 decidedAt = now;
-                cutOff = state === "completed" ? inProgressAtOld : 0;
+                interruptedRequests = state === "completed" ? inProgressOnOldVersion : 0;
             }
         });
     }
@@ -384,18 +394,18 @@
     return catalog;
 }
 
-function trainedEstimate() {
+function createTrainedEstimate() {
     const work = createWorkEstimate();
     for (let index = 0; index < 100; index++) {
         routes.forEach(route => {
-            work.onMeasured(route, true, milliseconds(meanWork));
-            work.onMeasured(route, false, milliseconds(meanWork * coldFactor));
+            work.onMeasured(route, true, milliseconds(meanRequestTime));
+            work.onMeasured(route, false, milliseconds(meanRequestTime * coldSlowdown));
         });
     }
     return work;
 }
 
-/** Returns numbers from 0 to 1 by a seed (mulberry32). */
+/** Creates a seeded generator of random numbers from 0 to 1 (mulberry32). */
 function createRandom(seed: number): () => number {
     let state = seed * 7919 + 1;
     return () => {
@@ -406,10 +416,10 @@
     };
 }
 
-/** Kinds of versions by name; the first two are good. */
+/** Behaviors of versions by name; the first two are good. */
 export const versionBehaviors: Readonly<Record<string, VersionBehavior>> = {
     "good": {},
-    "good, cold, unknown keys": { coldFor: 3000, unknownShare: 1 },
+    "good, cold, unknown keys": { coldFor: 3000, unknownKeyShare: 1 },
     "fails 5 %": { failureShare: 0.05 },
     "fails 10 %": { failureShare: 0.1 },
     "fails 30 %": { failureShare: 0.3 },
--- a/packages/decisions/test/rollout-decider.test.ts
+++ b/packages/decisions/test/rollout-decider.test.ts
@@ -1,5 +1,5 @@
 /**
- * The decider of roll-outs: what it grants, and when it moves on or back.
+ * Tests the decider of roll-outs: what it grants, and when it moves, completes or rolls back.
  */
 
 import { type BoxId, boxId, milliseconds } from "@chalkdale/kernel";
@@ -30,8 +30,12 @@
             });
         }
 
-        /** Reports of ten boxes from a time to another, each 250 ms, 100 requests a second; what they are granted is sent at once. */
-        function play(
+        /**
+         * Simulates ten boxes that report every 250 ms, with 100 requests per second in total. Boxes send
+         * granted requests to the trial version as early as their traffic allows. Stops when the decider wants
+         * an outcome written.
+         */
+        function simulate(
             decider: ReturnType<typeof createDecider>,
             options: {
                 readonly from?: number;
@@ -39,10 +43,10 @@
                 readonly order?: RolloutOrder;
                 readonly cells?: readonly EvidenceCell[];
                 readonly isStoreReachable?: boolean;
-                readonly knows?: boolean;
+                readonly knowsGrantedTotal?: boolean;
             },
         ) {
-            let last = decider.step(milliseconds(options.from ?? 0), {
+            let lastAction = decider.step(milliseconds(options.from ?? 0), {
                 ...inputs,
                 order: options.order ?? orderIn("running"),
             });
@@ -61,7 +65,9 @@
                                 sent: at / 100,
                                 sentToTrial,
                                 cap: known?.cap ?? 0,
-                                knownGrantedTotal: options.knows === false ? undefined : known?.grantedTotal,
+                                knownGrantedTotal: options.knowsGrantedTotal === false
+                                    ? undefined
+                                    : known?.grantedTotal,
                                 age: milliseconds(at),
                                 inProgressOnOtherVersions: known?.stage === "moving" ? 0 : 5,
                                 cells: index === 0 ? options.cells ?? [] : [],
@@ -72,30 +78,30 @@
                 }
                 const caps = [...grants.values()].reduce((sum, { cap }) => sum + cap, 0);
                 exposure = Math.max(exposure, caps / (0.1 * at / 10 + 50));
-                last = decider.step(milliseconds(at), {
+                lastAction = decider.step(milliseconds(at), {
                     ...inputs,
                     isStoreReachable: options.isStoreReachable ?? true,
                     order: options.order ?? orderIn("running"),
                 });
                 decider.grantsToPush().forEach(({ box, grant }) => grants.set(box, grant));
-                if (last.kind === "writeCompleted" || last.kind === "writeRolledBack") {
-                    return { action: last, at, exposure, grants };
+                if (lastAction.kind === "writeCompleted" || lastAction.kind === "writeRolledBack") {
+                    return { action: lastAction, at, exposure, grants };
                 }
             }
-            return { action: last, at: options.until, exposure, grants };
+            return { action: lastAction, at: options.until, exposure, grants };
         }
 
-        it("writes running before it grants anything", () => {
+        it("asks to write running before it grants anything", () => {
             const decider = createDecider();
-            const { action, grants } = play(decider, { until: 3000, order: orderIn() });
+            const { action, grants } = simulate(decider, { until: 3000, order: orderIn() });
             expect(action).to.deep.equal({ kind: "writeRunning" });
             expect([...grants.values()].every(({ cap, share }) => cap === 0 && share === 0)).to.equal(true);
-            expect(play(decider, { from: 3000, until: 6000 }).grants.get(boxId("box-1"))?.cap).to.be.greaterThan(0);
+            expect(simulate(decider, { from: 3000, until: 6000 }).grants.get(boxId("box-1"))?.cap).to.be.greaterThan(0);
         });
 
-        it("watches a good version, moves all, and completes before the end, within the bound", () => {
+        it("watches a good version, moves all requests, and completes before the end, within the bound", () => {
             const decider = createDecider();
-            const { action, at, exposure } = play(decider, { until: 20_000, cells: good });
+            const { action, at, exposure } = simulate(decider, { until: 20_000, cells: good });
             expect(action.kind).to.equal("writeCompleted");
             expect(at).to.be.within(15_000, 19_000);
             expect(exposure).to.be.within(0.5, 1);
@@ -105,75 +111,75 @@
             expect(decider.news()?.decision).to.equal("completed");
         });
 
-        it("tells a bad verdict at once, also while the store is away, and goes on asking for the write", () => {
+        it("announces a bad verdict at once, without the store too, and keeps asking for the write", () => {
             const decider = createDecider();
-            play(decider, { until: 4000, cells: good });
-            const { action, at } = play(decider, { from: 4250, until: 6000, cells: bad, isStoreReachable: false });
+            simulate(decider, { until: 4000, cells: good });
+            const { action, at } = simulate(decider, { from: 4250, until: 6000, cells: bad, isStoreReachable: false });
             expect(action.kind).to.equal("writeRolledBack");
             expect(at).to.equal(4250);
             expect(decider.news()?.decision).to.equal("rolledBack");
             const [{ grant }] = decider.grantsToPush();
             expect(grant).to.deep.include({ stage: "rolledBack", share: 0 });
-            const later = play(decider, { from: 4500, until: 9000, cells: good });
+            const later = simulate(decider, { from: 4500, until: 9000, cells: good });
             expect(later.action.kind).to.equal("writeRolledBack");
         });
 
-        it("begins no move while the store is away", () => {
+        it("begins no move while the store is unreachable", () => {
             const decider = createDecider();
-            play(decider, { until: 17_500, cells: good, isStoreReachable: false });
+            simulate(decider, { until: 17_500, cells: good, isStoreReachable: false });
             expect(decider.status(milliseconds(17_500)).stage).to.equal("watching");
         });
 
-        it("rolls back what is undecided at the end, and says why", () => {
-            const { action, at } = play(createDecider(), { until: 20_000 });
+        it("rolls back an order that is undecided at the end, and gives the reason", () => {
+            const { action, at } = simulate(createDecider(), { until: 20_000 });
             expect(at).to.be.within(18_000, 19_000);
             expect(action).to.deep.include({ kind: "writeRolledBack" });
             expect("reason" in action && action.reason).to.contain("fewAnswers");
         });
 
-        it("rolls back an order whose time is over when it is first read", () => {
+        it("rolls back an order whose duration has passed when it is first read", () => {
             const decider = createDecider(undefined, 25_000);
             expect(decider.step(start, { ...inputs, order: orderIn() }).kind).to.equal("writeRolledBack");
         });
 
-        it("completes an order whose target is proven already", () => {
+        it("completes an order whose target is already proven", () => {
             const decider = createDecider();
             expect(decider.step(start, { ...inputs, order: orderIn(), isTargetProven: true }).kind).to.equal(
                 "writeCompleted",
             );
         });
 
-        it("takes the store's outcome for its own, also after another verdict", () => {
+        it("adopts the store's outcome, even after a different verdict", () => {
             const decider = createDecider();
-            play(decider, { until: 4000, cells: bad });
+            simulate(decider, { until: 4000, cells: bad });
             expect(decider.step(milliseconds(5000), { ...inputs, order: orderIn("completed") })).to.deep.equal({
                 kind: "none",
             });
             expect(decider.news()?.decision).to.equal("completed");
         });
 
-        it("grants nothing in its first second after it took over, then goes on from the greatest sum it heard", () => {
+        it("grants nothing in the first second after a takeover, then continues from the greatest total", () => {
             const decider = createDecider("running");
-            const told = (sent: number, at: number) =>
+            const reportAt = (sent: number, at: number) =>
                 decider.onReport(
                     boxId("a"),
                     reportOf({ sent, cap: 7, knownGrantedTotal: 60, age: milliseconds(9000) }),
                     milliseconds(at),
                 );
-            expect(told(500, 100).cap).to.equal(7);
+            expect(reportAt(500, 100).cap).to.equal(7);
             decider.step(milliseconds(500), { ...inputs, order: orderIn("running") });
-            expect(told(501, 600).cap).to.equal(7);
+            expect(reportAt(501, 600).cap).to.equal(7);
             decider.step(milliseconds(1200), { ...inputs, order: orderIn("running") });
-            expect(told(600, 1300).grantedTotal).to.be.at.least(60);
+            expect(reportAt(600, 1300).grantedTotal).to.be.at.least(60);
             expect(decider.status(milliseconds(1300)).age).to.be.closeTo(10_200, 1);
         });
 
-        it("waits before it grants where another box wrote running after it had begun", () => {
+        it("waits before it grants if another box writes running after this decider was created", () => {
             const decider = createDecider();
-            const away = { ...inputs, isStoreReachable: false };
-            decider.step(milliseconds(100), { ...away, order: orderIn(undefined) });
+            const storeUnreachable = { ...inputs, isStoreReachable: false };
+            decider.step(milliseconds(100), { ...storeUnreachable, order: orderIn(undefined) });
             const capAt = (at: number) => {
-                decider.step(milliseconds(at), { ...away, order: orderIn("running") });
+                decider.step(milliseconds(at), { ...storeUnreachable, order: orderIn("running") });
                 return decider.onReport(boxId("a"), reportOf({ sent: 100, age: milliseconds(at) }), milliseconds(at))
                     .cap;
             };
@@ -182,9 +188,9 @@
             expect(capAt(900)).to.equal(0);
         });
 
-        it("has no allowance where the store says running and nobody knows a sum", () => {
+        it("has no allowance if the store says running and no box knows the granted total", () => {
             const decider = createDecider("running");
-            const { grants } = play(decider, { until: 2000, knows: false });
+            const { grants } = simulate(decider, { until: 2000, knowsGrantedTotal: false });
             const caps = [...grants.values()].reduce((sum, { cap }) => sum + cap, 0);
             expect(caps).to.be.at.most(0.1 * 200);
         });
--- a/packages/decisions/test/rollout-fixtures.ts
+++ b/packages/decisions/test/rollout-fixtures.ts
@@ -1,5 +1,5 @@
 /**
- * Samples for the tests of roll-outs: an order, reports, evidence and servers.
+ * Fixtures for the tests of roll-outs: an order, reports, evidence and servers.
  */
 
 import { boxId, incarnationId, milliseconds, regionId, serverVersion, serviceId } from "@chalkdale/kernel";
@@ -41,7 +41,7 @@
     };
 }
 
-/** Eight groups a side; the functions give the figures of a group. */
+/** Creates cells of eight groups on each side; the functions return a group's changes to the defaults. */
 export function cellsOf(
     trial: (group: number) => Partial<EvidenceCell>,
     control: (group: number) => Partial<EvidenceCell>,
@@ -59,7 +59,7 @@
     );
 }
 
-export function judge(cells: readonly EvidenceCell[]) {
+export function evaluate(cells: readonly EvidenceCell[]) {
     return evaluateTrial([{ table: addCells(new Map(), cells), isMoving: false }]);
 }
 
--- a/packages/decisions/test/rollout-outcomes.test.ts
+++ b/packages/decisions/test/rollout-outcomes.test.ts
@@ -3,7 +3,7 @@
 
 const fleet = { duration: 30_000, servers: 24, rate: 90, boxes: 12, seed: 1 };
 
-function play(name: string, changes: Partial<EmulatedRolloutOptions> = {}) {
+function runRollout(name: string, changes: Partial<EmulatedRolloutOptions> = {}) {
     return emulateRollout({ ...fleet, kind: versionBehaviors[name], fault: "none", ...changes });
 }
 
@@ -13,8 +13,8 @@
     for (const fault of faults) {
         describe(`with fault ${fault}`, () => {
             for (const name of ["good", "good, cold, unknown keys"]) {
-                it(`complete a version that is ${name}, before the end`, () => {
-                    const outcome = play(name, { fault });
+                it(`complete for a version that is ${name}, before the end`, () => {
+                    const outcome = runRollout(name, { fault });
                     expect(outcome.state, outcome.reason).to.equal("completed");
                     expect(outcome.decidedAt).to.be.below(fleet.duration);
                     expect(outcome.exposure).to.be.at.most(1);
@@ -33,7 +33,7 @@
             ];
             for (const name of badNames) {
                 it(`roll back a version that ${name}, within the bounds on exposure`, () => {
-                    const outcome = play(name, { fault });
+                    const outcome = runRollout(name, { fault });
                     expect(outcome.state, outcome.reason).to.equal("rolledBack");
                     expect(outcome.decidedAt).to.be.below(fleet.duration);
                     expect(outcome.exposure).to.be.at.most(1);
@@ -45,13 +45,13 @@
 
     it("stay within the bounds with many boxes that each have little traffic, and for short orders", () => {
         for (const name of Object.keys(versionBehaviors)) {
-            const outcome = play(name, { boxes: 60, duration: 12_000, seed: 2 });
+            const outcome = runRollout(name, { boxes: 60, duration: 12_000, seed: 2 });
             expect(outcome.exposure, name).to.be.at.most(1);
             expect(outcome.state, name).to.be.oneOf(["completed", "rolledBack"]);
         }
     });
 
-    it("play the same again from the same seed", () => {
-        expect(play("fails 30 %", { seed: 7 })).to.deep.equal(play("fails 30 %", { seed: 7 }));
+    it("are reproducible from the same seed", () => {
+        expect(runRollout("fails 30 %", { seed: 7 })).to.deep.equal(runRollout("fails 30 %", { seed: 7 }));
     });
 });
--- a/packages/decisions/test/rollouts.test.ts
+++ b/packages/decisions/test/rollouts.test.ts
@@ -1,5 +1,5 @@
 /**
- * The parts that decide on a roll-out, but for the decider itself.
+ * Tests the modules that a roll-out's decider and trial traffic consist of; the decider has its own tests.
  */
 
 import { boxId, incarnationId, milliseconds, serverVersion } from "@chalkdale/kernel";
@@ -21,11 +21,11 @@
 } from "../src/index.js";
 import { addCells } from "../src/rollouts/evidence.js";
 import { createRecord, createRoute } from "./choice-setup.js";
-import { bounds, cellsOf, createServers, judge, orderIn, reportOf, rollout, start } from "./rollout-fixtures.js";
+import { bounds, cellsOf, createServers, evaluate, orderIn, reportOf, rollout, start } from "./rollout-fixtures.js";
 
 describe("roll-outs", () => {
-    describe("exposure account", () => {
-        it("never grants more than the bound allows for what was reported, whatever is repeated, lost or taken over", () => {
+    describe("exposure budget", () => {
+        it("never grants more than the bound allows, despite repeated and lost reports and takeovers", () => {
             const step = fc.record({
                 box: fc.nat(4),
                 life: fc.nat(1),
@@ -35,53 +35,53 @@
                 takesOver: fc.integer({ min: 0, max: 9 }).map(draw => draw === 0),
             });
             fc.assert(fc.property(fc.array(step, { maxLength: 60 }), steps => {
-                let account = createExposureBudget(bounds);
+                let budget = createExposureBudget(bounds);
                 const boxes = new Map<string, RolloutReport>();
-                for (const { box, isStale, life, requests, takesOver, wanted } of steps) {
+                for (const { box, isStale, life: incarnationIndex, requests, takesOver, wanted } of steps) {
                     if (takesOver) {
-                        // The decider that takes over grants nothing before it has heard of the boxes.
-                        account = createExposureBudget(bounds);
-                        boxes.forEach((told, name) => account.onReport(boxId(name.split(" ")[0]), told));
+                        // A decider that takes over grants nothing before it has reports from the boxes.
+                        budget = createExposureBudget(bounds);
+                        boxes.forEach((reported, key) => budget.onReport(boxId(key.split(" ")[0]), reported));
                     }
-                    const incarnation = incarnationId(`life-${life}`);
-                    const name = `${box} ${incarnation}`;
-                    const known = boxes.get(name) ?? reportOf({ incarnation });
+                    const incarnation = incarnationId(`life-${incarnationIndex}`);
+                    const key = `${box} ${incarnation}`;
+                    const known = boxes.get(key) ?? reportOf({ incarnation });
                     const report = { ...known, sent: known.sent + requests };
-                    account.onReport(boxId(`${box}`), isStale ? known : report);
-                    const cap = account.raiseCap(boxId(`${box}`), incarnation, wanted);
-                    boxes.set(name, { ...report, cap, knownGrantedTotal: account.grantedTotal() });
-                    const sent = [...boxes.values()].reduce((sum, told) => sum + told.sent, 0);
-                    const caps = [...boxes.values()].reduce((sum, told) => sum + told.cap, 0);
+                    budget.onReport(boxId(`${box}`), isStale ? known : report);
+                    const cap = budget.raiseCap(boxId(`${box}`), incarnation, wanted);
+                    boxes.set(key, { ...report, cap, knownGrantedTotal: budget.grantedTotal() });
+                    const sent = [...boxes.values()].reduce((sum, reported) => sum + reported.sent, 0);
+                    const caps = [...boxes.values()].reduce((sum, reported) => sum + reported.cap, 0);
                     expect(caps).to.be.at.most(0.1 * sent + 50);
                     expect(cap).to.be.at.least(known.cap);
                 }
             }));
         });
 
-        it("takes the allowance as spent once all memory of a trial is lost", () => {
-            const account = createExposureBudget(bounds);
-            account.onGrantHistoryLost();
+        it("counts the allowance as spent once no box knows the granted total", () => {
+            const budget = createExposureBudget(bounds);
+            budget.onGrantHistoryLost();
             const { incarnation } = reportOf();
-            expect(account.raiseCap(boxId("a"), incarnation, 40)).to.equal(0);
-            account.onReport(boxId("a"), reportOf({ sent: 100 }));
-            expect(account.raiseCap(boxId("a"), incarnation, 40)).to.equal(9);
+            expect(budget.raiseCap(boxId("a"), incarnation, 40)).to.equal(0);
+            budget.onReport(boxId("a"), reportOf({ sent: 100 }));
+            expect(budget.raiseCap(boxId("a"), incarnation, 40)).to.equal(9);
         });
     });
 
     describe("sample", () => {
-        it("has one server of each region first, is the same for any order of the list, and balanced in groups", () => {
+        it("starts with one server of each region, ignores the list's order, and has balanced groups", () => {
             const servers = createServers(24);
-            const inOrder = rankForSampling(servers, rollout);
-            expect(rankForSampling(servers.toReversed(), rollout)).to.deep.equal(inOrder);
-            const regions = new Set(inOrder.slice(0, 3).map(server => server.state.record().region));
+            const ranked = rankForSampling(servers, rollout);
+            expect(rankForSampling(servers.toReversed(), rollout)).to.deep.equal(ranked);
+            const regions = new Set(ranked.slice(0, 3).map(server => server.state.record().region));
             expect(regions.size).to.equal(3);
             const sizes = new Map<number, number>();
-            inOrder.forEach((_, place) => sizes.set(groupOf(place), (sizes.get(groupOf(place)) ?? 0) + 1));
+            ranked.forEach((_, rank) => sizes.set(groupOf(rank), (sizes.get(groupOf(rank)) ?? 0) + 1));
             expect([...sizes.values()]).to.deep.equal(new Array(8).fill(3));
-            expect(rankForSampling(servers, { ...rollout, createdAt: 200 })).not.to.deep.equal(inOrder);
+            expect(rankForSampling(servers, { ...rollout, createdAt: 200 })).not.to.deep.equal(ranked);
         });
 
-        it("leaves out cold, draining and unlisted servers, but not ejected ones", () => {
+        it("excludes cold, draining and unlisted servers, but not ejected ones", () => {
             const servers = createServers(5);
             const [first, second, third, fourth, fifth] = servers;
             first.state.onCold(start, milliseconds(5000));
@@ -93,7 +93,7 @@
     });
 
     describe("rank-sum score", () => {
-        it("is that of the normal approximation, with ties", () => {
+        it("equals the normal approximation, corrected for ties", () => {
             expect(rankSumScore([5, 6, 7, 8], [1, 2, 3, 4])).to.be.closeTo(8 / Math.sqrt(12), 1e-9);
             expect(rankSumScore([1, 1, 1], [0, 0, 0])).to.be.closeTo(4.5 / Math.sqrt(9 / 12 * (7 - 48 / 30)), 1e-9);
             expect(rankSumScore([1, 2], [1, 2])).to.equal(0);
@@ -105,14 +105,14 @@
     describe("verdict", () => {
         const none = () => ({});
 
-        it("is bad for failures in all groups, and says by which figures", () => {
-            const verdict = judge(cellsOf(() => ({ failures: 2 }), none));
+        it("is bad for failures in all groups, and has the figures", () => {
+            const verdict = evaluate(cellsOf(() => ({ failures: 2 }), none));
             expect(verdict).to.deep.include({ kind: "bad" });
             expect(verdict.kind === "bad" && verdict.figures.test).to.equal("failures");
         });
 
         it("is bad for slowness in all groups", () => {
-            const verdict = judge(
+            const verdict = evaluate(
                 cellsOf(group => ({ slownessSum: 5 + group / 10 }), group => ({ slownessSum: group / 10 })),
             );
             expect(verdict.kind === "bad" && verdict.figures.test).to.equal("slowness");
@@ -121,53 +121,53 @@
         it("is bad for one route alone", () => {
             const good = cellsOf(() => ({ answers: 100 }), () => ({ answers: 1000, failures: 10 }));
             const rare = cellsOf(() => ({ route: 2, answers: 3, failures: 3 }), () => ({ route: 2, answers: 4 }));
-            const verdict = judge([...good, ...rare]);
+            const verdict = evaluate([...good, ...rare]);
             expect(verdict.kind === "bad" && verdict.figures.route).to.equal(2);
         });
 
-        it("is good where both sides fail and are slow alike", () => {
+        it("is good if both sides fail and are slow to the same degree", () => {
             const alike = (group: number) => ({ answers: 50, failures: group % 3, slownessSum: group });
-            expect(judge(cellsOf(alike, alike))).to.deep.equal({ kind: "good", answers: 400 });
+            expect(evaluate(cellsOf(alike, alike))).to.deep.equal({ kind: "good", answers: 400 });
         });
 
-        it("is good where three of eight groups fail or are slow, and servers of the other version as well", () => {
+        it("is good if three of eight groups fail and are slow, and one group of the proven version does too", () => {
             const trial = (group: number) => group < 3 ? { failures: 4, slownessSum: 10 } : {};
             const control = (group: number) => group < 1 ? { failures: 5, slownessSum: 20 } : {};
-            expect(judge(cellsOf(trial, control)).kind).to.equal("good");
+            expect(evaluate(cellsOf(trial, control)).kind).to.equal("good");
         });
 
-        it("is undecided for few answers, and for a difference that may be chance", () => {
-            const few = judge(cellsOf(() => ({ answers: 1 }), none));
-            expect(few.kind === "undecided" && few.cause).to.equal("fewAnswers");
-            const unclear = judge(
+        it("is undecided for too few answers, and for a difference that may be chance", () => {
+            const tooFew = evaluate(cellsOf(() => ({ answers: 1 }), none));
+            expect(tooFew.kind === "undecided" && tooFew.cause).to.equal("fewAnswers");
+            const unclear = evaluate(
                 cellsOf(group => ({ failures: group < 6 ? 2 : 0 }), group => ({ failures: group % 2 * 5 })),
             );
             expect(unclear.kind === "undecided" && unclear.cause).to.equal("unclear");
         });
 
-        it("is bad by a late part of the trial though the whole looks good", () => {
+        it("is bad if a late part of the trial is bad, although the whole trial looks good", () => {
             const whole = cellsOf(() => ({ answers: 100, failures: 2 }), () => ({ answers: 800, failures: 12 }));
             const late = cellsOf(() => ({ answers: 4, failures: 2 }), none);
-            const spans = [whole, late].map(cells => ({ table: addCells(new Map(), cells), isMoving: false }));
-            expect(evaluateTrial([spans[0]]).kind).to.equal("good");
-            expect(evaluateTrial([spans[0], spans[1]]).kind).to.equal("bad");
+            const windows = [whole, late].map(cells => ({ table: addCells(new Map(), cells), isMoving: false }));
+            expect(evaluateTrial([windows[0]]).kind).to.equal("good");
+            expect(evaluateTrial([windows[0], windows[1]]).kind).to.equal("bad");
         });
     });
 
     describe("sampling of routes", () => {
-        it("keeps to the share, and gives a rare route its samples first", () => {
+        it("keeps to the share, and gives a rare route a larger fraction of samples", () => {
             const sampling = createRouteSampling();
             const taken = { often: 0, rare: 0 };
             for (let request = 1; request <= 2000; request++) {
-                const name = request % 40 === 0 ? "rare" : "often";
-                sampling.onRequest(name, 0.05);
-                taken[name] += sampling.take(name, 0.05, 10, 1) ? 1 : 0;
+                const routeName = request % 40 === 0 ? "rare" : "often";
+                sampling.onRequest(routeName, 0.05);
+                taken[routeName] += sampling.take(routeName, 0.05, 10, 1) ? 1 : 0;
             }
             expect(taken.often + taken.rare).to.be.closeTo(100, 5);
             expect(taken.rare).to.be.within(22, 26);
         });
 
-        it("leaves the reserve to rare routes, and takes all once all are to go", () => {
+        it("leaves the reserve to rare routes, and takes every request at a share of 1", () => {
             const sampling = createRouteSampling();
             for (let request = 0; request < 100; request++) {
                 sampling.onRequest("often", 0.1);
@@ -179,9 +179,9 @@
         });
     });
 
-    describe("traffic of a box", () => {
+    describe("trial traffic of a box", () => {
         const [target] = createServers(1);
-        const old = {
+        const oldServer = {
             ...target,
             state: { ...target.state, record: () => createRecord("old", { version: serverVersion("v1") }) },
         };
@@ -195,17 +195,17 @@
             age: milliseconds(700),
         };
 
-        function createTraffic(place: () => TrialCohort | undefined = () => undefined) {
+        function createTraffic(cohortOf: () => TrialCohort | undefined = () => undefined) {
             return createTrialTraffic({
                 order: orderIn("running"),
                 incarnation: incarnationId("life-1"),
-                versions: { cohortOf: place, trialVersion: () => rollout.targetVersion },
+                versions: { cohortOf, trialVersion: () => rollout.targetVersion },
                 age: milliseconds(0),
                 at: start,
             });
         }
 
-        it("assigns nothing before a grant, and no more than its cap, unsent ones given back", () => {
+        it("assigns nothing before a grant, and no more than the cap, to which unsent requests are returned", () => {
             const traffic = createTraffic();
             expect(traffic.assign("lookup")).to.equal(false);
             traffic.onGrant(grant, start);
@@ -216,11 +216,11 @@
             expect(traffic.assign("lookup")).to.equal(false);
         });
 
-        it("counts what it sent and what is in progress elsewhere", () => {
+        it("counts the attempts that it sent and those in progress at other versions", () => {
             const traffic = createTraffic();
             traffic.onGrant(grant, milliseconds(100));
-            [target, old, old].forEach(traffic.onSent);
-            traffic.onEnded(old);
+            [target, oldServer, oldServer].forEach(traffic.onSent);
+            traffic.onEnded(oldServer);
             traffic.onEnded(target);
             expect(traffic.report(milliseconds(300))).to.deep.include({
                 sent: 3,
@@ -232,7 +232,7 @@
             });
         });
 
-        it("keeps the greatest cap and total, and sends nothing more once it hears a decision", () => {
+        it("keeps the greatest cap and total, and assigns nothing more after a decision", () => {
             const traffic = createTraffic();
             traffic.onGrant(grant, start);
             traffic.onGrant({ ...grant, cap: 1, grantedTotal: 10 }, start);
@@ -244,7 +244,7 @@
             expect(traffic.report(start)).to.equal(undefined);
         });
 
-        it("never leaves the decision that a grant told, whatever comes late", () => {
+        it("keeps the decision that a grant announced when an older grant arrives late", () => {
             const traffic = createTraffic();
             traffic.onGrant({ ...grant, stage: "rolledBack", share: 0 }, start);
             traffic.onGrant({ ...grant, stage: "watching", share: 0.3, cap: 9 }, start);
@@ -252,21 +252,21 @@
             expect(traffic.share()).to.equal(0);
         });
 
-        it("stops by its own evidence, and counts no answers of cold servers", () => {
-            let place: TrialCohort = { isTrial: false, group: 0 };
-            const traffic = createTraffic(() => place);
+        it("stops because of its own evidence, and ignores answers of cold servers", () => {
+            let cohort: TrialCohort = { isTrial: false, group: 0 };
+            const traffic = createTraffic(() => cohort);
             traffic.onGrant({ ...grant, cap: 1000 }, start);
             const answer = (isFailure: boolean, wasCold = false) =>
                 traffic.onAnswer({ server: target, routeName: "lookup", isFailure, slowness: 1, wasCold });
             for (let count = 0; count < 64; count++) {
-                place = { isTrial: false, group: count % 8 };
+                cohort = { isTrial: false, group: count % 8 };
                 answer(false);
-                place = { isTrial: true, group: count % 8 };
+                cohort = { isTrial: true, group: count % 8 };
                 answer(true, true);
             }
             expect(traffic.share()).to.equal(1);
             for (let count = 0; count < 16; count++) {
-                place = { isTrial: true, group: count % 8 };
+                cohort = { isTrial: true, group: count % 8 };
                 answer(true);
             }
             expect(traffic.share()).to.equal(0);
@@ -274,7 +274,7 @@
     });
 
     describe("work estimate", () => {
-        it("compares without learning; between warm and cold work an unknown key is nothing out of the ordinary", () => {
+        it("compares without learning; for an unknown key, times between warm and cold work are normal", () => {
             const work = createWorkEstimate();
             const route = createRoute({ goal: milliseconds(1000) });
             const compare = (known: boolean, duration: number, wait = 0) =>
--- a/packages/decisions/test/served-versions.test.ts
+++ b/packages/decisions/test/served-versions.test.ts
@@ -24,11 +24,11 @@
     };
 }
 
-/** Servers are named by version and number; the number of an entry is its creation. */
+/** Creates the admission over a catalog of servers that are named by version and number, such as `v1-3`. */
 function setUp() {
     let now = milliseconds(0);
     let order: RolloutOrder | undefined;
-    let news: RolloutDecision["decision"] | undefined;
+    let announcedDecision: RolloutDecision["decision"] | undefined;
     const catalog = createServerCatalog((record, at) =>
         createServerState(record, at, {
             recordPropagationDelay: milliseconds(0),
@@ -40,12 +40,15 @@
         catalog,
         now: () => now,
         orderOf: () => order,
-        decisionOf: () => news,
+        decisionOf: () => announcedDecision,
         sampledServerCount: () => 2,
     });
     return {
         versions,
-        /** Lists servers such as `v1-3`, those with `!` drain, those with `~` are cold; `createdAt` by default their number. */
+        /**
+         * Lists servers such as `v1-3`; `!` marks a draining one, `~` a cold one. Each server's creation is its
+         * number by default, and `createdAt` plus its index otherwise.
+         */
         list(names: readonly string[], createdAt?: number) {
             const records = names.map((name, index) => {
                 const id = name.replace(/[!~]/, "");
@@ -64,7 +67,7 @@
             order = next;
         },
         news(next: RolloutDecision["decision"] | undefined) {
-            news = next;
+            announcedDecision = next;
         },
         at(time: number) {
             now = time as Milliseconds;
@@ -75,33 +78,33 @@
     };
 }
 
-describe("versions that are served", () => {
+describe("served versions", () => {
     let setup = setUp();
     beforeEach(() => {
         setup = setUp();
     });
 
     describe("without an order", () => {
-        it("are the one whose server was created first, while one of it stands", () => {
+        it("are the one whose server was created first, and no trial version", () => {
             setup.list(["v2-5", "v1-1", "v1-9"]);
             expect(setup.admitted()).to.have.members(["v1-1", "v1-9"]);
             expect(setup.admitted(true)).to.deep.equal([]);
         });
 
-        it("are all servers of one version, also of those that tell none", () => {
+        it("treat all servers without a version as one version", () => {
             setup.list(["none-1", "none-2"]);
             expect(setup.admitted()).to.have.members(["none-1", "none-2"]);
             setup.list(["none-1", "none-2", "v1-3"]);
             expect(setup.admitted()).to.have.members(["none-1", "none-2"]);
         });
 
-        it("go on with servers that replace those of the same version", () => {
+        it("include servers that replace others of the same version", () => {
             setup.list(["v1-1", "v1-2"]);
             setup.list(["v1-7", "v1-2"]);
             expect(setup.admitted()).to.have.members(["v1-7", "v1-2"]);
         });
 
-        it("are another one at the first request after a pause in which the first was replaced", () => {
+        it("are the new one at the first request after the old one was replaced without any request in between", () => {
             setup.list(["v1-1"]);
             expect(setup.admitted()).to.deep.equal(["v1-1"]);
             setup.list(["v2-5"]);
@@ -112,7 +115,7 @@
             expect(setup.admitted()).to.deep.equal(["v2-5"]);
         });
 
-        it("are another one as soon as all servers of the first drain or are gone", () => {
+        it("are another one as soon as all servers of the first are draining or gone", () => {
             setup.list(["v1-1!", "v2-5"]);
             expect(setup.admitted()).to.deep.equal(["v2-5"]);
             setup.at(100);
@@ -123,7 +126,7 @@
             expect(setup.versions.provenVersion(service)).to.equal("v2");
         });
 
-        it("stay the first one when records lapse and come back later than others", () => {
+        it("stay the first one when its records expire and reappear later than others", () => {
             setup.list(["v1-1", "v2-5"]);
             expect(setup.versions.provenVersion(service)).to.equal("v1");
             setup.at(1000);
@@ -140,7 +143,7 @@
 
     describe("with an order", () => {
         for (const state of [undefined, "running"] as const) {
-            it(`are the proven one, and a sample of the target for trials (state ${state})`, () => {
+            it(`are the proven one, and a sample of the target for trial requests (state ${state})`, () => {
                 setup.order(orderTo("v2", state));
                 setup.list(["v1-1", "v1-2", "v2-5", "v2-6", "v2-7", "v2-8~"]);
                 expect(setup.admitted()).to.have.members(["v1-1", "v1-2"]);
@@ -151,7 +154,7 @@
             });
         }
 
-        it("are the proven one while the target has no server, and its sample once it has", () => {
+        it("include no sample while the target has no server, and its sample once it has one", () => {
             setup.list(["v1-1"]);
             setup.order(orderTo("v2", "running"));
             expect(setup.admitted(true)).to.deep.equal([]);
@@ -161,7 +164,7 @@
             expect(setup.admitted(true)).to.deep.equal(["v2-5"]);
         });
 
-        it("are the proven one where the target is proven already", () => {
+        it("are the proven one if the target is already proven", () => {
             setup.list(["v1-1", "v2-5"]);
             setup.order(orderTo("v1"));
             expect(setup.versions.isTargetProven(service)).to.equal(true);
@@ -169,7 +172,7 @@
             expect(setup.admitted()).to.deep.equal(["v1-1"]);
         });
 
-        it("are the target once it is completed, and others only when none of it is left", () => {
+        it("are the target once the order is completed, and others only when the target has no ready server", () => {
             setup.list(["v1-1", "v2-5"]);
             setup.order(orderTo("v2", "completed"));
             expect(setup.admitted()).to.deep.equal(["v2-5"]);
@@ -177,7 +180,7 @@
             expect(setup.admitted()).to.deep.equal(["v1-1"]);
         });
 
-        it("are all but the target once it is rolled back, which gets nothing even as the last one", () => {
+        it("exclude the target once it is rolled back, even if no other version is left", () => {
             setup.list(["v1-1", "v2-5"]);
             setup.order(orderTo("v2", "rolledBack"));
             expect(setup.admitted()).to.deep.equal(["v1-1"]);
@@ -187,7 +190,7 @@
             expect(setup.admitted()).to.deep.equal([]);
         });
 
-        it("keep out a version that was rolled back after its order is gone, until another order has it", () => {
+        it("exclude a version that was rolled back after its order is gone, until another order targets it", () => {
             setup.list(["v1-1", "v2-5"]);
             setup.order(orderTo("v2", "rolledBack"));
             expect(setup.admitted()).to.deep.equal(["v1-1"]);
@@ -207,7 +210,7 @@
             expect(setup.admitted()).to.deep.equal(["v2-5"]);
         });
 
-        it("try only the new target of a second order; the first one's is any other version", () => {
+        it("include only the target of a second order in the trial, not that of the first order", () => {
             setup.list(["v1-1", "v2-5", "v3-6"]);
             setup.order(orderTo("v2", "running"));
             expect(setup.admitted(true)).to.deep.equal(["v2-5"]);
@@ -216,7 +219,7 @@
             expect(setup.admitted()).to.deep.equal(["v1-1"]);
         });
 
-        it("wait for records that lapsed, and are the target when no other is left", () => {
+        it("are none during the grace period of expired records, then the target if no other version is left", () => {
             setup.list(["v1-1", "v2-5"]);
             setup.order(orderTo("v2", "running"));
             expect(setup.admitted()).to.deep.equal(["v1-1"]);
@@ -230,8 +233,8 @@
         });
     });
 
-    describe("while records of servers lapse", () => {
-        it("are not the target of a running order on a box without memory, though its server is recorded as the first", () => {
+    describe("while server records expire and reappear", () => {
+        it("are not the target of a running order on a new box, even if its server has the oldest record", () => {
             setup.order(orderTo("v2", "running"));
             setup.list(["v2-5", "v1-9"]);
             expect(setup.admitted()).to.deep.equal(["v1-9"]);
@@ -240,7 +243,7 @@
             expect(setup.versions.isTargetProven(service)).to.equal(false);
         });
 
-        it("wait for the proven one from the moment at which any record is back", () => {
+        it("wait for the proven version from the time at which any record reappears", () => {
             setup.order(orderTo("v2", "running"));
             setup.list(["v1-1", "v2-5"]);
             expect(setup.admitted()).to.deep.equal(["v1-1"]);
@@ -255,7 +258,7 @@
             expect(setup.admitted()).to.deep.equal(["v1-1"]);
         });
 
-        it("wait without an order as well, unless the servers drained", () => {
+        it("wait for the proven version without an order as well", () => {
             setup.list(["v1-1", "v2-5"]);
             expect(setup.admitted()).to.deep.equal(["v1-1"]);
             setup.at(1000);
@@ -266,18 +269,18 @@
         });
     });
 
-    describe("with news", () => {
+    describe("with an announced decision", () => {
         beforeEach(() => {
             setup.list(["v1-1", "v2-5"]);
             setup.order(orderTo("v2", "running"));
         });
 
-        it("are as the decision says before the store has it", () => {
+        it("follow the decision before the store has it", () => {
             setup.news("completed");
             expect(setup.admitted()).to.deep.equal(["v2-5"]);
         });
 
-        it("get nothing more of a version of which they say that it is rolled back", () => {
+        it("exclude a version as soon as its rollback is announced", () => {
             expect(setup.admitted(true)).to.deep.equal(["v2-5"]);
             const before = setup.versions.version(service);
             setup.news("rolledBack");
@@ -285,7 +288,7 @@
             expect(setup.admitted(true)).to.deep.equal([]);
         });
 
-        it("are as the store says where it differs", () => {
+        it("follow the store where it differs from the announced decision", () => {
             setup.news("rolledBack");
             expect(setup.admitted()).to.deep.equal(["v1-1"]);
             setup.order(orderTo("v2", "completed"));
@@ -293,7 +296,7 @@
         });
     });
 
-    it("keep their version while nothing changes", () => {
+    it("keep their version number while nothing changes", () => {
         setup.list(["v1-1", "v2-5"]);
         const before = setup.versions.version(service);
         setup.at(5000);
