--- a/packages/decisions/src/rollouts/rollout-plan.ts
+++ b/packages/decisions/src/rollouts/rollout-plan.ts
@@ -47,8 +47,8 @@
 /** Maximum fraction of the duration that is reserved for the write. */
 const maxWriteReserveFraction = 0.15;
 /**
- * Multiple of the mean request time after which nearly all requests in progress at other versions have ended:
- * some take that long.
+ * Multiple of the mean request time after which nearly all requests in progress at other versions have ended;
+ * single requests may take a few times the mean.
  */
 const drainFactor = 2;
 /** Milliseconds in which all boxes learn that the move has begun and report that it is done. */
