--- a/packages/box/src/quotas/customer-quotas.ts
+++ b/packages/box/src/quotas/customer-quotas.ts
@@ -1,10 +1,11 @@
 /**
- * Keeps customers' quotas over all boxes: decides on requests by this box's
- * parts, reports to the boxes that count, and counts for some customers itself.
+ * Enforces customers' quotas on one box: admits requests by this box's shares,
+ * reports demand to the quota coordinators, and is a coordinator itself for some
+ * customers.
  *
- * Owns the parts and the counts; all of it may be lost with the process. Relies
- * on the members for who counts, and on the link between boxes for messages,
- * any of which may be lost.
+ * Owns the shares and the allocators; all of it may be lost with the process.
+ * Relies on membership to select the coordinators, and on the link between boxes
+ * for messages, any of which may be lost.
  */
 
 import {
@@ -34,9 +35,9 @@
     readonly clock: Clock;
     readonly self: BoxId;
     readonly membership: Membership;
-    /** Who counts, found anew by each round. */
+    /** Selects the quota coordinators; updated in each gossip round. */
     readonly coordinators: CoordinatorSet;
-    /** Boxes that callers are named. */
+    /** Boxes that are advertised to callers. */
     readonly advertised: () => readonly MemberRecord[];
     readonly tolerance: QuotaTolerance;
     readonly findCustomer: (id: CustomerId) => Customer | undefined;
@@ -45,10 +46,10 @@
     readonly uptime: () => Milliseconds;
 }
 
-/** Counts of one customer on this box. */
+/** Request counts of one customer on this box. */
 export interface CustomerCounts {
     readonly customer: CustomerId;
-    /** The customer's quota for all boxes together, in requests a second; 0 if it has none any more. */
+    /** The customer's quota for all boxes together, in requests a second; 0 once it has none. */
     readonly rate: number;
     readonly admitted: number;
     readonly refused: number;
@@ -56,43 +57,47 @@
 
 /** The quotas on one box. */
 export interface CustomerQuotas {
-    /** Takes a request of a customer into its quota; undefined if there is room. */
+    /** Charges a request to the customer's quota; undefined if it is admitted. */
     readonly consume: (customer: Customer) => QuotaDenial | undefined;
-    /** A request that was taken in has not run at any server. */
+    /** Refunds an admitted request that was not run by any server. */
     readonly refund: (customer: Customer) => void;
-    /** One round: who counts is found anew, and reports are sent. Due with each round of gossip. */
+    /** Selects the coordinators again and sends the reports that are due. Called in each gossip round. */
     readonly onGossipRound: () => void;
-    /** Another box reported, or answered. */
+    /** Handles reports and leases from another box. */
     readonly onMessage: (from: MemberRecord, message: QuotaMessage) => void;
+    /** Counts of all customers that this box knows shares of. */
     readonly counts: () => readonly CustomerCounts[];
 }
 
 /**
- * Milliseconds after the start in which a box that hears of no other does not count: it may not know yet who else runs, and take
- * itself for the only one. Five rounds of gossip.
+ * Milliseconds after its start during which a box that knows no other box does not coordinate: it may not have heard of
+ * the others yet and would act as the only one. Five gossip rounds.
  */
 const settleTime = 1500;
 /**
- * Milliseconds without a change after which a box that starts takes the boxes that count for the ones that others find too: two rounds
- * of gossip. Until a box counts, parts are equal wherever callers come.
+ * Milliseconds without a change after which a starting box assumes that other boxes select the same coordinators: two
+ * gossip rounds. Until some box coordinates, all shares are equal, whichever boxes the callers use.
  */
 const unchangedTime = 600;
-/** Milliseconds without a round from which a box has stood still: some three rounds. */
-const stallTime = 1000;
-/** Milliseconds after that in which what has waited is read: some datagrams a turn. */
+/** Milliseconds since the last gossip round above which the process must have been paused: about three rounds. */
+const processPauseThreshold = 1000;
+/** Milliseconds after a process pause in which the queued datagrams are read, a few in each turn of the event loop. */
 const backlogTime = 150;
-/** Entries of one datagram: some 80 bytes each with their levels, with the sender's record below the largest datagram. */
-const mostEntries = 50;
+/**
+ * Maximum entries of a datagram: about 80 bytes each with their levels; with the sender's record they fit the largest
+ * datagram.
+ */
+const maxEntries = 50;
 
 /** Creates the quotas of a box; nothing is leased yet. */
 export function createCustomerQuotas(options: CustomerQuotasOptions): CustomerQuotas {
-    const { clock, coordinators: countingBoxes, membership, self } = options;
+    const { clock, coordinators, membership, self } = options;
     const shares = new Map<CustomerId, QuotaShare>();
-    const counters = new Map<CustomerId, QuotaAllocator>();
-    const answers = createCoordinatorLiveness();
-    let isReportPlanned = false;
+    const allocators = new Map<CustomerId, QuotaAllocator>();
+    const liveness = createCoordinatorLiveness();
+    let isReportScheduled = false;
     let lastRoundAt = clock();
-    let deafUntil = -Infinity;
+    let ignoresMessagesUntil = -Infinity;
 
     return {
         consume(customer) {
@@ -100,14 +105,14 @@
             if (quota === undefined) {
                 return undefined;
             }
-            noticeStall();
+            detectProcessPause();
             const share = shareOf(customer.id);
             const startingFor = isSettled() ? undefined : options.uptime();
-            const denied = share.consume({ quota, boxCount: boxCount(), startingFor, at: clock() });
+            const denial = share.consume({ quota, boxCount: boxCount(), startingFor, at: clock() });
             if (share.needsLease(clock())) {
-                reportSoon();
+                scheduleReport();
             }
-            return denied;
+            return denial;
         },
         refund(customer) {
             if (customer.quota !== undefined) {
@@ -115,22 +120,22 @@
             }
         },
         onGossipRound() {
-            noticeStall();
+            detectProcessPause();
             lastRoundAt = clock();
-            const named = options.advertised().map(({ box }) => box);
-            countingBoxes.update({ named, aliveCount: membership.alive(clock()).length }, clock());
-            forgetLostCustomers();
-            report([...shares.values()]);
+            const advertisedIds = options.advertised().map(({ box }) => box);
+            coordinators.update({ named: advertisedIds, aliveCount: membership.alive(clock()).length }, clock());
+            forgetCustomersWithoutQuota();
+            sendReports([...shares.values()]);
         },
         onMessage(from, message) {
-            noticeStall();
-            if (clock() < deafUntil) {
+            detectProcessPause();
+            if (clock() < ignoresMessagesUntil) {
                 return;
             }
-            const leases = decodeReports(message).map(told => count(from.box, told));
-            sendInParts(from, leases.filter(lease => lease !== undefined), encodeLeases);
+            const leases = decodeReports(message).map(report => allocate(from.box, report));
+            sendInBatches(from, leases.filter(lease => lease !== undefined), encodeLeases);
             if (message.leases !== undefined) {
-                answers.onLeasesReceived(from.box);
+                liveness.onLeasesReceived(from.box);
                 decodeLeases(message).forEach(lease => onLease(from.box, lease));
             }
         },
@@ -143,112 +148,128 @@
     };
 
     /**
-     * What waited for a box that stood still is old: the other box that counts has charged it, and here it would be charged all at once, to a
-     * level that has earned nothing meanwhile. Nor has the box used its own leases. Calm customers were refused for either.
+     * Detects a process pause. Reports that were queued meanwhile are outdated: the other coordinator has charged them
+     * already, and here they would all be charged at once to a level that earned nothing during the pause. They are
+     * ignored. The box did not use its own leases during the pause either, so the pause is not counted in their age.
+     * Either fault refused requests of customers well within their quota.
      */
-    function noticeStall(): void {
-        const stoodStill = clock() - lastRoundAt;
-        if (stoodStill <= stallTime) {
+    function detectProcessPause(): void {
+        const pause = clock() - lastRoundAt;
+        if (pause <= processPauseThreshold) {
             return;
         }
         lastRoundAt = clock();
-        deafUntil = clock() + backlogTime;
-        shares.forEach(share => share.onProcessPause(milliseconds(stoodStill)));
+        ignoresMessagesUntil = clock() + backlogTime;
+        shares.forEach(share => share.onProcessPause(milliseconds(pause)));
     }
 
-    /** Requests that come in one turn share the datagrams. */
-    function reportSoon(): void {
-        if (isReportPlanned) {
+    /** Reports at the end of the turn, so requests that arrive in one turn share datagrams. */
+    function scheduleReport(): void {
+        if (isReportScheduled) {
             return;
         }
-        isReportPlanned = true;
+        isReportScheduled = true;
         setImmediate(() => {
-            isReportPlanned = false;
-            report([...shares.values()].filter(share => share.needsLease(clock())));
+            isReportScheduled = false;
+            sendReports([...shares.values()].filter(share => share.needsLease(clock())));
         });
     }
 
-    function report(reporting: readonly QuotaShare[]): void {
-        const byCounter = new Map<BoxId, QuotaReport[]>();
-        const candidates = answers.responsive(countingBoxes.current(), clock());
-        if (candidates.length === 0) {
+    function sendReports(reporting: readonly QuotaShare[]): void {
+        const byCoordinator = new Map<BoxId, QuotaReport[]>();
+        const responsive = liveness.responsive(coordinators.current(), clock());
+        if (responsive.length === 0) {
             return;
         }
         for (const share of reporting) {
-            const due = share.dueReport(clock());
-            if (due === undefined) {
+            const dueReport = share.dueReport(clock());
+            if (dueReport === undefined) {
                 continue;
             }
-            for (const counter of countersFor(due.customer, candidates)) {
-                byCounter.set(counter, [...byCounter.get(counter) ?? [], due]);
+            for (const coordinator of coordinatorsFor(dueReport.customer, responsive)) {
+                byCoordinator.set(coordinator, [...byCoordinator.get(coordinator) ?? [], dueReport]);
             }
         }
-        for (const [box, reports] of byCounter) {
+        for (const [box, reports] of byCoordinator) {
             deliver(box, reports);
         }
     }
 
-    /** Both boxes that count hear each report, a silent one too: it knows what was let in once it goes on. A third counts while both are silent. */
-    function countersFor(customer: CustomerId, candidates: readonly BoxId[]): ReadonlySet<BoxId> {
-        const pair = coordinatorPairFor(customer, countingBoxes.current());
-        const used = coordinatorFor(customer, candidates);
-        return new Set(used === undefined ? pair : [...pair, used]);
+    /**
+     * Returns the boxes that get a report: both coordinators, also one that does not answer, as it must know what was
+     * admitted once it resumes. While neither answers, a third box coordinates.
+     */
+    function coordinatorsFor(customer: CustomerId, responsive: readonly BoxId[]): ReadonlySet<BoxId> {
+        const pair = coordinatorPairFor(customer, coordinators.current());
+        const preferred = coordinatorFor(customer, responsive);
+        return new Set(preferred === undefined ? pair : [...pair, preferred]);
     }
 
     function deliver(box: BoxId, reports: readonly QuotaReport[]): void {
         if (box === self) {
-            reports.map(own => count(self, own)).forEach(lease => lease !== undefined && onLease(self, lease));
+            reports.map(ownReport => allocate(self, ownReport)).forEach(lease =>
+                lease !== undefined && onLease(self, lease)
+            );
             return;
         }
         const member = membership.find(box);
         if (member !== undefined) {
-            answers.onReportSent(box, clock());
-            sendInParts(member, reports, encodeReports);
+            liveness.onReportSent(box, clock());
+            sendInBatches(member, reports, encodeReports);
         }
     }
 
-    function sendInParts<Part>(
+    function sendInBatches<Entry>(
         box: MemberRecord,
-        parts: readonly Part[],
-        messageOf: (parts: readonly Part[]) => QuotaMessage,
+        entries: readonly Entry[],
+        encode: (entries: readonly Entry[]) => QuotaMessage,
     ): void {
-        for (let from = 0; from < parts.length; from += mostEntries) {
-            options.send(box, messageOf(parts.slice(from, from + mostEntries)));
+        for (let start = 0; start < entries.length; start += maxEntries) {
+            options.send(box, encode(entries.slice(start, start + maxEntries)));
         }
     }
 
-    function count(box: BoxId, told: QuotaReport): QuotaLease | undefined {
-        const customer = options.findCustomer(told.customer);
+    /**
+     * Answers a report with a lease; undefined if this box may not coordinate, or the box has a fresher lease of
+     * another coordinator.
+     */
+    function allocate(box: BoxId, report: QuotaReport): QuotaLease | undefined {
+        const customer = options.findCustomer(report.customer);
         const quota = customer && quotaOf(customer);
         if (quota === undefined || !isSettled()) {
             return undefined;
         }
-        const counter = counterOf(told.customer, quota);
-        const lease = counter.onReport(box, told, { quota, boxCount: boxCount(), at: clock() });
-        return counter.withholdsLease(box, told, clock()) ? undefined : lease;
+        const allocator = allocatorFor(report.customer, quota);
+        const lease = allocator.onReport(box, report, { quota, boxCount: boxCount(), at: clock() });
+        return allocator.withholdsLease(box, report, clock()) ? undefined : lease;
     }
 
-    /** A counter that nobody reported to for a while starts anew: what was admitted meanwhile was told to another box. */
-    function counterOf(customer: CustomerId, quota: CustomerQuota): QuotaAllocator {
-        const known = counters.get(customer);
-        if (known !== undefined && !known.isStale(clock(), countingBoxes.unchangedFor(clock()))) {
+    /**
+     * Replaces an allocator that got no report for a while: what was admitted meanwhile was reported to another box.
+     */
+    function allocatorFor(customer: CustomerId, quota: CustomerQuota): QuotaAllocator {
+        const known = allocators.get(customer);
+        if (known !== undefined && !known.isStale(clock(), coordinators.unchangedFor(clock()))) {
             return known;
         }
-        const counter = createQuotaAllocator(clock(), known === undefined ? earnedUnused(quota) : 0);
-        counters.set(customer, counter);
-        return counter;
+        const allocator = createQuotaAllocator(clock(), known === undefined ? earnedUnused(quota) : 0);
+        allocators.set(customer, allocator);
+        return allocator;
     }
 
-    /** What a customer has earned that nobody has asked for since the same boxes count. */
+    /** Returns the requests that a customer without any report has earned since the coordinators last changed. */
     function earnedUnused(quota: CustomerQuota): number {
-        return Math.min(quota.burst, quota.rate * countingBoxes.unchangedFor(clock()) / 1000);
+        return Math.min(quota.burst, quota.rate * coordinators.unchangedFor(clock()) / 1000);
     }
 
-    /** Of the two that count the first one's leases are used, and the other's for a report that the first has not answered. */
+    /**
+     * Applies leases of the preferred coordinator, and those of another one only while the last report has no lease
+     * yet.
+     */
     function onLease(from: BoxId, lease: QuotaLease): void {
-        const used = coordinatorFor(lease.customer, answers.responsive(countingBoxes.current(), clock()));
+        const preferred = coordinatorFor(lease.customer, liveness.responsive(coordinators.current(), clock()));
         const share = shares.get(lease.customer);
-        if (used === from || share?.isReportPending() === true) {
+        if (preferred === from || share?.isReportPending() === true) {
             share?.onLease(lease, clock());
         }
     }
@@ -266,24 +287,27 @@
         return quota && effectiveQuota(quota, options.tolerance);
     }
 
-    /** True once this box may count: boxes that have just started may know different others. */
+    /** True once this box may coordinate. Right after a start, boxes may know different members. */
     function isSettled(): boolean {
-        return options.uptime() >= settleTime || countingBoxes.unchangedFor(clock()) >= unchangedTime;
+        return options.uptime() >= settleTime || coordinators.unchangedFor(clock()) >= unchangedTime;
     }
 
-    /** Boxes that may admit requests. A box that has just started counts those that will be named once they are ready. */
+    /**
+     * Number of boxes that may admit requests. A box that has just started counts those that will be advertised once
+     * they are ready.
+     */
     function boxCount(): number {
         if (options.uptime() < settleTime) {
             return Math.max(1, advertisedBoxes([membership.ownRecord(), ...membership.recentMembers(clock())]).length);
         }
-        return countingBoxes.boxCount();
+        return coordinators.boxCount();
     }
 
-    function forgetLostCustomers(): void {
-        for (const customer of [...shares.keys(), ...counters.keys()]) {
+    function forgetCustomersWithoutQuota(): void {
+        for (const customer of [...shares.keys(), ...allocators.keys()]) {
             if (options.findCustomer(customer)?.quota === undefined) {
                 shares.delete(customer);
-                counters.delete(customer);
+                allocators.delete(customer);
             }
         }
     }
--- a/packages/box/src/quotas/quota-messages.ts
+++ b/packages/box/src/quotas/quota-messages.ts
@@ -1,97 +1,98 @@
 /**
- * Reports and leases of quotas as boxes send them: short, since one datagram has
- * those of many customers.
+ * Encodes quota reports and leases for messages between boxes: as short tuples,
+ * since one datagram carries those of many customers.
  *
- * Owns nothing; what arrives is checked in full before it is used.
+ * Owns no state; received messages are validated in full before they are used.
  */
 
 import type { QuotaLease, QuotaReport } from "@chalkdale/decisions";
 import { customerId, milliseconds } from "@chalkdale/kernel";
 
-type ReportEntry = readonly [customer: string, asked: number, admitted: number, since: number];
-type LeaseEntry = readonly [customer: string, rate: number, burst: number, isCalm: 0 | 1];
+type ReportEntry = readonly [customer: string, requested: number, admitted: number, since: number];
+type LeaseEntry = readonly [customer: string, rate: number, burst: number, hasHeadroom: 0 | 1];
 /**
- * Beside a report: what no lease has answered, and the level that was told last with its age, if one was. Beside a lease: the level. Apart from
- * these, since a box of an earlier release takes entries of four values only.
+ * For a report: the unacknowledged requests, then the last known level and its age, if there is one. For a lease: the
+ * level. Separate from the report and lease entries, since boxes of an earlier release accept only entries of four
+ * values.
  */
 type LevelEntry = readonly [customer: string, ...numbers: number[]];
 
-/** The part of a datagram that is about quotas. */
+/** The quota part of a datagram between boxes. */
 export interface QuotaMessage {
-    /** For the box that counts. */
+    /** Sent to a quota coordinator. */
     readonly reports?: readonly ReportEntry[];
-    /** Its answers. */
+    /** Sent by a quota coordinator in answer to reports. */
     readonly leases?: readonly LeaseEntry[];
-    /** Levels that go with either. */
+    /** Levels that belong to the reports or the leases. */
     readonly levels?: readonly LevelEntry[];
 }
 
-/** Shortens reports. */
+/** Encodes reports with their levels. */
 export function encodeReports(reports: readonly QuotaReport[]): QuotaMessage {
-    return { reports: reports.map(reportEntry), levels: reports.map(reportLevel) };
+    return { reports: reports.map(encodeReport), levels: reports.map(encodeReportLevel) };
 }
 
-/** Shortens leases; a thousandth of a request is exact enough. */
+/** Encodes leases with their levels, rounded to a thousandth of a request. */
 export function encodeLeases(leases: readonly QuotaLease[]): QuotaMessage {
-    return { leases: leases.map(leaseEntry), levels: leases.flatMap(leaseLevel) };
+    return { leases: leases.map(encodeLease), levels: leases.flatMap(encodeLeaseLevel) };
 }
 
-/** Returns the reports of a message. */
+/** Decodes the reports of a message; empty if it has none. */
 export function decodeReports({ levels, reports = [] }: QuotaMessage): readonly QuotaReport[] {
     const levelOf = new Map(levels?.map(([customer, ...numbers]) => [customer, numbers]));
-    return reports.map(([customer, asked, admitted, since]) => {
-        const [unanswered, level, age] = levelOf.get(customer) ?? [];
+    return reports.map(([customer, requested, admitted, since]) => {
+        const [unacknowledged, level, age] = levelOf.get(customer) ?? [];
         const lastLevel = level === undefined || age === undefined ? undefined : { level, age: milliseconds(age) };
         return {
             customer: customerId(customer),
-            requested: asked,
+            requested,
             admitted,
             since: milliseconds(since),
-            unacknowledged: unanswered,
+            unacknowledged,
             lastLevel,
         };
     });
 }
 
-/** Returns the leases of a message. */
+/** Decodes the leases of a message; empty if it has none. */
 export function decodeLeases({ leases = [], levels }: QuotaMessage): readonly QuotaLease[] {
     const levelOf = new Map(levels?.map(([customer, level]) => [customer, level]));
-    return leases.map(([customer, rate, burst, isCalm]) => ({
+    return leases.map(([customer, rate, burst, hasHeadroom]) => ({
         customer: customerId(customer),
         rate,
         burst,
-        hasHeadroom: isCalm === 1,
+        hasHeadroom: hasHeadroom === 1,
         level: levelOf.get(customer),
     }));
 }
 
-function reportEntry({ admitted, requested: asked, customer, since }: QuotaReport): ReportEntry {
-    return [customer, asked, admitted, Math.round(since)];
+function encodeReport({ admitted, requested, customer, since }: QuotaReport): ReportEntry {
+    return [customer, requested, admitted, Math.round(since)];
 }
 
-function reportLevel({ customer, lastLevel, unacknowledged: unanswered = 0 }: QuotaReport): LevelEntry {
+function encodeReportLevel({ customer, lastLevel, unacknowledged = 0 }: QuotaReport): LevelEntry {
     return lastLevel === undefined
-        ? [customer, unanswered]
-        : [customer, unanswered, round(lastLevel.level), Math.round(lastLevel.age)];
+        ? [customer, unacknowledged]
+        : [customer, unacknowledged, round(lastLevel.level), Math.round(lastLevel.age)];
 }
 
-function leaseEntry({ burst, customer, hasHeadroom: isCalm, rate }: QuotaLease): LeaseEntry {
-    return [customer, round(rate), round(burst), isCalm ? 1 : 0];
+function encodeLease({ burst, customer, hasHeadroom, rate }: QuotaLease): LeaseEntry {
+    return [customer, round(rate), round(burst), hasHeadroom ? 1 : 0];
 }
 
-function leaseLevel({ customer, level }: QuotaLease): LevelEntry[] {
+function encodeLeaseLevel({ customer, level }: QuotaLease): LevelEntry[] {
     return level === undefined ? [] : [[customer, round(level)]];
 }
 
-/** True for a part as boxes send it. */
+/** Validates the quota part of a received datagram. */
 export function isQuotaMessage(value: unknown): value is QuotaMessage {
     const message = value as QuotaMessage | null;
     return typeof message === "object" && message !== null
         && areEntries(message.reports) && areEntries(message.leases) && areLevels(message.levels);
 }
 
-/** Figures between entries: asked, admitted and since, or rate, burst and calm. */
-const figures = 3;
+/** Numbers after the customer: requested, admitted and since of a report, or rate, burst and headroom of a lease. */
+const numbersPerEntry = 3;
 
 function areEntries(entries: unknown): boolean {
     return entries === undefined || Array.isArray(entries) && entries.every(isEntry);
@@ -106,7 +107,7 @@
 }
 
 function isEntry(entry: unknown): boolean {
-    return Array.isArray(entry) && entry.length === figures + 1 && typeof entry[0] === "string"
+    return Array.isArray(entry) && entry.length === numbersPerEntry + 1 && typeof entry[0] === "string"
         && entry.slice(1).every(Number.isFinite);
 }
 
--- a/packages/box/test/customer-quotas.test.ts
+++ b/packages/box/test/customer-quotas.test.ts
@@ -1,6 +1,6 @@
 /**
- * Customers' quotas on one box: whom it reports to, and what it does when it
- * hears of nobody any more.
+ * Customers' quotas on one box: which coordinators it reports to, how it leases
+ * shares to others, and what it does once it has lost contact with other boxes.
  */
 
 import {
@@ -27,7 +27,7 @@
 
 describe("customers' quotas on a box [P22]", () => {
     const all = Array.from({ length: 12 }, (_, index) => member(`b-${index}`));
-    const weak = Array.from({ length: 55 }, (_, index) => member(`w-${index}`));
+    const unadvertised = Array.from({ length: 55 }, (_, index) => member(`w-${index}`));
     let now: number;
     let advertised: readonly MemberRecord[];
     let alive: readonly MemberRecord[];
@@ -65,24 +65,24 @@
     beforeEach(() => {
         now = 60_000;
         advertised = all;
-        alive = [...all, ...weak];
+        alive = [...all, ...unadvertised];
         sent = [];
     });
 
-    it("are reported to the two boxes that count, which all find alike", () => {
-        const search = createCoordinatorSet();
-        search.update({ named: all.map(({ box }) => box), aliveCount: 67 }, milliseconds(now));
-        const counters = search.current();
-        expect(counters).to.have.length(4).and.not.to.include(all[1].box);
+    it("are reported to the two coordinators, which every box selects alike", () => {
+        const coordinatorSet = createCoordinatorSet();
+        coordinatorSet.update({ named: all.map(({ box }) => box), aliveCount: 67 }, milliseconds(now));
+        const coordinators = coordinatorSet.current();
+        expect(coordinators).to.have.length(4).and.not.to.include(all[1].box);
         admitted(create(), 0.6);
-        const pair = coordinatorPairFor(customer.id, counters);
+        const pair = coordinatorPairFor(customer.id, coordinators);
         expect(pair).to.have.length(2);
-        expect(pair[0]).to.equal(coordinatorFor(customer.id, counters));
+        expect(pair[0]).to.equal(coordinatorFor(customer.id, coordinators));
         expect([...new Set(sent.map(({ to }) => to))]).to.deep.equal(pair);
     });
 
-    it("are shared by the boxes that callers are named, also right after all others were alike", () => {
-        // Before any box is in service all that run are named.
+    it("are shared by the advertised boxes, also right after all running boxes were advertised", () => {
+        // Before any box is in service, all running boxes are advertised.
         advertised = alive;
         const quotas = create();
         quotas.onGossipRound();
@@ -93,19 +93,19 @@
         expect(sent).not.to.have.length(0);
     });
 
-    it("are an equal part while no lease comes", () => {
-        // The box that counts does not answer; a twelfth of 120 a second, and a first burst.
+    it("are an equal share while no lease arrives", () => {
+        // The coordinator does not answer; a twelfth of 120 a second, and the first burst.
         expect(admitted(create(), 5)).to.be.within(45, 60);
     });
 
-    it("are not taken whole by a box that hears of nobody any more", () => {
+    it("are not used in full by a box that has lost contact with all others", () => {
         const quotas = create();
         admitted(quotas, 1);
         advertised = alive = [all[1]];
         expect(admitted(quotas, 10)).to.be.lessThan(10 * 120 / 4);
     });
 
-    it("are counted by a box that is left alone for long", () => {
+    it("are coordinated by a box that has been the only one for long", () => {
         const quotas = create();
         admitted(quotas, 1);
         advertised = alive = [all[1]];
@@ -113,10 +113,10 @@
         expect(admitted(quotas, 10)).to.be.greaterThan(10 * 70);
     });
 
-    it("are counted anew by a box that nobody reported to for a while: others may have admitted a burst", () => {
+    it("start over on a coordinator that got no report for a while: others may have admitted a burst", () => {
         const quotas = create();
         quotas.onGossipRound();
-        const burstOf = (since: number) => {
+        const leasedBurstAfter = (since: number) => {
             for (const end = now + since; now < end; now += 100) {
                 quotas.onGossipRound();
             }
@@ -124,12 +124,12 @@
             quotas.onMessage(all[2], { reports: [["club", 1, 1, since]] });
             return sent[0].message.leases![0][2];
         };
-        burstOf(300);
-        const [beforeGap, afterGap] = [burstOf(2500), burstOf(3100)];
+        leasedBurstAfter(300);
+        const [beforeGap, afterGap] = [leasedBurstAfter(2500), leasedBurstAfter(3100)];
         expect(beforeGap).to.be.greaterThan(afterGap * 2);
     });
 
-    it("are not charged at once with all that waited while this box stood still", () => {
+    it("are not charged at once for all reports that were queued during a process pause", () => {
         const quotas = create();
         quotas.onGossipRound();
         quotas.onMessage(all[2], { reports: [["club", 30, 30, 300]] });
@@ -145,21 +145,21 @@
         expect(sent.map(({ to }) => to)).to.deep.equal(["b-2"]);
     });
 
-    it("are used by one of the two leases, by the other's once the first one is silent", () => {
+    it("follow the first coordinator's lease, and the second's once the first does not answer", () => {
         const quotas = create();
         quotas.onGossipRound();
-        const search = createCoordinatorSet();
-        search.update({ named: all.map(({ box }) => box), aliveCount: 67 }, milliseconds(now));
-        const [first, second] = coordinatorPairFor(customer.id, search.current()).map(box =>
+        const coordinatorSet = createCoordinatorSet();
+        coordinatorSet.update({ named: all.map(({ box }) => box), aliveCount: 67 }, milliseconds(now));
+        const [first, second] = coordinatorPairFor(customer.id, coordinatorSet.current()).map(box =>
             all.find(record => record.box === box)!
         );
         const lease = (from: MemberRecord, rate: number) =>
             quotas.onMessage(from, { leases: [["club", rate, 10, 0]], levels: [["club", 60]] });
-        const partOfNextDenied = () => {
+        const shareRateOfNextDenial = () => {
             for (;;) {
-                const denied = quotas.consume(customer);
-                if (denied !== undefined) {
-                    return denied.shareRate;
+                const denial = quotas.consume(customer);
+                if (denial !== undefined) {
+                    return denial.shareRate;
                 }
             }
         };
@@ -167,46 +167,46 @@
         quotas.onGossipRound();
         lease(first, 40);
         lease(second, 7);
-        expect(partOfNextDenied()).to.equal(40);
+        expect(shareRateOfNextDenial()).to.equal(40);
         for (const end = now + 1500; now < end; now += 100) {
             quotas.consume(customer);
             quotas.onGossipRound();
             lease(second, 7);
         }
-        expect(partOfNextDenied()).to.equal(7);
+        expect(shareRateOfNextDenial()).to.equal(7);
     });
 
-    it("are used as before by a box that stood still itself", () => {
+    it("stay under the same lease on a box after a pause of its process", () => {
         const quotas = create();
         quotas.onGossipRound();
         quotas.consume(customer);
         quotas.onGossipRound();
-        const search = createCoordinatorSet();
-        search.update({ named: all.map(({ box }) => box), aliveCount: 67 }, milliseconds(now));
-        const counter = all.find(({ box }) => box === coordinatorFor(customer.id, search.current()))!;
-        quotas.onMessage(counter, { leases: [["club", 40, 25, 1]], levels: [["club", 110]] });
+        const coordinatorSet = createCoordinatorSet();
+        coordinatorSet.update({ named: all.map(({ box }) => box), aliveCount: 67 }, milliseconds(now));
+        const coordinator = all.find(({ box }) => box === coordinatorFor(customer.id, coordinatorSet.current()))!;
+        quotas.onMessage(coordinator, { leases: [["club", 40, 25, 1]], levels: [["club", 110]] });
         now += 3000;
-        const taken = Array.from({ length: 20 }, () => quotas.consume(customer));
-        expect(taken.filter(denied => denied !== undefined)).to.deep.equal([]);
+        const results = Array.from({ length: 20 }, () => quotas.consume(customer));
+        expect(results.filter(denial => denial !== undefined)).to.deep.equal([]);
     });
 
-    it("are renewed by a box that has just begun to count, if the lease is its own, and left to another's if not", () => {
+    it("are leased by a new coordinator unless the box has a fresh lease of another one", () => {
         const quotas = create();
         quotas.onGossipRound();
-        const answered = (box: MemberRecord, levels: QuotaMessage["levels"]) => {
+        const isAnswered = (box: MemberRecord, levels: QuotaMessage["levels"]) => {
             sent = [];
             quotas.onMessage(box, { reports: [["club", 3, 3, 300]], levels });
             return sent.length > 0;
         };
-        expect(answered(all[2], undefined)).to.equal(true);
+        expect(isAnswered(all[2], undefined)).to.equal(true);
         now += 300;
         quotas.onGossipRound();
-        expect(answered(all[2], [["club", 0, 50, 290]])).to.equal(true);
-        expect(answered(all[3], [["club", 0, 50, 290]])).to.equal(false);
-        expect(answered(all[4], [["club", 0, 50, 1290]])).to.equal(true);
+        expect(isAnswered(all[2], [["club", 0, 50, 290]])).to.equal(true);
+        expect(isAnswered(all[3], [["club", 0, 50, 290]])).to.equal(false);
+        expect(isAnswered(all[4], [["club", 0, 50, 1290]])).to.equal(true);
     });
 
-    it("tell what was refused apart from what was given back", () => {
+    it("count a refunded request neither as admitted nor as refused", () => {
         const quotas = create();
         for (let count = 0; count < 100; count++) {
             expect(quotas.consume(customer)).to.equal(undefined);
@@ -215,7 +215,7 @@
         expect(quotas.counts()).to.deep.equal([{ customer: customer.id, rate: 120, admitted: 0, refused: 0 }]);
     });
 
-    it("are leased to other boxes by one that counts, once it has run for a while", () => {
+    it("are leased to other boxes by a coordinator once it has run for a while", () => {
         const quotas = create();
         quotas.onGossipRound();
         const report: QuotaMessage = { reports: [["club", 3, 3, 300]] };
--- a/packages/box/test/quota-messages.test.ts
+++ b/packages/box/test/quota-messages.test.ts
@@ -9,8 +9,8 @@
     isQuotaMessage,
 } from "../src/quotas/quota-messages.js";
 
-/** Returns the value as another box would get it. */
-const sent = <Value>(value: Value): Value => JSON.parse(JSON.stringify(value)) as Value;
+/** Returns the value as another box receives it. */
+const received = <Value>(value: Value): Value => JSON.parse(JSON.stringify(value)) as Value;
 
 describe("messages about quotas", () => {
     const report = {
@@ -23,9 +23,11 @@
     };
     const lease = { customer: customerId("club"), rate: 12.345, burst: 2, hasHeadroom: true, level: 40 };
 
-    it("are taken as boxes send them", () => {
-        const reports = sent(encodeReports([report, { ...report, customer: customerId("new"), lastLevel: undefined }]));
-        const leases = sent(encodeLeases([lease]));
+    it("are decoded to the values that were encoded", () => {
+        const reports = received(
+            encodeReports([report, { ...report, customer: customerId("new"), lastLevel: undefined }]),
+        );
+        const leases = received(encodeLeases([lease]));
         expect([reports, leases].every(isQuotaMessage)).to.equal(true);
         expect(decodeReports(reports)).to.deep.equal([
             report,
@@ -35,13 +37,13 @@
         expect(decodeReports(leases)).to.deep.equal([]);
     });
 
-    it("are taken from a box of an earlier release, which tells no levels", () => {
-        const told = { reports: [["club", 7, 5, 300]], leases: [["club", 12.345, 2, 1]] } as const;
-        expect(decodeReports(told)).to.deep.equal([{ ...report, unacknowledged: undefined, lastLevel: undefined }]);
-        expect(decodeLeases(told)).to.deep.equal([{ ...lease, level: undefined }]);
+    it("are accepted without levels, as boxes of an earlier release send them", () => {
+        const message = { reports: [["club", 7, 5, 300]], leases: [["club", 12.345, 2, 1]] } as const;
+        expect(decodeReports(message)).to.deep.equal([{ ...report, unacknowledged: undefined, lastLevel: undefined }]);
+        expect(decodeLeases(message)).to.deep.equal([{ ...lease, level: undefined }]);
     });
 
-    it("are refused with an entry that the box could not use", () => {
+    it("are rejected with a malformed entry", () => {
         for (const entry of [["club", 1, 1], ["club", 1, 1, "300"], [7, 1, 1, 300], {}, undefined]) {
             expect(isQuotaMessage({ reports: [entry] })).to.equal(false);
             expect(isQuotaMessage({ leases: [entry] })).to.equal(false);
@@ -51,7 +53,7 @@
         }
     });
 
-    it("never throw, whatever they hold", () => {
+    it("are validated without an exception, whatever they contain", () => {
         fc.assert(fc.property(fc.jsonValue(), value => {
             isQuotaMessage(value);
             isQuotaMessage({ reports: value });
--- a/packages/box/test/quota-metrics.test.ts
+++ b/packages/box/test/quota-metrics.test.ts
@@ -10,7 +10,7 @@
 });
 
 describe("metrics of customers", () => {
-    it("tell the quota, what was admitted and what was refused", () => {
+    it("show the quota and the admitted and refused requests", () => {
         expect(quotaMetricLines([counts("club", 7, 2)])).to.deep.equal([
             "chalkdale_customer_requests_total{customer=\"club\",outcome=\"admitted\"} 7",
             "chalkdale_customer_requests_total{customer=\"club\",outcome=\"quotaSpent\"} 2",
@@ -18,7 +18,7 @@
         ]);
     });
 
-    it("have a bounded number of series, the most refused first, and lose no count", () => {
+    it("have a bounded number of series, the most refused first, and lose no request", () => {
         const many = Array.from({ length: 1000 }, (_, index) => counts(`c-${index}`, 1, index));
         const lines = quotaMetricLines(many);
         expect(lines).to.have.length(303);
@@ -27,7 +27,7 @@
         expect(refused.reduce((sum, count) => sum + count, 0)).to.equal(999 * 500);
     });
 
-    it("take no label apart, whatever the name", () => {
+    it("escape the customer's name in the label", () => {
         expect(quotaMetricLines([counts("a\"b\\c", 1, 0)])[0]).to.include("customer=\"a\\\"b\\\\c\"");
     });
 });
