--- a/packages/box/src/quotas/customer-quotas.ts
+++ b/packages/box/src/quotas/customer-quotas.ts
@@ -81,7 +81,7 @@
 const unchangedTime = 600;
 /** Milliseconds since the last gossip round above which the process must have been paused: about three rounds. */
 const processPauseThreshold = 1000;
-/** Milliseconds after a process pause in which the queued datagrams are read, a few in each turn of the event loop. */
+/** Milliseconds after a process pause in which messages are ignored: the queued ones are read a few in each turn. */
 const backlogTime = 150;
 /**
  * Maximum entries of a datagram: about 80 bytes each with their levels; with the sender's record they fit the largest
--- a/packages/box/test/quota-messages.test.ts
+++ b/packages/box/test/quota-messages.test.ts
@@ -10,7 +10,7 @@
 } from "../src/quotas/quota-messages.js";
 
 /** Returns the value as another box receives it. */
-const received = <Value>(value: Value): Value => JSON.parse(JSON.stringify(value)) as Value;
+const transmit = <Value>(value: Value): Value => JSON.parse(JSON.stringify(value)) as Value;
 
 describe("messages about quotas", () => {
     const report = {
@@ -24,10 +24,10 @@
     const lease = { customer: customerId("club"), rate: 12.345, burst: 2, hasHeadroom: true, level: 40 };
 
     it("are decoded to the values that were encoded", () => {
-        const reports = received(
+        const reports = transmit(
             encodeReports([report, { ...report, customer: customerId("new"), lastLevel: undefined }]),
         );
-        const leases = received(encodeLeases([lease]));
+        const leases = transmit(encodeLeases([lease]));
         expect([reports, leases].every(isQuotaMessage)).to.equal(true);
         expect(decodeReports(reports)).to.deep.equal([
             report,
--- a/packages/box/test/quota-starts.test.ts
+++ b/packages/box/test/quota-starts.test.ts
@@ -190,7 +190,7 @@
         expect(refused).to.equal(0);
     });
 
-    it("is enforced while a customer requests far more and the coordinators' processes are paused", async () => {
+    it("is enforced while a customer far exceeds it and the coordinators' processes are paused", async () => {
         await play(3, 0, [0]);
         for (const pausedBox of [0, 1, 2, 3, 4, 5]) {
             await play(2, 120, [0, 1, 2, 3, 4, 5]);
@@ -203,7 +203,7 @@
     });
 
     for (const usedBoxes of [[0, 3], [0, 1, 2, 3, 4, 5]]) {
-        it(`is enforced while a customer requests far more and all boxes restart, on ${usedBoxes.length} of them`, async () => {
+        it(`is enforced when a customer far exceeds it and all boxes restart, on ${usedBoxes.length} of them`, async () => {
             await play(0.5, 0, [0]);
             await play(4, 1200, usedBoxes);
             boxes.forEach((_, index) => start(index));
