--- a/packages/box/src/rollouts/deciding-box-locator.ts
+++ b/packages/box/src/rollouts/deciding-box-locator.ts
@@ -1,9 +1,10 @@
 /**
- * Which box decides on a service's roll-out, found without an election: by
- * rendezvous hashing among the boxes that count quotas, of which all boxes find the
- * same ones. One of the strong boxes, as it takes a report of each box each 300 ms.
+ * Selects the deciding box of a service's roll-out without an election: by
+ * rendezvous hashing among the quota coordinators, which all boxes select alike.
+ * Only boxes of high capacity are eligible, since the deciding box receives a report
+ * from each box every 300 ms.
  *
- * Owns no state; relies on the members.
+ * Owns no state; relies on membership.
  */
 
 import { coordinatorFor, type CoordinatorSet, type Membership } from "@chalkdale/decisions";
@@ -13,7 +14,7 @@
     readonly self: BoxId;
     readonly membership: Pick<Membership, "find" | "ownRecord">;
     readonly coordinators: Pick<CoordinatorSet, "current">;
-    /** The store has confirmed the copy of the orders since this box started. */
+    /** True once the store has confirmed this box's copy of the orders since the box started. */
     readonly isCopyConfirmed: () => boolean;
     /** False once the box is stopping. */
     readonly isRunning: () => boolean;
@@ -21,39 +22,41 @@
     readonly uptime: () => Milliseconds;
 }
 
-/** The search for the deciding box. */
+/** Finds the deciding boxes of services, as this box sees them. */
 export interface DecidingBoxLocator {
-    /** The box that decides on a service; undefined while none is found. */
+    /** The deciding box of a service; undefined while this box knows no coordinators. */
     readonly of: (service: ServiceId) => BoxId | undefined;
-    /** True while this box decides on a service. */
+    /** True while this box is the deciding box of a service. */
     readonly isSelf: (service: ServiceId) => boolean;
-    /** The boxes that would be next. */
+    /** The next boxes in the ranking, which write states that the deciding box can't write. */
     readonly backupBoxes: (service: ServiceId) => readonly BoxId[];
 }
 
 /**
- * Milliseconds after the start in which a box does not decide: it may not know yet who else runs, and take itself for the only
- * one. Five rounds of gossip, as for quotas.
+ * Milliseconds after its start during which a box does not decide: it may not have heard of the other boxes yet and
+ * would act as the only one. Five gossip rounds, as for quotas.
  */
 const settleTime = 1500;
-/** Part of the greatest capacity from which a box may decide: with 70 boxes some 0.15 MB/s of reports come in. Computed. */
-const strongPart = 0.5;
-/** Boxes that are asked to write what the deciding box can't. */
-const deputyCount = 2;
+/**
+ * Fraction of the greatest capacity from which a box is eligible: with 70 boxes it receives about 0.15 MB/s of reports.
+ */
+const eligibleCapacityFraction = 0.5;
+/** Boxes that are asked to write states that the deciding box can't write. */
+const backupBoxCount = 2;
 
-/** Creates the search. */
+/** Creates the locator of one box. */
 export function createDecidingBoxLocator(options: DecidingBoxLocatorOptions): DecidingBoxLocator {
-    const { coordinators: countingBoxes, membership, self } = options;
+    const { coordinators, membership, self } = options;
 
     return {
         of,
-        /** A box that has just started, or whose copy is not confirmed, may know an order as it was long ago. */
+        /** A box that has just started, or whose copy is not confirmed, may know an outdated state of an order. */
         isSelf: service =>
             options.isRunning() && options.uptime() >= settleTime && options.isCopyConfirmed() && of(service) === self,
         backupBoxes(service) {
             const found: BoxId[] = [];
-            let left = countingBoxes.current().filter(box => box !== of(service));
-            while (left.length > 0 && found.length < deputyCount) {
+            let left = coordinators.current().filter(box => box !== of(service));
+            while (left.length > 0 && found.length < backupBoxCount) {
                 const next = coordinatorFor(service, left)!;
                 found.push(next);
                 left = left.filter(box => box !== next);
@@ -63,9 +66,12 @@
     };
 
     function of(service: ServiceId): BoxId | undefined {
-        const candidates = countingBoxes.current();
-        const most = Math.max(0, ...candidates.map(capacityOf));
-        return coordinatorFor(service, candidates.filter(box => capacityOf(box) >= most * strongPart));
+        const candidates = coordinators.current();
+        const maxCapacity = Math.max(0, ...candidates.map(capacityOf));
+        return coordinatorFor(
+            service,
+            candidates.filter(box => capacityOf(box) >= maxCapacity * eligibleCapacityFraction),
+        );
     }
 
     function capacityOf(box: BoxId): number {
--- a/packages/box/src/rollouts/known-decisions.ts
+++ b/packages/box/src/rollouts/known-decisions.ts
@@ -1,52 +1,57 @@
 /**
- * Decisions on roll-outs that this box made or heard of, before or besides the
- * store.
+ * Remembers the decisions on roll-outs that this box made or received from other
+ * boxes, also before the store has them.
  *
- * Owns them for as long as the process runs, the latest ones; relies on whoever
- * asks to prefer what the store says.
+ * Owns the latest decisions for the lifetime of the process; relies on its callers
+ * to prefer the state in the store.
  */
 
 import { isSameRollout, type RolloutDecision, type RolloutId } from "@chalkdale/decisions";
 import { type Clock, type Milliseconds, milliseconds } from "@chalkdale/kernel";
 
 /**
- * Milliseconds for which news is repeated in gossip: 17 rounds reach every box of 740 several times. While the store does not
- * have the outcome it goes on: a box that was cut off, or has just started, would else take part in a trial that is over.
+ * Milliseconds for which a decision is repeated in gossip: 17 rounds reach every box of 740 several times. It is
+ * repeated for longer while the store lacks the outcome; otherwise a box that was cut off, or has just started, would
+ * take part in a trial that has ended.
  */
-const repeatedFor = milliseconds(5000);
-/** Decisions that are remembered, some 400 bytes each. */
-const mostRemembered = 64;
-/** News in one datagram: each is at most 400 bytes, and gossip must stay below 8 KB. */
-const mostTold = 4;
+const gossipDuration = milliseconds(5000);
+/** Maximum decisions that are remembered, about 400 bytes each. */
+const maxRemembered = 64;
+/** Maximum decisions in one datagram: each takes up to 400 bytes, and gossip must stay below 8 KB. */
+const maxGossiped = 4;
 
 /** The decisions that a box knows. */
 export interface KnownDecisions {
-    /** Takes a decision; true if it is the first one on this order. */
-    readonly add: (news: RolloutDecision) => boolean;
+    /** Remembers a decision; true if it is the first one on this order. Later ones are ignored. */
+    readonly add: (decision: RolloutDecision) => boolean;
     readonly decisionOf: (rollout: RolloutId) => RolloutDecision["decision"] | undefined;
     readonly find: (rollout: RolloutId) => RolloutDecision | undefined;
-    /** What is to be told on now. */
+    /** Decisions to repeat in gossip now. */
     readonly dueForGossip: () => readonly RolloutDecision[];
 }
 
-/** Creates it without any. `isOpen`: the store has no outcome of the order. */
+/**
+ * Creates an empty set of decisions.
+ *
+ * @param isOpen true while the store has no outcome of the order
+ */
 export function createKnownDecisions(clock: Clock, isOpen: (rollout: RolloutId) => boolean): KnownDecisions {
     let known: { readonly news: RolloutDecision; readonly at: Milliseconds; }[] = [];
     const find = (rollout: RolloutId) => known.find(({ news }) => isSameRollout(news.rollout, rollout))?.news;
 
     return {
-        add(news) {
-            if (find(news.rollout) !== undefined) {
+        add(decision) {
+            if (find(decision.rollout) !== undefined) {
                 return false;
             }
-            known = [{ news, at: clock() }, ...known].slice(0, mostRemembered);
+            known = [{ news: decision, at: clock() }, ...known].slice(0, maxRemembered);
             return true;
         },
         decisionOf: rollout => find(rollout)?.decision,
         find,
         dueForGossip: () =>
-            known.filter(({ at, news }) => clock() - at < repeatedFor || isOpen(news.rollout))
-                .slice(0, mostTold)
+            known.filter(({ at, news }) => clock() - at < gossipDuration || isOpen(news.rollout))
+                .slice(0, maxGossiped)
                 .map(({ news }) => news),
     };
 }
--- a/packages/box/src/rollouts/newest-orders.ts
+++ b/packages/box/src/rollouts/newest-orders.ts
@@ -1,30 +1,34 @@
 /**
- * The newest that a box knows of each order: its copy of the shared state, or
- * what the store answered to its own write, which the copy has only later.
+ * The newest known version of each order: from the box's copy of the shared state,
+ * or from the store's answer to one of its own writes, which reaches the copy later.
  *
- * Owns what the store answered; the copy belongs to the shared state.
+ * Owns the store's answers; the copy belongs to the shared state.
  */
 
 import type { RolloutOrder } from "@chalkdale/decisions";
 import type { ServiceId } from "@chalkdale/kernel";
 
-/** Orders by service. */
+/** The newest known order of each service. */
 export interface NewestOrders {
     readonly of: (service: ServiceId) => RolloutOrder | undefined;
     readonly all: () => readonly RolloutOrder[];
-    /** The copy has changed; these are all of its orders. */
+    /** Takes all orders of the copy after it has changed. */
     readonly onCopyChanged: (orders: readonly RolloutOrder[]) => void;
-    /** The store answered that it has the order so; undefined: that there is none. */
+    /** Takes the order that the store answered with; undefined if it has none. */
     readonly onStored: (service: ServiceId, order: RolloutOrder | undefined) => void;
 }
 
 interface StoredOrder {
     readonly order: RolloutOrder | undefined;
-    /** The copy's order at that time. */
+    /** The order in the copy at the time of the answer. */
     readonly copied: RolloutOrder | undefined;
 }
 
-/** Creates it without orders; `identify` returns an order under the identity by which boxes know it. */
+/**
+ * Creates an empty set of orders.
+ *
+ * @param identify returns an order under the identity by which boxes know it, see `OrderHistory`
+ */
 export function createNewestOrders(identify: (order: RolloutOrder) => RolloutOrder): NewestOrders {
     let copy = new Map<ServiceId, RolloutOrder>();
     const stored = new Map<ServiceId, StoredOrder>();
--- a/packages/box/src/rollouts/outcome-writes.ts
+++ b/packages/box/src/rollouts/outcome-writes.ts
@@ -1,9 +1,10 @@
 /**
- * Who writes an order's state besides its decider: a box that the decider asks,
- * as the store turns the decider away, and the decider's successor, when news of an
- * outcome was told and the store does not have it.
+ * Writes states of orders that this box's own deciders do not write: for a deciding
+ * box that asks for it because the store does not serve it, and, as the deciding
+ * box's successor, outcomes that were announced and that the store lacks.
  *
- * Owns no state; relies on the writer, and on the store's revision for one outcome.
+ * Owns no state; relies on the writer, and on the store's revisions, by which only
+ * one outcome is written.
  */
 
 import { isSameRollout, type RolloutId, type RolloutOrder } from "@chalkdale/decisions";
@@ -18,40 +19,46 @@
     readonly writer: RolloutWriter;
     readonly orders: Pick<NewestOrders, "of">;
     readonly news: Pick<KnownDecisions, "decisionOf">;
-    readonly decidingBox: Pick<DecidingBoxLocator, "isSelf">;
-    /** Time since the store confirmed the copy of the orders, to this box or through another; undefined if it never did. */
+    readonly decidingBoxLocator: Pick<DecidingBoxLocator, "isSelf">;
+    /**
+     * Time since the store confirmed the copy of the orders, directly or through another box; undefined if it never
+     * did.
+     */
     readonly copyAge: () => Milliseconds | undefined;
-    /** False while this box calls the store and it does not answer. */
+    /** False while this box follows the store itself and gets no answers. */
     readonly isStoreAnswering: () => boolean;
 }
 
-/** The writes of one box that its deciders do not ask for. */
+/** The writes of one box besides those of its deciders. */
 export interface OutcomeWrites {
-    /** True while some box can write, this one or others. */
+    /** True while this box or another one can write. */
     readonly isStoreReachable: (service: ServiceId) => boolean;
-    /** True for an order whose outcome the store has. */
+    /** True if the store has an outcome of the order. */
     readonly isDecidedInStore: (rollout: RolloutId) => boolean;
-    /** Writes what the deciding box can't, as long as the order is the one that it knew. */
+    /** Writes a state on request of the deciding box, if the order is still the one in the request. */
     readonly writeOnRequest: (entry: WriteRequestEntry) => void;
     /**
-     * A decider may end between its news and its write, and the store may lose what was written; then boxes report no more, and whoever
-     * decides goes by the news.
+     * Writes the known decision on an order if the store lacks it and this box is the deciding box. A deciding box may
+     * fail between its announcement and its write, and the store may lose a written outcome; boxes no longer report on
+     * a decided order by then, so the deciding box relies on the decision that it knows.
      */
     readonly writeKnownDecision: (order: RolloutOrder) => void;
 }
 
 /**
- * Age in milliseconds up to which a copy that others confirmed shows that the store answers them, while it turns this box away.
+ * Maximum age of the copy in milliseconds at which the store must be serving other boxes, even if it does not serve
+ * this one.
  */
-const freshCopy = 2000;
+const maxFreshCopyAge = 2000;
 
-/** Creates the writes. */
+/** Creates the outcome writes of one box. */
 export function createOutcomeWrites(options: OutcomeWritesOptions): OutcomeWrites {
-    const { decidingBox, news, orders, writer } = options;
+    const { decidingBoxLocator, news: knownDecisions, orders, writer } = options;
 
     return {
         isStoreReachable: service =>
-            options.isStoreAnswering() && !writer.isFailing(service) || (options.copyAge() ?? Infinity) < freshCopy,
+            options.isStoreAnswering() && !writer.isFailing(service)
+            || (options.copyAge() ?? Infinity) < maxFreshCopyAge,
         isDecidedInStore,
         writeOnRequest(entry) {
             const { rollout, state } = decodeWriteRequest(entry);
@@ -59,14 +66,14 @@
             if (order === undefined || !isSameRollout(order, rollout) || isDecidedInStore(rollout)) {
                 return;
             }
-            // A message that was overtaken by the news of a roll-back must not complete the order.
-            if (state !== "completed" || news.decisionOf(order) !== "rolledBack") {
+            // A request that arrives after the announcement of a roll-back must not complete the order.
+            if (state !== "completed" || knownDecisions.decisionOf(order) !== "rolledBack") {
                 writer.write(order, state);
             }
         },
         writeKnownDecision(order) {
-            const decision = news.decisionOf(order);
-            if (decision !== undefined && !isDecidedInStore(order) && decidingBox.isSelf(order.service)) {
+            const decision = knownDecisions.decisionOf(order);
+            if (decision !== undefined && !isDecidedInStore(order) && decidingBoxLocator.isSelf(order.service)) {
                 writer.write(order, decision);
             }
         },
--- a/packages/box/src/rollouts/report-deltas.ts
+++ b/packages/box/src/rollouts/report-deltas.ts
@@ -1,87 +1,91 @@
 /**
- * Evidence between boxes as what has changed: of some 50 cells a report each
- * 300 ms repeats hardly ten. Counts are cumulative, so a cell that comes twice
- * changes nothing, and one that was lost comes again.
+ * Delta encoding of the evidence in reports: of about 50 cells fewer than ten change
+ * between two reports, 300 ms apart. Counts are cumulative, so a repeated cell
+ * changes nothing, and a lost one is sent again.
  *
- * Owns what was told last, and what each box told.
+ * Owns the cells that were sent last, and the cells received from each box.
  */
 
 import type { EvidenceCell, RolloutId, RolloutReport } from "@chalkdale/decisions";
 import type { BoxId } from "@chalkdale/kernel";
 
-/** Reports in which a changed cell is told, so that a lost datagram costs a report's time. */
-const toldTimes = 2;
-/** Reports after which all cells are told again, for a box that takes over or missed some: 3 s. */
-const wholeEvery = 10;
+/** Reports that contain a changed cell, so a lost datagram delays it by only one report. */
+const sendsPerChange = 2;
+/** Reports from one with all cells to the next, for a new deciding box or one that missed some: 3 s. */
+const fullReportInterval = 10;
 
-/** Returns the function that picks the cells of the next report to a box. */
-export function createChangedCellSelector(): (cells: readonly EvidenceCell[], to: BoxId) => readonly EvidenceCell[] {
-    const told = new Map<string, { cell: EvidenceCell; times: number; }>();
-    let toldTo: BoxId | undefined;
-    let reports = 0;
+/** Returns a function that selects the cells for the next report to a box: those that changed, or all of them. */
+export function createChangedCellSelector(): (
+    cells: readonly EvidenceCell[],
+    recipient: BoxId,
+) => readonly EvidenceCell[] {
+    const lastSent = new Map<string, { cell: EvidenceCell; sendCount: number; }>();
+    let lastRecipient: BoxId | undefined;
+    let reportCount = 0;
 
-    return function pick(cells, to) {
-        const isWhole = to !== toldTo || reports % wholeEvery === 0;
-        toldTo = to;
-        reports += 1;
+    return function selectChangedCells(cells, recipient) {
+        const isFull = recipient !== lastRecipient || reportCount % fullReportInterval === 0;
+        lastRecipient = recipient;
+        reportCount += 1;
         return cells.filter(cell => {
-            const name = nameOf(cell);
-            const last = told.get(name);
-            const times = last !== undefined && isSame(last.cell, cell) ? last.times + 1 : 1;
-            told.set(name, { cell, times });
-            return isWhole || times <= toldTimes;
+            const key = keyOf(cell);
+            const last = lastSent.get(key);
+            const sendCount = last !== undefined && isSame(last.cell, cell) ? last.sendCount + 1 : 1;
+            lastSent.set(key, { cell, sendCount });
+            return isFull || sendCount <= sendsPerChange;
         });
     };
 }
 
-/** Puts the reports of boxes together again. */
+/** Restores full reports from those that contain only changed cells. */
 export interface ReportAssembler {
-    /** Returns a report with all cells that the box has told; a new life of a box begins anew. */
+    /** Returns a report with all cells received from the box; a new incarnation of a box starts without any. */
     readonly complete: (box: BoxId, report: RolloutReport) => RolloutReport;
-    /** Forgets what was told of other orders: 740 boxes with 64 cells each take 3.7 MB (counted on the heap). */
+    /** Forgets the cells of all other orders: those of 740 boxes with 64 cells each take 3.7 MB of heap. */
     readonly keepOnly: (isOpen: (rollout: RolloutId) => boolean) => void;
 }
 
-/** What one box told of one order. */
-interface ToldReport {
+/** The cells received from one box on one order. */
+interface ReceivedCells {
+    /** Incarnation of the box, and identity of the order. */
     readonly life: string;
     readonly rollout: RolloutId;
     readonly cells: Map<string, EvidenceCell>;
 }
 
-/** Creates it; nothing was told yet. */
+/** Creates an assembler without any received cells. */
 export function createReportAssembler(): ReportAssembler {
     /** By box and service. */
-    const known = new Map<string, ToldReport>();
+    const known = new Map<string, ReceivedCells>();
 
     return {
         complete(box, report) {
             const { createdAt, service, targetVersion } = report.rollout;
-            const name = `${box} ${service}`;
+            const key = `${box} ${service}`;
             const life = `${report.incarnation} ${targetVersion} ${createdAt}`;
-            const last = known.get(name);
+            const last = known.get(key);
             const cells = last?.life === life ? last.cells : new Map<string, EvidenceCell>();
-            known.set(name, { life, rollout: report.rollout, cells });
+            known.set(key, { life, rollout: report.rollout, cells });
             for (const cell of report.cells) {
-                const cellName = nameOf(cell);
-                // Datagrams may overtake each other.
-                if (cell.answers >= (cells.get(cellName)?.answers ?? 0)) {
-                    cells.set(cellName, cell);
+                const cellKey = keyOf(cell);
+                // Datagrams may arrive out of order.
+                if (cell.answers >= (cells.get(cellKey)?.answers ?? 0)) {
+                    cells.set(cellKey, cell);
                 }
             }
             return { ...report, cells: [...cells.values()] };
         },
         keepOnly(isOpen) {
-            for (const [name, { rollout }] of known) {
+            for (const [key, { rollout }] of known) {
                 if (!isOpen(rollout)) {
-                    known.delete(name);
+                    known.delete(key);
                 }
             }
         },
     };
 }
 
-function nameOf({ group, isTrial, route }: EvidenceCell): string {
+function keyOf({ group, isTrial, route }: EvidenceCell): string {
     return `${isTrial ? "trial" : "proven"} ${group} ${route}`;
 }
 
--- a/packages/box/src/rollouts/rollout-deciders.ts
+++ b/packages/box/src/rollouts/rollout-deciders.ts
@@ -1,9 +1,10 @@
 /**
- * The deciding box's work: takes the reports of all boxes on an order, grants
- * them their parts, and has the decider's steps carried out.
+ * Runs the deciders of the roll-outs for which this box is the deciding box: takes
+ * the reports of all boxes on an order, answers with their grants, and performs the
+ * decider's actions.
  *
- * Owns the deciders of the services that this box decides for; all of it may be
- * lost. Relies on the boxes' reports, which say everything anew.
+ * Owns the deciders; all of them may be lost. Relies on the boxes' reports, whose
+ * counts are cumulative, to rebuild them.
  */
 
 import {
@@ -38,70 +39,75 @@
     readonly writer: RolloutWriter;
     /** Servers of the order's target that are listed. */
     readonly serverCount: (order: RolloutOrder) => number;
-    /** True while this box decides for a service. */
+    /** True while this box is the deciding box of a service. */
     readonly isDecider: (service: ServiceId) => boolean;
-    /** A decision on the order is known already; whoever made it has it written. */
-    /** True if the store has had the order running. */
+    /** True if the store has had the order in state `running`. */
     readonly hasRun: (order: RolloutOrder) => boolean;
+    /** True if a decision on the order is known already; `OutcomeWrites` writes it if the store lacks it. */
     readonly isDecided: (order: RolloutOrder) => boolean;
     readonly isStoreReachable: (service: ServiceId) => boolean;
     readonly sendGrant: (box: BoxId, grant: RolloutGrant) => void;
-    /** Other boxes are to write a state that this one can't. */
+    /** Asks the backup boxes to write a state that this box can't write. */
     readonly askBackupBoxes: (order: RolloutOrder, state: RolloutState) => void;
-    /** A decision is to be told to all boxes at once. */
-    readonly announce: (news: RolloutDecision) => void;
+    /** Sends a decision to all boxes at once. */
+    readonly announce: (decision: RolloutDecision) => void;
 }
 
 /** The deciders of a box. */
 export interface RolloutDeciders {
-    /** True if this box decides on the order. */
+    /** True if this box is the deciding box of the order. */
     readonly decidesOn: (rollout: RolloutId) => boolean;
-    /** Returns the part of the box that reported; undefined if this box does not decide on the order. */
+    /**
+     * Takes a report and returns the grant of the box that sent it; undefined if this box does not decide on the order.
+     */
     readonly onReport: (box: BoxId, report: RolloutReport) => RolloutGrant | undefined;
-    /** Carries out what is due. Due several times a second. */
+    /** Runs one step of each decider. Called several times a second. */
     readonly step: () => void;
-    /** What is decided on a service here, if anything is. */
+    /** Status of the service's decider on this box; undefined if there is none. */
     readonly status: (service: ServiceId) => RolloutStatus | undefined;
 }
 
-interface Decided {
+interface ActiveDecider {
     readonly order: RolloutOrder;
     readonly decider: RolloutDecider;
-    /** What the last line in the log told. */
+    /** Stage in the last log line. */
     loggedStage: RolloutStatus["stage"] | undefined;
-    isTold: boolean;
+    isAnnounced: boolean;
 }
 
-/** Milliseconds between two requests to other boxes to write what this one can't: the longest pause of their writes. */
-const askInterval = 1200;
+/** Milliseconds between two requests to the backup boxes to write a state: the maximum back-off of their writes. */
+const backupRequestInterval = 1200;
 
-/** Creates it; nothing is decided here yet. */
+/** Creates the deciders of a box; there are none at first. */
 export function createRolloutDeciders(options: RolloutDecidersOptions): RolloutDeciders {
     const { clock, log, orders, trials } = options;
-    const deciders = new Map<ServiceId, Decided>();
-    let askAgainAt = -Infinity;
+    const deciders = new Map<ServiceId, ActiveDecider>();
+    let nextBackupRequestAt = -Infinity;
 
     return {
-        decidesOn: rollout => entryOn(rollout) !== undefined,
-        onReport: (box, report) => entryOn(report.rollout)?.decider.onReport(box, report, clock()),
+        decidesOn: rollout => deciderOn(rollout) !== undefined,
+        onReport: (box, report) => deciderOn(report.rollout)?.decider.onReport(box, report, clock()),
         step() {
             for (const service of [...deciders.keys()]) {
-                const entry = entryFor(service);
-                if (entry !== undefined) {
-                    stepOne(entry);
+                const active = deciderFor(service);
+                if (active !== undefined) {
+                    stepOne(active);
                 }
             }
         },
         status: service => deciders.get(service)?.decider.status(clock()),
     };
 
-    function entryOn(rollout: RolloutId): Decided | undefined {
-        const entry = entryFor(rollout.service);
-        return entry !== undefined && isSameRollout(entry.order, rollout) ? entry : undefined;
+    function deciderOn(rollout: RolloutId): ActiveDecider | undefined {
+        const active = deciderFor(rollout.service);
+        return active !== undefined && isSameRollout(active.order, rollout) ? active : undefined;
     }
 
-    /** A decider that is not asked for a while, or on another order, starts anew: another box may have decided meanwhile. */
-    function entryFor(service: ServiceId): Decided | undefined {
+    /**
+     * Returns the decider of a service's order, created if there is none. A decider of another order is replaced, and
+     * it is dropped once this box is not the deciding box: another box may decide meanwhile.
+     */
+    function deciderFor(service: ServiceId): ActiveDecider | undefined {
         const order = orders.of(service);
         const known = deciders.get(service);
         if (order === undefined || !options.isDecider(service)) {
@@ -115,12 +121,12 @@
             deciders.delete(service);
             return undefined;
         }
-        const entry = createEntry(order);
-        deciders.set(service, entry);
-        return entry;
+        const active = startDecider(order);
+        deciders.set(service, active);
+        return active;
     }
 
-    function createEntry(order: RolloutOrder): Decided {
+    function startDecider(order: RolloutOrder): ActiveDecider {
         const { service, targetVersion } = order;
         const at = clock();
         const age = trials.of(service)?.traffic.age(at);
@@ -138,11 +144,11 @@
             hasRun: options.hasRun(order),
             serverCount: () => options.serverCount(order),
         });
-        return { order, decider, loggedStage: undefined, isTold: false };
+        return { order, decider, loggedStage: undefined, isAnnounced: false };
     }
 
-    function stepOne(entry: Decided): void {
-        const { decider, order: { service } } = entry;
+    function stepOne(active: ActiveDecider): void {
+        const { decider, order: { service } } = active;
         const order = orders.of(service);
         if (order === undefined) {
             return;
@@ -152,17 +158,17 @@
             isStoreReachable: options.isStoreReachable(service),
             isTargetProven: options.versions.isTargetProven(service),
         });
-        carryOut(action, order);
+        perform(action, order);
         decider.grantsToPush().forEach(({ box, grant }) => options.sendGrant(box, grant));
-        logStage(entry, order);
-        const news = decider.news();
-        if (news !== undefined && !entry.isTold) {
-            entry.isTold = true;
-            options.announce(news);
+        logStage(active, order);
+        const decision = decider.news();
+        if (decision !== undefined && !active.isAnnounced) {
+            active.isAnnounced = true;
+            options.announce(decision);
         }
     }
 
-    function carryOut(action: RolloutAction, order: RolloutOrder): void {
+    function perform(action: RolloutAction, order: RolloutOrder): void {
         switch (action.kind) {
             case "none":
                 return;
@@ -181,20 +187,20 @@
     function write(order: RolloutOrder, state: RolloutState): void {
         const { writer } = options;
         writer.write(order, state);
-        if (writer.isFailing(order.service) && clock() >= askAgainAt) {
-            askAgainAt = clock() + askInterval;
+        if (writer.isFailing(order.service) && clock() >= nextBackupRequestAt) {
+            nextBackupRequestAt = clock() + backupRequestInterval;
             options.askBackupBoxes(order, state);
         }
     }
 
-    /** One line for each stage, with the figures that decided. */
-    function logStage(entry: Decided, { service, state, targetVersion }: RolloutOrder): void {
-        const status = entry.decider.status(clock());
-        if (status.stage === entry.loggedStage) {
+    /** Writes one log line for each stage, with the figures that led to it. */
+    function logStage(active: ActiveDecider, { service, state, targetVersion }: RolloutOrder): void {
+        const status = active.decider.status(clock());
+        if (status.stage === active.loggedStage) {
             return;
         }
-        entry.loggedStage = status.stage;
-        const { age, allowed, plan, reason, sent, sentToTrial, grantedTotal: total, verdict } = status;
+        active.loggedStage = status.stage;
+        const { age, allowed, plan, reason, sent, sentToTrial, grantedTotal, verdict } = status;
         log.info(stageEvents[status.stage], {
             service,
             targetVersion,
@@ -204,7 +210,7 @@
             moveAt: Math.round(plan.moveAt),
             sent,
             sentToTrial,
-            granted: total,
+            granted: grantedTotal,
             allowed: Math.floor(allowed),
         });
     }
--- a/packages/box/src/rollouts/rollout-message-validation.ts
+++ b/packages/box/src/rollouts/rollout-message-validation.ts
@@ -1,35 +1,36 @@
 /**
- * The check in full of what other boxes send about roll-outs.
+ * Validates in full what other boxes send about roll-outs.
  *
- * Owns nothing.
+ * Owns no state.
  */
 
 import type { RolloutStage, RolloutState } from "@chalkdale/decisions";
 import { maxReasonLength, maxReportCells, type RolloutMessage, unknownGrantedTotal } from "./rollout-messages.js";
 
-/** Servers are grouped by hash into so many groups. */
+/** Groups into which servers are divided by hash. */
 const groupCount = 8;
 const states: readonly RolloutState[] = ["running", "completed", "rolledBack"];
 const stages: readonly RolloutStage[] = ["watching", "moving", "completed", "rolledBack"];
 
-/** True for a part as boxes send it. */
+/** Validates the roll-out part of a received datagram. */
 export function isRolloutMessage(value: unknown): value is RolloutMessage {
     const { grant, news, report, wanted } = (value ?? {}) as Partial<Record<keyof RolloutMessage, unknown>>;
     return typeof value === "object" && value !== null
         && (report === undefined || isReport(report))
         && (grant === undefined || isGrant(grant))
-        && (wanted === undefined || isWanted(wanted))
-        && (news === undefined || Array.isArray(news) && news.every(isNews));
+        && (wanted === undefined || isWriteRequest(wanted))
+        && (news === undefined || Array.isArray(news) && news.every(isDecision));
 }
 
 function isReport(value: unknown): boolean {
     if (!Array.isArray(value) || value.length !== 9) {
         return false;
     }
-    const [id, incarnation, sent, sentToTrial, inProgressElsewhere, cap, knownTotal, age, cells] = value as unknown[];
+    const [id, incarnation, sent, sentToTrial, inProgressOnOtherVersions, cap, knownGrantedTotal, age, cells] =
+        value as unknown[];
     return isId(id) && typeof incarnation === "string"
-        && [sent, sentToTrial, inProgressElsewhere, cap, age].every(isCount)
-        && (knownTotal === unknownGrantedTotal || isCount(knownTotal))
+        && [sent, sentToTrial, inProgressOnOtherVersions, cap, age].every(isCount)
+        && (knownGrantedTotal === unknownGrantedTotal || isCount(knownGrantedTotal))
         && Array.isArray(cells) && cells.length <= maxReportCells && cells.every(isCell);
 }
 
@@ -47,15 +48,15 @@
     if (!Array.isArray(value) || value.length !== 7) {
         return false;
     }
-    const [id, stage, ...figures] = value as unknown[];
-    return isId(id) && stages.some(name => name === stage) && figures.every(isCount);
+    const [id, stage, ...numbers] = value as unknown[];
+    return isId(id) && stages.some(name => name === stage) && numbers.every(isCount);
 }
 
-function isWanted(value: unknown): boolean {
+function isWriteRequest(value: unknown): boolean {
     return Array.isArray(value) && value.length === 2 && isId(value[0]) && states.some(state => state === value[1]);
 }
 
-function isNews(value: unknown): boolean {
+function isDecision(value: unknown): boolean {
     if (!Array.isArray(value) || value.length !== 3) {
         return false;
     }
--- a/packages/box/src/rollouts/rollout-messages.ts
+++ b/packages/box/src/rollouts/rollout-messages.ts
@@ -1,8 +1,9 @@
 /**
- * Reports, grants and news of roll-outs as boxes send them: short, since a
- * report has many figures and goes out several times a second.
+ * Encodes reports, grants, write requests and decisions of roll-outs for messages
+ * between boxes: as short tuples, since a report has many figures and is sent
+ * several times a second.
  *
- * Owns nothing; what arrives is checked in full before it is used.
+ * Owns no state; received messages are validated in full before they are used.
  */
 
 import type {
@@ -30,10 +31,10 @@
     incarnation: string,
     sent: number,
     sentToTrial: number,
-    inProgressElsewhere: number,
+    inProgressOnOtherVersions: number,
     cap: number,
     /** -1 before the first grant. */
-    knownTotal: number,
+    knownGrantedTotal: number,
     age: number,
     cells: readonly CellEntry[],
 ];
@@ -42,132 +43,133 @@
     stage: RolloutStage,
     cap: number,
     share: number,
-    sampledServers: number,
-    total: number,
+    sampledServerCount: number,
+    grantedTotal: number,
     age: number,
 ];
+/** A write request as sent: the order, and the state to write. */
 export type WriteRequestEntry = readonly [id: IdEntry, state: RolloutState];
-type NewsEntry = readonly [id: IdEntry, decision: RolloutDecision["decision"], reason: string];
+type DecisionEntry = readonly [id: IdEntry, decision: RolloutDecision["decision"], reason: string];
 
-/** The part of a datagram that is about roll-outs. */
+/** The roll-out part of a datagram between boxes. */
 export interface RolloutMessage {
-    /** For the deciding box of the service. */
+    /** Sent to the deciding box of the service. */
     readonly report?: ReportEntry;
-    /** Its answer. */
+    /** Sent by the deciding box in answer to a report, or after a change of stage. */
     readonly grant?: GrantEntry;
-    /** A state that the deciding box can't write, and the one that gets this may. */
+    /** A state that the deciding box can't write and asks the receiver to write. */
     readonly wanted?: WriteRequestEntry;
-    /** Decisions, from whoever knows them. */
-    readonly news?: readonly NewsEntry[];
+    /** Decisions, sent by any box that knows them. */
+    readonly news?: readonly DecisionEntry[];
 }
 
-/** Cells of one report at most, those with the most answers: some 40 bytes each, with the sender's record below 8 KB. */
+/** Maximum cells of a report, those with the most answers: about 40 bytes each, with the sender's record below 8 KB. */
 export const maxReportCells = 150;
-/** Characters of the reason of a decision at most; it is for the logs. */
+/** Maximum characters of a decision's reason, which is only logged and shown in metrics. */
 export const maxReasonLength = 300;
-/** Stands for a sum that is not known. */
+/** Stands for a granted total that is not known. */
 export const unknownGrantedTotal = -1;
 
-/** Shortens a report. */
+/** Encodes a report. */
 export function encodeReport(report: RolloutReport): ReportEntry {
     const {
         age,
         cap,
         cells,
         incarnation,
-        inProgressOnOtherVersions: inProgressElsewhere,
-        knownGrantedTotal: knownTotal,
+        inProgressOnOtherVersions,
+        knownGrantedTotal,
         rollout,
         sent,
         sentToTrial,
     } = report;
-    const told = cells.length <= maxReportCells
+    const sentCells = cells.length <= maxReportCells
         ? cells
         : [...cells].sort((a, b) => b.answers - a.answers).slice(0, maxReportCells);
     return [
-        idEntry(rollout),
+        encodeId(rollout),
         incarnation,
         sent,
         sentToTrial,
-        inProgressElsewhere,
+        inProgressOnOtherVersions,
         cap,
-        knownTotal ?? unknownGrantedTotal,
+        knownGrantedTotal ?? unknownGrantedTotal,
         Math.round(age),
-        told.map(cellEntry),
+        sentCells.map(encodeCell),
     ];
 }
 
-/** Shortens a grant. */
+/** Encodes a grant. */
 export function encodeGrant(
-    { age, cap, rollout, sampledServerCount: sampledServers, share, stage, grantedTotal: total }: RolloutGrant,
+    { age, cap, rollout, sampledServerCount, share, stage, grantedTotal }: RolloutGrant,
 ): GrantEntry {
-    return [idEntry(rollout), stage, cap, round(share), sampledServers, total, Math.round(age)];
+    return [encodeId(rollout), stage, cap, round(share), sampledServerCount, grantedTotal, Math.round(age)];
 }
 
-/** Shortens the wish that another box writes a state. */
+/** Encodes a request to another box to write a state. */
 export function encodeWriteRequest(rollout: RolloutId, state: RolloutState): WriteRequestEntry {
-    return [idEntry(rollout), state];
+    return [encodeId(rollout), state];
 }
 
-/** Returns the wish of an entry. */
+/** Decodes a write request. */
 export function decodeWriteRequest(
     [id, state]: WriteRequestEntry,
 ): { readonly rollout: RolloutId; readonly state: RolloutState; } {
-    return { rollout: readId(id), state };
+    return { rollout: decodeId(id), state };
 }
 
-/** Shortens news. */
-export function encodeDecision({ decision, reason, rollout }: RolloutDecision): NewsEntry {
-    return [idEntry(rollout), decision, reason.slice(0, maxReasonLength)];
+/** Encodes a decision, with its reason cut to the maximum length. */
+export function encodeDecision({ decision, reason, rollout }: RolloutDecision): DecisionEntry {
+    return [encodeId(rollout), decision, reason.slice(0, maxReasonLength)];
 }
 
-/** Returns the report of an entry. */
+/** Decodes a report. */
 export function decodeReport(entry: ReportEntry): RolloutReport {
-    const [id, incarnation, sent, sentToTrial, inProgressElsewhere, cap, knownTotal, age, cells] = entry;
+    const [id, incarnation, sent, sentToTrial, inProgressOnOtherVersions, cap, knownGrantedTotal, age, cells] = entry;
     return {
-        rollout: readId(id),
+        rollout: decodeId(id),
         incarnation: incarnationId(incarnation),
         sent,
         sentToTrial,
-        inProgressOnOtherVersions: inProgressElsewhere,
+        inProgressOnOtherVersions,
         cap,
-        knownGrantedTotal: knownTotal === unknownGrantedTotal ? undefined : knownTotal,
+        knownGrantedTotal: knownGrantedTotal === unknownGrantedTotal ? undefined : knownGrantedTotal,
         age: milliseconds(age),
-        cells: cells.map(readCell),
+        cells: cells.map(decodeCell),
     };
 }
 
-/** Returns the grant of an entry. */
-export function decodeGrant([id, stage, cap, share, sampledServers, total, age]: GrantEntry): RolloutGrant {
+/** Decodes a grant. */
+export function decodeGrant([id, stage, cap, share, sampledServerCount, grantedTotal, age]: GrantEntry): RolloutGrant {
     return {
-        rollout: readId(id),
+        rollout: decodeId(id),
         stage,
         cap,
         share,
-        sampledServerCount: sampledServers,
-        grantedTotal: total,
+        sampledServerCount,
+        grantedTotal,
         age: milliseconds(age),
     };
 }
 
-/** Returns the news of an entry. */
-export function decodeDecision([id, decision, reason]: NewsEntry): RolloutDecision {
-    return { rollout: readId(id), decision, reason };
+/** Decodes a decision. */
+export function decodeDecision([id, decision, reason]: DecisionEntry): RolloutDecision {
+    return { rollout: decodeId(id), decision, reason };
 }
 
-function idEntry({ createdAt, service, targetVersion }: RolloutId): IdEntry {
+function encodeId({ createdAt, service, targetVersion }: RolloutId): IdEntry {
     return [service, targetVersion, createdAt];
 }
 
-function readId([service, targetVersion, createdAt]: IdEntry): RolloutId {
+function decodeId([service, targetVersion, createdAt]: IdEntry): RolloutId {
     return { service: serviceId(service), targetVersion: serverVersion(targetVersion), createdAt };
 }
 
-function cellEntry({ answers, failures, group, isTrial, route, slownessSum }: EvidenceCell): CellEntry {
+function encodeCell({ answers, failures, group, isTrial, route, slownessSum }: EvidenceCell): CellEntry {
     return [isTrial ? 1 : 0, group, route, answers, failures, round(slownessSum)];
 }
 
-function readCell([isTrial, group, route, answers, failures, slownessSum]: CellEntry): EvidenceCell {
+function decodeCell([isTrial, group, route, answers, failures, slownessSum]: CellEntry): EvidenceCell {
     return { isTrial: isTrial === 1, group, route, answers, failures, slownessSum };
 }
 
--- a/packages/box/src/rollouts/rollout-metrics.ts
+++ b/packages/box/src/rollouts/rollout-metrics.ts
@@ -1,37 +1,37 @@
 /**
- * What a box tells of roll-outs, in the Prometheus text format: a bounded number
- * of series, whatever the number of orders and routes.
+ * Formats the roll-out metrics of a box in the Prometheus text format: a bounded
+ * number of series, whatever the number of orders and routes.
  *
- * Owns nothing; the counts are read when someone asks.
+ * Owns no state; the summaries are read when the metrics are requested.
  */
 
 import type { EvidenceCell, Route } from "@chalkdale/decisions";
 import { hashText } from "@chalkdale/kernel";
 import type { RolloutSummary } from "./rollouts.js";
 
-/** Orders with series of their own, the oldest first: some 60 lines of 100 bytes each at most. */
-const mostOrders = 20;
-/** Label of the routes that the evidence does not tell apart. */
+/** Maximum orders with series, the oldest first: up to about 60 lines of 100 bytes each. */
+const maxOrders = 20;
+/** Label of the routes that the evidence does not distinguish. */
 const otherRoutes = "(others)";
 
-/** Answers of one route at the version on trial, or at the servers it is compared with. */
+/** Answers of one route from the trial version, or from the servers that it is compared with. */
 interface RouteEvidence {
     answers: number;
     failures: number;
     slownessSum: number;
 }
 
-/** Returns the lines. */
-export function rolloutMetricLines(counts: readonly RolloutSummary[], routes: readonly Route[]): readonly string[] {
-    if (counts.length === 0) {
+/** Returns the metric lines; none without orders. */
+export function rolloutMetricLines(summaries: readonly RolloutSummary[], routes: readonly Route[]): readonly string[] {
+    if (summaries.length === 0) {
         return [];
     }
     const names = new Map(routes.map(({ name }) => [hashText(name), name]));
-    return counts.slice(0, mostOrders).flatMap(entry => linesOf(entry, names));
+    return summaries.slice(0, maxOrders).flatMap(summary => linesOf(summary, names));
 }
 
-function linesOf(entry: RolloutSummary, names: ReadonlyMap<number, string>): readonly string[] {
-    const { decider, news, order, provenVersion, report, traffic } = entry;
+function linesOf(summary: RolloutSummary, names: ReadonlyMap<number, string>): readonly string[] {
+    const { decider, news, order, provenVersion, report, traffic } = summary;
     const service = label("service", order.service);
     const state = [
         service,
--- a/packages/box/src/rollouts/rollout-writer.ts
+++ b/packages/box/src/rollouts/rollout-writer.ts
@@ -1,10 +1,10 @@
 /**
- * Writes the states of orders into the store: for each service one write at a
- * time, with a pause after one that failed. A write without an answer may be done
- * or be done later, so the order is read again before the next.
+ * Writes the states of orders into the store: one write at a time for each service,
+ * with a back-off after a failure. A write without an answer may have been applied
+ * or may still be applied, so the order is read again before the next write.
  *
- * Owns which writes are in progress; relies on the revision under which the store
- * writes, by which one of several writers wins.
+ * Owns which writes are in progress and the back-offs; relies on the store's check
+ * of revisions, by which one of several writers wins.
  */
 
 import {
@@ -24,16 +24,19 @@
     readonly random: () => number;
     readonly log: Log;
     readonly store: Pick<StateStore, "writeRolloutState" | "readRollout">;
-    /** The store has the order so; undefined: it has none. */
+    /** Called with the order as the store has it; undefined if it has none. */
     readonly onOrder: (service: ServiceId, order: RolloutOrder | undefined) => void;
     readonly signal: AbortSignal;
 }
 
 /** The writer of one box. */
 export interface RolloutWriter {
-    /** Begins to write a state, unless a write for the service is in progress or pauses. Whoever wants it written asks again. */
+    /**
+     * Starts to write a state, unless a write for the service is in progress or backs off. Callers repeat the call
+     * until it is written.
+     */
     readonly write: (order: RolloutOrder, state: RolloutState) => void;
-    /** True while the last call for a service failed. */
+    /** True if the last call of the store for a service failed. */
     readonly isFailing: (service: ServiceId) => boolean;
 }
 
@@ -56,13 +59,13 @@
                 return;
             }
             inProgress.add(service);
-            void carryOut(order, state).finally(() => inProgress.delete(service));
+            void writeState(order, state).finally(() => inProgress.delete(service));
         },
         isFailing: service => failures.has(service),
     };
 
     /** Never rejects. */
-    async function carryOut(order: RolloutOrder, state: RolloutState): Promise<void> {
+    async function writeState(order: RolloutOrder, state: RolloutState): Promise<void> {
         const { service, targetVersion } = order;
         try {
             if (failures.has(service) && !await isUnchanged(order)) {
@@ -80,7 +83,7 @@
         }
     }
 
-    /** Reads the order again; true if the write still applies to what the store has. */
+    /** Reads the order again; true if it still has the revision that the write is based on. */
     async function isUnchanged({ revision, service }: RolloutOrder): Promise<boolean> {
         const stored = await store.readRollout(service, signal);
         failures.delete(service);
--- a/packages/box/src/rollouts/rollouts.ts
+++ b/packages/box/src/rollouts/rollouts.ts
@@ -1,11 +1,11 @@
 /**
- * Carries out roll-outs on one box: takes part in the trials, reports to the
- * box that decides on a service, decides for some services itself, and tells
- * every decision it hears to others.
+ * Runs roll-outs on one box: takes part in the trials, reports to the deciding box
+ * of each service, is the deciding box of some services itself, and passes on the
+ * decisions that it receives.
  *
- * Owns the parts below; all of it may be lost with the process. Relies on the
- * members for who decides, and on the link between boxes for messages, any of
- * which may be lost: each report says everything anew.
+ * Owns the trials, deciders and known decisions; all of it may be lost with the
+ * process. Relies on membership to select the deciding box, and on the link between
+ * boxes for messages, any of which may be lost: counts in reports are cumulative.
  */
 
 import {
@@ -57,9 +57,12 @@
     readonly coordinators: Pick<CoordinatorSet, "current">;
     readonly catalog: ServerCatalog;
     readonly store: Pick<StateStore, "writeRolloutState" | "readRollout">;
-    /** Time since the store confirmed the copy of the orders, to this box or through another; undefined if it never did. */
+    /**
+     * Time since the store confirmed the copy of the orders, directly or through another box; undefined if it never
+     * did.
+     */
     readonly copyAge: () => Milliseconds | undefined;
-    /** False while this box calls the store and it does not answer. */
+    /** False while this box follows the store itself and gets no answers. */
     readonly isStoreAnswering: () => boolean;
     /** False once the box is stopping. */
     readonly isRunning: () => boolean;
@@ -71,11 +74,12 @@
 
 /** What a box knows of one roll-out, for metrics. */
 export interface RolloutSummary extends Trial {
-    /** The last report on it; undefined before the first. */
+    /** The last report of this box on it; undefined before the first. */
     readonly report: RolloutReport | undefined;
     readonly provenVersion: string | undefined;
-    /** What this box decides on, if it does. */
+    /** Status of the decider, if this box is the deciding box. */
     readonly decider: ReturnType<ReturnType<typeof createRolloutDeciders>["status"]>;
+    /** The decision on it, if this box knows one. */
     readonly news: RolloutDecision | undefined;
 }
 
@@ -83,14 +87,14 @@
 export interface Rollouts {
     readonly versions: ServedVersions;
     readonly requests: Trials;
-    /** The copy of the orders has changed; these are all of them. */
+    /** Takes all orders of the copy after it has changed. */
     readonly onOrders: (orders: readonly RolloutOrder[]) => void;
-    /** One round of reports. Due with each round of gossip. */
+    /** Sends one round of reports. Called in each gossip round. */
     readonly onGossipRound: () => void;
-    /** One step of the deciders. Due several times a second. */
+    /** Runs one step of the deciders. Called several times a second. */
     readonly step: () => void;
     readonly onMessage: (from: MemberRecord, message: RolloutMessage) => void;
-    /** What gossip repeats now; undefined if there is nothing. */
+    /** Decisions to repeat in gossip now; undefined if there are none. */
     readonly gossipPayload: () => RolloutMessage | undefined;
     readonly summaries: () => readonly RolloutSummary[];
 }
@@ -98,77 +102,77 @@
 /** Creates the roll-outs of a box; no order is known yet. */
 export function createRollouts(options: RolloutsOptions): Rollouts {
     const { clock, log, membership, self } = options;
-    const restoredOrders = createOrderHistory();
-    const orders = createNewestOrders(restoredOrders.withKnownIdentity);
-    const knownNews = createKnownDecisions(clock, isOpen);
-    const wholeReports = createReportAssembler();
+    const orderHistory = createOrderHistory();
+    const orders = createNewestOrders(orderHistory.withKnownIdentity);
+    const knownDecisions = createKnownDecisions(clock, isOpen);
+    const reportAssembler = createReportAssembler();
     const lastReports = new Map<ServiceId, RolloutReport>();
     const versions: ServedVersions = createServedVersions({
         catalog: options.catalog,
         now: clock,
         orderOf: orders.of,
-        decisionOf: knownNews.decisionOf,
+        decisionOf: knownDecisions.decisionOf,
         sampledServerCount: service => trials.of(service)?.traffic.sampledServerCount() ?? 0,
     });
-    const trials = createTrials({ ...options, orders, news: knownNews, versions });
+    const trials = createTrials({ ...options, orders, news: knownDecisions, versions });
     const writer = createRolloutWriter({
         ...options,
         onOrder(service, order) {
             if (order !== undefined) {
-                restoredOrders.onStoredOrder(order, clock());
+                orderHistory.onStoredOrder(order, clock());
             }
             orders.onStored(service, order);
             refresh();
         },
     });
-    const decidingBox = createDecidingBoxLocator({
+    const decidingBoxLocator = createDecidingBoxLocator({
         ...options,
         isCopyConfirmed: () => options.copyAge() !== undefined,
     });
-    const outcomes = createOutcomeWrites({ ...options, writer, orders, news: knownNews, decidingBox });
-    const deciding = createRolloutDeciders({
+    const outcomes = createOutcomeWrites({ ...options, writer, orders, news: knownDecisions, decidingBoxLocator });
+    const deciders = createRolloutDeciders({
         ...options,
         orders,
         trials,
         versions,
         writer,
-        hasRun: restoredOrders.hasRun,
-        isDecided: order => knownNews.find(order) !== undefined,
+        hasRun: orderHistory.hasRun,
+        isDecided: order => knownDecisions.find(order) !== undefined,
         serverCount,
-        isDecider: decidingBox.isSelf,
+        isDecider: decidingBoxLocator.isSelf,
         isStoreReachable: outcomes.isStoreReachable,
         askBackupBoxes(order, state) {
             const wanted = encodeWriteRequest(order, state);
-            decidingBox.backupBoxes(order.service).forEach(box => sendTo(box, { wanted }));
+            decidingBoxLocator.backupBoxes(order.service).forEach(box => sendTo(box, { wanted }));
         },
         sendGrant,
-        announce: tell,
+        announce,
     });
 
     return {
         versions,
         requests: trials,
         onOrders(copied) {
-            restoredOrders.keepOnly(new Set(copied.map(({ service }) => service)));
-            copied.forEach(order => restoredOrders.onStoredOrder(order, clock()));
+            orderHistory.keepOnly(new Set(copied.map(({ service }) => service)));
+            copied.forEach(order => orderHistory.onStoredOrder(order, clock()));
             orders.onCopyChanged(copied);
-            orders.all().forEach(learnLostOutcome);
-            wholeReports.keepOnly(isOpen);
+            orders.all().forEach(restoreLostOutcome);
+            reportAssembler.keepOnly(isOpen);
             refresh();
         },
         onGossipRound() {
             versions.refresh();
-            trials.all().forEach(report);
+            trials.all().forEach(sendReport);
         },
         step() {
-            deciding.step();
+            deciders.step();
             trials.all().forEach(({ order }) => outcomes.writeKnownDecision(order));
         },
         onMessage(from, message) {
             if (message.report !== undefined) {
-                const told = decodeReport(message.report);
-                adoptIdentity(told.rollout);
-                onReport(from, told);
+                const report = decodeReport(message.report);
+                adoptIdentity(report.rollout);
+                onReport(from, report);
             }
             if (message.grant !== undefined) {
                 const grant = decodeGrant(message.grant);
@@ -178,34 +182,37 @@
             if (message.wanted !== undefined) {
                 outcomes.writeOnRequest(message.wanted);
             }
-            (message.news ?? []).map(decodeDecision).forEach(news => learn(news, from.box));
+            (message.news ?? []).map(decodeDecision).forEach(decision => applyDecision(decision, from.box));
         },
         gossipPayload() {
-            const news = knownNews.dueForGossip();
-            return news.length === 0 ? undefined : { news: news.map(encodeDecision) };
+            const decisions = knownDecisions.dueForGossip();
+            return decisions.length === 0 ? undefined : { news: decisions.map(encodeDecision) };
         },
         summaries: () =>
             trials.all().map(trial => ({
                 ...trial,
                 report: lastReports.get(trial.order.service),
                 provenVersion: versions.provenVersion(trial.order.service),
-                decider: deciding.status(trial.order.service),
-                news: knownNews.find(trial.order),
+                decider: deciders.status(trial.order.service),
+                news: knownDecisions.find(trial.order),
             })),
     };
 
-    /** An outcome holds though the store has lost it: it is told as if it had just been decided, and written again. */
-    function learnLostOutcome(order: RolloutOrder): void {
-        const decision = restoredOrders.outcomeOf(order);
-        if (decision !== undefined) {
+    /** An outcome stays valid when the store has lost it: it is gossiped like a new decision, and written again. */
+    function restoreLostOutcome(order: RolloutOrder): void {
+        const outcome = orderHistory.outcomeOf(order);
+        if (outcome !== undefined) {
             const { createdAt, service, targetVersion } = order;
-            learn({ rollout: { createdAt, service, targetVersion }, decision, reason: "lost by the store" }, self);
+            applyDecision(
+                { rollout: { createdAt, service, targetVersion }, decision: outcome, reason: "lost by the store" },
+                self,
+            );
         }
     }
 
-    /** The box that speaks of the roll-out knew it before the store lost it. */
+    /** Adopts the identity under which the sender of a message knows the order, from before the store lost it. */
     function adoptIdentity(rollout: RolloutId): void {
-        if (restoredOrders.adoptIdentity(rollout, clock())) {
+        if (orderHistory.adoptIdentity(rollout, clock())) {
             log.info("rollout.identified", { ...rollout });
             refresh();
         }
@@ -216,17 +223,19 @@
         versions.refresh();
     }
 
-    /** A box that reports on what is decided is told so: it was cut off, or has just started. */
-    function onReport(from: MemberRecord, told: RolloutReport): void {
-        const news = knownNews.find(told.rollout);
-        if (news !== undefined) {
-            options.send(from, { news: [encodeDecision(news)] });
+    /**
+     * Handles a report. A box that reports on a decided order was cut off or has just started, and gets the decision.
+     */
+    function onReport(from: MemberRecord, report: RolloutReport): void {
+        const decision = knownDecisions.find(report.rollout);
+        if (decision !== undefined) {
+            options.send(from, { news: [encodeDecision(decision)] });
             return;
         }
-        if (!deciding.decidesOn(told.rollout)) {
+        if (!deciders.decidesOn(report.rollout)) {
             return;
         }
-        const grant = deciding.onReport(from.box, wholeReports.complete(from.box, told));
+        const grant = deciders.onReport(from.box, reportAssembler.complete(from.box, report));
         if (grant !== undefined) {
             options.send(from, { grant: encodeGrant(grant) });
         }
@@ -238,21 +247,23 @@
             && order.state !== "completed" && order.state !== "rolledBack";
     }
 
-    function report({ selectChangedCells: changedCells, order, traffic }: Trial): void {
-        const told = traffic.report(clock());
-        const decider = decidingBox.of(order.service);
-        if (told === undefined || decider === undefined) {
+    function sendReport({ selectChangedCells, order, traffic }: Trial): void {
+        const ownReport = traffic.report(clock());
+        const decidingBox = decidingBoxLocator.of(order.service);
+        if (ownReport === undefined || decidingBox === undefined) {
             return;
         }
-        lastReports.set(order.service, told);
-        if (decider === self) {
-            const grant = deciding.onReport(self, told);
+        lastReports.set(order.service, ownReport);
+        if (decidingBox === self) {
+            const grant = deciders.onReport(self, ownReport);
             if (grant !== undefined) {
                 trials.onGrant(grant);
             }
             return;
         }
-        sendTo(decider, { report: encodeReport({ ...told, cells: changedCells(told.cells, decider) }) });
+        sendTo(decidingBox, {
+            report: encodeReport({ ...ownReport, cells: selectChangedCells(ownReport.cells, decidingBox) }),
+        });
     }
 
     function sendTo(box: BoxId, message: RolloutMessage): void {
@@ -271,21 +282,22 @@
         }
     }
 
-    /** Tells all boxes at once; gossip repeats it. */
-    function tell(news: RolloutDecision): void {
-        learn(news, self);
-        const part = { news: [encodeDecision(news)] };
-        membership.recentMembers(clock()).forEach(member => options.send(member, part));
+    /** Sends a decision to all boxes at once; gossip repeats it. */
+    function announce(decision: RolloutDecision): void {
+        applyDecision(decision, self);
+        const announcement = { news: [encodeDecision(decision)] };
+        membership.recentMembers(clock()).forEach(member => options.send(member, announcement));
     }
 
-    function learn(news: RolloutDecision, from: BoxId): void {
-        const { decision, reason, rollout } = news;
-        if (outcomes.isDecidedInStore(rollout) || !knownNews.add(news)) {
+    /** Takes a decision into account, unless the store has an outcome or another decision came first. */
+    function applyDecision(decision: RolloutDecision, from: BoxId): void {
+        const { decision: outcome, reason, rollout } = decision;
+        if (outcomes.isDecidedInStore(rollout) || !knownDecisions.add(decision)) {
             return;
         }
-        trials.onDecision(news);
+        trials.onDecision(decision);
         versions.refresh();
-        log.info("rollout.decided", { ...rollout, decision, from, reason });
+        log.info("rollout.decided", { ...rollout, decision: outcome, from, reason });
     }
 
     function serverCount({ service, targetVersion }: RolloutOrder): number {
--- a/packages/box/src/rollouts/trials.ts
+++ b/packages/box/src/rollouts/trials.ts
@@ -1,9 +1,10 @@
 /**
- * The trials that a box takes part in: one for each order that is not decided
- * yet, told of each request of its service and of each answer.
+ * The trials that a box takes part in: one for each order that was undecided when
+ * the box learned of it. Each is notified of the requests of its service and of the
+ * answers.
  *
- * Owns the trials' traffic; relies on the orders, and on the rule which versions
- * may have what. All of it may be lost.
+ * Owns the trials' traffic, which may be lost; relies on the orders, and on
+ * `ServedVersions` for which versions may get which requests.
  */
 
 import {
@@ -24,23 +25,27 @@
 import type { NewestOrders } from "./newest-orders.js";
 import { createChangedCellSelector } from "./report-deltas.js";
 
-/** What the way of requests asks and tells. */
+/** Hooks that the request path calls. */
 export interface TrialHooks {
-    /** Shall this request, at its first try, go to a version on trial? Then `onSent` or `onNotSent` follows. */
+    /**
+     * True if the first attempt of this request shall go to the trial version. Then `onSent` or `onNotSent` must
+     * follow.
+     */
     readonly assign: (service: ServiceId, route: Route) => boolean;
-    /** The request that was assigned went to no server of the trial. */
+    /** An assigned request was sent to no server of the trial. */
     readonly onNotSent: (service: ServiceId) => void;
-    /** A try went out to a server, and ended; for every try of every service. */
+    /** An attempt was sent to a server, of any version, of a service with a trial. */
     readonly onSent: (service: ServiceId, server: BackendServer) => void;
+    /** An attempt that was sent has ended in any way. */
     readonly onEnded: (service: ServiceId, server: BackendServer) => void;
     readonly onAnswer: (service: ServiceId, answer: TrialAnswer) => void;
-    /** True for a server whose times must not be learned as the service's. */
+    /** True for a server of the trial version, whose times must not be learned as the service's. */
     readonly isOnTrial: (service: ServiceId, server: BackendServer) => boolean;
-    /** True while versions of the service are compared, so that lines name the server's version. */
+    /** True while versions of the service are compared; log lines then name the server's version. */
     readonly hasTrial: (service: ServiceId) => boolean;
 }
 
-/** Requests of a deployment in which versions are not rolled out by order. */
+/** Hooks of a deployment without roll-outs. */
 export const noTrials: TrialHooks = {
     assign: () => false,
     onNotSent: () => undefined,
@@ -51,22 +56,22 @@
     hasTrial: () => false,
 };
 
-/** An order with this box's part in it. */
+/** An order, and this box's traffic of it. */
 export interface Trial {
     readonly order: RolloutOrder;
     readonly traffic: TrialTraffic;
-    /** Picks what a report tells anew. */
+    /** Selects the cells for the next report. */
     readonly selectChangedCells: ReturnType<typeof createChangedCellSelector>;
 }
 
 /** The trials of a box. */
 export interface Trials extends TrialHooks {
-    /** Begins and ends trials as the orders have it. */
+    /** Starts and ends trials according to the orders. */
     readonly refresh: () => void;
     readonly of: (service: ServiceId) => Trial | undefined;
     readonly all: () => readonly Trial[];
     readonly onGrant: (grant: RolloutGrant) => void;
-    readonly onDecision: (news: RolloutDecision) => void;
+    readonly onDecision: (decision: RolloutDecision) => void;
 }
 
 export interface TrialsOptions {
@@ -78,7 +83,7 @@
     readonly versions: ServedVersions;
 }
 
-/** Creates it without trials. */
+/** Creates the trials of a box; there are none at first. */
 export function createTrials(options: TrialsOptions): Trials {
     const { clock, log, orders, versions } = options;
     const trials = new Map<ServiceId, Trial>();
@@ -89,7 +94,7 @@
                 const newest = orders.of(service);
                 if (newest === undefined || !isSameRollout(newest, order)) {
                     trials.delete(service);
-                    log.info("rollout.gone", describe(order));
+                    log.info("rollout.gone", logFieldsOf(order));
                 }
             }
             for (const order of orders.all()) {
@@ -105,7 +110,7 @@
                         selectChangedCells: createChangedCellSelector(),
                     });
                     log.info("rollout.ordered", {
-                        ...describe(order),
+                        ...logFieldsOf(order),
                         provenVersion: versions.provenVersion(order.service),
                     });
                 }
@@ -114,53 +119,53 @@
         of: service => trials.get(service),
         all: () => [...trials.values()],
         onGrant(grant) {
-            sameTrial(grant)?.traffic.onGrant(grant, clock());
+            findTrial(grant)?.traffic.onGrant(grant, clock());
         },
-        onDecision(news) {
-            sameTrial(news)?.traffic.onDecision(news);
+        onDecision(decision) {
+            findTrial(decision)?.traffic.onDecision(decision);
         },
-        assign: (service, route) => undecided(service)?.assign(route.name) ?? false,
+        assign: (service, route) => undecidedTraffic(service)?.assign(route.name) ?? false,
         onNotSent: service => trials.get(service)?.traffic.onNotSent(),
         onSent: (service, server) => trials.get(service)?.traffic.onSent(server),
         onEnded: (service, server) => trials.get(service)?.traffic.onEnded(server),
         onAnswer: (service, answer) => trials.get(service)?.traffic.onAnswer(answer),
         isOnTrial(service, server) {
-            const version = undecided(service) === undefined ? undefined : versions.trialVersion(service);
+            const version = undecidedTraffic(service) === undefined ? undefined : versions.trialVersion(service);
             return version !== undefined && server.state.record().version === version;
         },
-        hasTrial: service => undecided(service) !== undefined,
+        hasTrial: service => undecidedTraffic(service) !== undefined,
     };
 
-    function undecided(service: ServiceId): TrialTraffic | undefined {
+    function undecidedTraffic(service: ServiceId): TrialTraffic | undefined {
         const traffic = trials.get(service)?.traffic;
         return traffic?.decision() === undefined ? traffic : undefined;
     }
 
-    /** What the store says ends a trial like news, and after news of another decision. */
+    /** Applies the order's state in the store. An outcome there ends the trial, and wins over another decision. */
     function onState(traffic: TrialTraffic, rollout: RolloutOrder): void {
-        const { state: decision } = rollout;
-        if ((decision === "completed" || decision === "rolledBack") && traffic.decision() !== decision) {
-            traffic.onDecision({ rollout, decision, reason: "state in the store" });
-            log.info("rollout.ended", describe(rollout));
+        const { state: outcome } = rollout;
+        if ((outcome === "completed" || outcome === "rolledBack") && traffic.decision() !== outcome) {
+            traffic.onDecision({ rollout, decision: outcome, reason: "state in the store" });
+            log.info("rollout.ended", logFieldsOf(rollout));
         }
     }
 
     function createTraffic(order: RolloutOrder): TrialTraffic {
         const { incarnation } = options;
         const traffic = createTrialTraffic({ order, incarnation, versions, age: milliseconds(0), at: clock() });
-        const news = options.news.find(order);
-        if (news !== undefined) {
-            traffic.onDecision(news);
+        const decision = options.news.find(order);
+        if (decision !== undefined) {
+            traffic.onDecision(decision);
         }
         return traffic;
     }
 
-    function sameTrial({ rollout }: RolloutGrant | RolloutDecision): Trial | undefined {
+    function findTrial({ rollout }: RolloutGrant | RolloutDecision): Trial | undefined {
         const trial = trials.get(rollout.service);
         return trial !== undefined && isSameRollout(trial.order, rollout) ? trial : undefined;
     }
 }
 
-function describe({ createdAt, duration, service, state, targetVersion }: RolloutOrder) {
+function logFieldsOf({ createdAt, duration, service, state, targetVersion }: RolloutOrder) {
     return { service, targetVersion, createdAt, over: duration, state: state ?? "new" };
 }
--- a/packages/box/test/report-deltas.test.ts
+++ b/packages/box/test/report-deltas.test.ts
@@ -1,5 +1,6 @@
 /**
- * Evidence as what has changed, over messages that are lost or overtaken.
+ * Reports that contain only changed cells, over messages that are lost or arrive out
+ * of order.
  */
 
 import type { EvidenceCell, RolloutReport } from "@chalkdale/decisions";
@@ -10,7 +11,7 @@
 
 const [decider, other, sender] = ["b-1", "b-2", "b-3"].map(boxId);
 
-/** Counts of one box after so many answers, one after the other in each of 16 cells. */
+/** Returns the cells of one box after a number of answers, counted in 16 cells in turn. */
 const cellsAfter = (answers: number): EvidenceCell[] =>
     Array.from({ length: 16 }, (_, index) => ({
         isTrial: index >= 8,
@@ -33,26 +34,27 @@
     cells,
 });
 
-describe("evidence of which only changes are told", () => {
-    it("is told twice, whole at first, now and then, and to a box that was not told before", () => {
-        const pick = createChangedCellSelector();
-        expect(pick(cellsAfter(0), decider)).to.have.length(16);
-        pick(cellsAfter(0), decider);
-        expect([pick(cellsAfter(1), decider).length, pick(cellsAfter(1), decider).length]).to.deep.equal([1, 1]);
-        expect(pick(cellsAfter(1), decider)).to.have.length(0);
-        expect(pick(cellsAfter(1), other)).to.have.length(16);
-        const lengths = Array.from({ length: 10 }, () => pick(cellsAfter(1), other).length);
+describe("evidence of which only changed cells are sent", () => {
+    it("is sent twice after a change, and in full at first, at intervals, and to a new recipient", () => {
+        const selectChangedCells = createChangedCellSelector();
+        expect(selectChangedCells(cellsAfter(0), decider)).to.have.length(16);
+        selectChangedCells(cellsAfter(0), decider);
+        expect([selectChangedCells(cellsAfter(1), decider).length, selectChangedCells(cellsAfter(1), decider).length])
+            .to.deep.equal([1, 1]);
+        expect(selectChangedCells(cellsAfter(1), decider)).to.have.length(0);
+        expect(selectChangedCells(cellsAfter(1), other)).to.have.length(16);
+        const lengths = Array.from({ length: 10 }, () => selectChangedCells(cellsAfter(1), other).length);
         expect(lengths.filter(length => length === 16)).to.have.length(1);
     });
 
-    it("is whole again where it arrives, some reports after the last that was lost or overtaken", () => {
+    it("is complete at the recipient some reports after the last one that was lost or late", () => {
         fc.assert(fc.property(fc.array(fc.constantFrom("lost", "arrives", "late"), { maxLength: 40 }), fates => {
-            const pick = createChangedCellSelector();
+            const selectChangedCells = createChangedCellSelector();
             const { complete } = createReportAssembler();
             const late: RolloutReport[] = [];
             const deliver = (report: RolloutReport) => complete(sender, report).cells;
             const send = (answers: number, fate: string) => {
-                const report = reportOf(pick(cellsAfter(answers), decider));
+                const report = reportOf(selectChangedCells(cellsAfter(answers), decider));
                 if (fate === "late") {
                     late.push(report);
                 }
@@ -61,12 +63,12 @@
             fates.forEach((fate, index) => send(7 * index, fate));
             late.forEach(deliver);
             const sum = (cells: readonly EvidenceCell[]) => cells.reduce((total, { answers }) => total + answers, 0);
-            const told = Array.from({ length: 10 }, () => sum(send(7 * fates.length, "arrives"))).at(-1);
-            expect(told).to.equal(sum(cellsAfter(7 * fates.length)));
+            const received = Array.from({ length: 10 }, () => sum(send(7 * fates.length, "arrives"))).at(-1);
+            expect(received).to.equal(sum(cellsAfter(7 * fates.length)));
         }));
     });
 
-    it("begins anew with a new life of the box", () => {
+    it("starts empty for a new incarnation of the box", () => {
         const { complete } = createReportAssembler();
         complete(sender, reportOf(cellsAfter(160)));
         expect(complete(sender, reportOf(cellsAfter(16).slice(0, 2), "2")).cells).to.have.length(2);
--- a/packages/box/test/rollout-boxes.ts
+++ b/packages/box/test/rollout-boxes.ts
@@ -1,6 +1,6 @@
 /**
- * The roll-outs of some boxes on one clock, with messages that take a while or
- * are lost, a store that writes under a revision, and drawn outcomes of requests.
+ * Emulates the roll-outs of several boxes on one clock, with messages that are
+ * delayed or lost, a store that checks revisions, and random outcomes of requests.
  */
 
 import {
@@ -33,52 +33,55 @@
 export const service = serviceId("profiles");
 export const bounds = { exposedShare: 0.1, exposedAllowance: 50, rollbackTime: milliseconds(5000) };
 
-/** One box, and how it fares. */
+/** One box with its faults. */
 interface RolloutBox {
     readonly index: number;
     readonly rollouts: Rollouts;
     readonly startedAt: number;
-    /** Runs nothing and takes nothing. */
+    /** True while the box runs nothing and receives nothing. */
     isFrozen: boolean;
-    /** Runs, and reaches no other box. */
+    /** True while the box runs but has no connection to other boxes. */
     isCutOff: boolean;
-    hasStore: boolean;
-    /** Other boxes' copies reach it, while it is not cut off. */
-    hearsCopies: boolean;
-    /** The box that it takes for the deciding one. */
-    decider: number;
+    /** True while the store serves the box. */
+    reachesStore: boolean;
+    /** True while the box gets the orders from other boxes' copies, if it is not cut off. */
+    receivesCopies: boolean;
+    /** Index of the box that it takes for the deciding box. */
+    decidingBox: number;
 }
 
-/** The boxes with all they share. */
+/** The boxes with their store, clock and counts. */
 export interface RolloutBoxes {
     readonly boxes: RolloutBox[];
     readonly now: () => number;
     readonly order: () => RolloutOrder;
-    /** States as they were written, one after the other. */
+    /** States in the order in which they were written. */
     readonly written: readonly RolloutOrder["state"][];
-    /** What the version on trial got, in all and in failures, and what all got. */
+    /** Requests sent to the trial version, its failures, and requests sent to all versions. */
     readonly counts: { toTrial: number; failed: number; all: number; };
-    /** When the 50th failure was, and the last request to the version. */
+    /** Times of the 50th failure and of the last request to the trial version. */
     readonly times: { fiftiethFailure: number; lastToTrial: number; };
+    /** Fraction of the trial version's answers that are failures. */
     failureShare: number;
-    /** The store comes back from a copy in which the order was so; all boxes learn of it. */
+    /** Restores the store from an older copy of the order; all boxes that get copies receive it. */
     readonly restoreStore: (older: Partial<RolloutOrder>) => void;
-    /** Replaces a box by a new life of it. */
+    /** Replaces a box by a new incarnation of it. */
     readonly restart: (index: number) => void;
-    /** Lets so many milliseconds pass. */
+    /** Advances the clock by some milliseconds. */
     readonly run: (duration: number) => void;
-    /** Lets time pass until a state is in the store; false if it isn't in time. */
-    readonly runUntil: (state: RolloutOrder["state"], longest: number) => Promise<boolean>;
+    /** Advances the clock until the store has a state; false if it does not in time. */
+    readonly runUntil: (state: RolloutOrder["state"], maxDuration: number) => Promise<boolean>;
 }
 
+// In milliseconds.
 const tick = 10;
-const messageTime = 20;
-const work = 60;
+const messageDelay = 20;
+const requestTime = 60;
 const settledUptime = 5000;
 const route = { name: "lookup" } as Route;
 
-/** Starts boxes that all know the order and the servers. */
-export function startRolloutBoxes(boxCount: number, requestsASecond: number, duration: number): RolloutBoxes {
+/** Starts boxes that all know the order and the servers; `duration` is that of the order, in milliseconds. */
+export function startRolloutBoxes(boxCount: number, requestsPerSecond: number, duration: number): RolloutBoxes {
     let now = settledUptime;
     let seed = 1;
     const random = () => {
@@ -90,7 +93,7 @@
     const written: RolloutOrder["state"][] = [];
     const counts = { toTrial: 0, failed: 0, all: 0 };
     const times = { fiftiethFailure: Infinity, lastToTrial: -Infinity };
-    let owed = 0;
+    let dueRequests = 0;
     let order: RolloutOrder = {
         service,
         targetVersion: serverVersion("v2"),
@@ -100,7 +103,7 @@
         revision: 9,
     };
     const boxes: RolloutBox[] = [];
-    const world: RolloutBoxes = {
+    const emulation: RolloutBoxes = {
         boxes,
         now: () => now,
         order: () => order,
@@ -115,22 +118,22 @@
         },
         restart: index => startBox(index, now),
         run,
-        async runUntil(state, longest) {
-            for (const end = now + longest; now < end && order.state !== state;) {
+        async runUntil(state, maxDuration) {
+            for (const end = now + maxDuration; now < end && order.state !== state;) {
                 run(tick);
-                // Answers of the store are taken when the event loop turns.
+                // The store's answers are handled in the next turn of the event loop.
                 await new Promise(resolve => setImmediate(resolve));
             }
             return order.state === state;
         },
     };
     Array.from({ length: boxCount }, (_, index) => startBox(index, 0));
-    return world;
+    return emulation;
 
     function startBox(index: number, startedAt: number): void {
         const self = memberOf(index);
         const call = <Answer>(answer: () => Answer) =>
-            boxes[index].hasStore ? Promise.resolve(answer()) : Promise.reject(new StoreError("silent", "down"));
+            boxes[index].reachesStore ? Promise.resolve(answer()) : Promise.reject(new StoreError("silent", "down"));
         const rollouts = createRollouts({
             clock: () => milliseconds(now),
             random,
@@ -149,30 +152,30 @@
                 writeRolloutState: (read, state) => call(() => write(read, state)),
                 readRollout: () => call(() => order),
             },
-            copyAge: () => milliseconds(boxes.some(box => box.hasStore && !box.isCutOff) ? 0 : 10_000),
-            isStoreAnswering: () => boxes[index].hasStore,
+            copyAge: () => milliseconds(boxes.some(box => box.reachesStore && !box.isCutOff) ? 0 : 10_000),
+            isStoreAnswering: () => boxes[index].reachesStore,
             isRunning: () => true,
             uptime: () => milliseconds(now - startedAt),
             send: ({ box }, message) => send(index, Number(box.slice(1)), message),
             signal: new AbortController().signal,
         });
-        const decider = boxes[index]?.decider ?? 0;
+        const decidingBox = boxes[index]?.decidingBox ?? 0;
         boxes[index] = {
             index,
             rollouts,
             startedAt,
             isFrozen: false,
             isCutOff: false,
-            hasStore: true,
-            hearsCopies: true,
-            decider,
+            reachesStore: true,
+            receivesCopies: true,
+            decidingBox,
         };
         rollouts.onOrders([order]);
     }
 
-    /** The box that another one takes for the deciding one is the only strong one in its eyes. */
+    /** Shows a high capacity only for the box that the viewer shall take for the deciding box. */
     function seenBy(viewer: number, index: number): MemberRecord {
-        return { ...memberOf(index), capacity: boxes[viewer].decider === index ? 1 : 0.1 };
+        return { ...memberOf(index), capacity: boxes[viewer].decidingBox === index ? 1 : 0.1 };
     }
 
     function write(read: RolloutOrder, state: RolloutOrder["state"]): RolloutOrder {
@@ -180,14 +183,14 @@
             order = { ...order, state, revision: order.revision + 1 };
             written.push(state);
             const newest = order;
-            after(messageTime, () => boxes.filter(getsCopies).forEach(box => box.rollouts.onOrders([newest])));
+            schedule(messageDelay, () => boxes.filter(getsCopies).forEach(box => box.rollouts.onOrders([newest])));
         }
         return order;
     }
 
     function send(from: number, to: number, message: RolloutMessage): void {
         const sent = JSON.parse(JSON.stringify(message)) as RolloutMessage;
-        after(messageTime, () => {
+        schedule(messageDelay, () => {
             if (!boxes[from].isCutOff && !boxes[to].isCutOff && !boxes[to].isFrozen) {
                 boxes[to].rollouts.onMessage(memberOf(from), sent);
             }
@@ -209,7 +212,7 @@
                     box.rollouts.step();
                 }
             });
-            for (owed += requestsASecond * tick / 1000; owed >= 1; owed--) {
+            for (dueRequests += requestsPerSecond * tick / 1000; dueRequests >= 1; dueRequests--) {
                 request(running[Math.floor(random() * running.length)]);
             }
         }
@@ -220,14 +223,14 @@
         const servers = catalog.ofService(service).filter(server => versions.admits(server, isTrial));
         const server = servers[Math.floor(random() * servers.length)];
         const isTarget = server.state.record().version === order.targetVersion;
-        const isFailure = isTarget && random() < world.failureShare;
+        const isFailure = isTarget && random() < emulation.failureShare;
         counts.all += 1;
         if (isTarget) {
             counts.toTrial += 1;
             times.lastToTrial = now;
         }
         requests.onSent(service, server);
-        after(work, () => {
+        schedule(requestTime, () => {
             requests.onEnded(service, server);
             const slowness = 0.8 + 0.4 * random();
             requests.onAnswer(service, { server, routeName: route.name, isFailure, slowness, wasCold: false });
@@ -238,7 +241,7 @@
         });
     }
 
-    function after(time: number, action: () => void): void {
+    function schedule(time: number, action: () => void): void {
         due.set(now + time, [...due.get(now + time) ?? [], action]);
     }
 }
@@ -270,8 +273,8 @@
     return catalog;
 }
 
-function getsCopies({ hasStore, hearsCopies, isCutOff, isFrozen }: RolloutBox): boolean {
-    return !isFrozen && (hasStore || hearsCopies && !isCutOff);
+function getsCopies({ reachesStore, receivesCopies, isCutOff, isFrozen }: RolloutBox): boolean {
+    return !isFrozen && (reachesStore || receivesCopies && !isCutOff);
 }
 
 function memberOf(index: number): MemberRecord {
--- a/packages/box/test/rollout-messages.test.ts
+++ b/packages/box/test/rollout-messages.test.ts
@@ -1,5 +1,5 @@
 /**
- * Messages about roll-outs, as other boxes get them.
+ * Messages about roll-outs: encoding, size limits and validation.
  */
 
 import type { RolloutDecision, RolloutGrant, RolloutReport } from "@chalkdale/decisions";
@@ -42,61 +42,67 @@
     grantedTotal: 300,
     age: milliseconds(1500),
 };
-const news: RolloutDecision = { rollout, decision: "rolledBack", reason: "failures 9 of 20" };
+const decision: RolloutDecision = { rollout, decision: "rolledBack", reason: "failures 9 of 20" };
 
-/** Returns the message as another box would get it. */
-const sent = (message: RolloutMessage) => JSON.parse(JSON.stringify(message)) as RolloutMessage;
+/** Returns the message as another box receives it. */
+const transmit = (message: RolloutMessage) => JSON.parse(JSON.stringify(message)) as RolloutMessage;
 
 describe("messages about roll-outs", () => {
-    it("say what was meant", () => {
-        const got = sent({ report: encodeReport(report), grant: encodeGrant(grant), news: [encodeDecision(news)] });
-        expect(isRolloutMessage(got)).to.equal(true);
-        expect(decodeReport(got.report!)).to.deep.equal(report);
-        expect(decodeGrant(got.grant!)).to.deep.equal(grant);
-        expect(got.news!.map(decodeDecision)).to.deep.equal([news]);
-        const wanted = sent({ wanted: encodeWriteRequest(rollout, "completed") });
-        expect(isRolloutMessage(wanted)).to.equal(true);
-        expect(decodeWriteRequest(wanted.wanted!)).to.deep.equal({ rollout, state: "completed" });
+    it("are decoded to the values that were encoded", () => {
+        const received = transmit({
+            report: encodeReport(report),
+            grant: encodeGrant(grant),
+            news: [encodeDecision(decision)],
+        });
+        expect(isRolloutMessage(received)).to.equal(true);
+        expect(decodeReport(received.report!)).to.deep.equal(report);
+        expect(decodeGrant(received.grant!)).to.deep.equal(grant);
+        expect(received.news!.map(decodeDecision)).to.deep.equal([decision]);
+        const writeRequest = transmit({ wanted: encodeWriteRequest(rollout, "completed") });
+        expect(isRolloutMessage(writeRequest)).to.equal(true);
+        expect(decodeWriteRequest(writeRequest.wanted!)).to.deep.equal({ rollout, state: "completed" });
         const later = { ...report, knownGrantedTotal: 0 };
-        expect(decodeReport(sent({ report: encodeReport(later) }).report!)).to.deep.equal(later);
+        expect(decodeReport(transmit({ report: encodeReport(later) }).report!)).to.deep.equal(later);
     });
 
-    it("leave room for the sender's record in a datagram, with as many cells and as long a reason as there may be", () => {
+    it("leave room for the sender's record in a datagram, with the most cells and the longest reason too", () => {
         const cells = Array.from(
             { length: maxReportCells + 20 },
             (_, answers) => ({ ...cell, answers: 100_000 + answers }),
         );
         const entry = encodeReport({ ...report, cells });
-        expect(JSON.stringify(sent({ report: entry })).length).to.be.lessThan(7000);
-        expect(isRolloutMessage(sent({ report: entry }))).to.equal(true);
+        expect(JSON.stringify(transmit({ report: entry })).length).to.be.lessThan(7000);
+        expect(isRolloutMessage(transmit({ report: entry }))).to.equal(true);
         expect(Math.min(...decodeReport(entry).cells.map(({ answers }) => answers))).to.equal(100_020);
-        const told = sent({ news: [encodeDecision({ ...news, reason: "x".repeat(9000) })] });
-        expect(isRolloutMessage(told)).to.equal(true);
-        expect(JSON.stringify(told).length).to.be.lessThan(500);
+        const decisionMessage = transmit({ news: [encodeDecision({ ...decision, reason: "x".repeat(9000) })] });
+        expect(isRolloutMessage(decisionMessage)).to.equal(true);
+        expect(JSON.stringify(decisionMessage).length).to.be.lessThan(500);
     });
 
-    it("are refused with a figure that can't be", () => {
-        const spoiled = (change: (entry: unknown[]) => void) => {
+    it("are rejected with an invalid value", () => {
+        const withChange = (change: (entry: unknown[]) => void) => {
             const entry = JSON.parse(JSON.stringify(encodeReport(report))) as unknown[];
             change(entry);
             return { report: entry };
         };
-        const spoiledCell = (index: number, value: unknown) =>
-            spoiled(entry => {
+        const withCellValue = (index: number, value: unknown) =>
+            withChange(entry => {
                 (entry[8] as unknown[][])[0][index] = value;
             });
-        const wrong = [
-            spoiled(entry => entry[0] = ["profiles", "v2"]),
-            spoiled(entry => entry[2] = -1),
-            spoiled(entry => entry[5] = "5"),
-            spoiled(entry => entry[6] = -2),
-            spoiled(entry => entry.pop()),
-            spoiled(entry => entry[8] = Array.from({ length: maxReportCells + 1 }, () => (entry[8] as unknown[])[0])),
-            spoiledCell(0, 2),
-            spoiledCell(1, 8),
-            spoiledCell(1, 0.5),
-            spoiledCell(4, 10),
-            spoiledCell(5, "1"),
+        const invalid = [
+            withChange(entry => entry[0] = ["profiles", "v2"]),
+            withChange(entry => entry[2] = -1),
+            withChange(entry => entry[5] = "5"),
+            withChange(entry => entry[6] = -2),
+            withChange(entry => entry.pop()),
+            withChange(entry =>
+                entry[8] = Array.from({ length: maxReportCells + 1 }, () => (entry[8] as unknown[])[0])
+            ),
+            withCellValue(0, 2),
+            withCellValue(1, 8),
+            withCellValue(1, 0.5),
+            withCellValue(4, 10),
+            withCellValue(5, "1"),
             { grant: ["moving"] },
             { grant: [...encodeGrant(grant).slice(0, 1), "moved", ...encodeGrant(grant).slice(2)] },
             { news: [["profiles", "completed", ""]] },
@@ -105,10 +111,10 @@
             { wanted: [["profiles", "v2", 17], "done"] },
             { wanted: ["profiles", "completed"] },
         ];
-        wrong.forEach(message => expect(isRolloutMessage(message), JSON.stringify(message)).to.equal(false));
+        invalid.forEach(message => expect(isRolloutMessage(message), JSON.stringify(message)).to.equal(false));
     });
 
-    it("never throw, whatever they hold", () => {
+    it("are validated without an exception, whatever they contain", () => {
         fc.assert(fc.property(fc.jsonValue(), value => {
             expect(isRolloutMessage({ report: value })).to.equal(false);
             expect(isRolloutMessage({ grant: value })).to.equal(false);
--- a/packages/box/test/rollout-writer.test.ts
+++ b/packages/box/test/rollout-writer.test.ts
@@ -1,5 +1,6 @@
 /**
- * Writes of roll-outs' states by one box, while the store misbehaves.
+ * Writes of roll-out states by one box while the store fails, and the newest order
+ * that a box knows.
  */
 
 import type { RolloutOrder, RolloutState } from "@chalkdale/decisions";
@@ -20,13 +21,13 @@
     revision: 3,
 };
 
-describe("the writer of roll-outs' states [P24]", () => {
+describe("the writer of roll-out states [P24]", () => {
     let now: number;
     let calls: string[];
     let answerWrite: (written: RolloutOrder, state: RolloutState) => Promise<RolloutOrder | undefined>;
     let stored: RolloutOrder | undefined;
     let writer: RolloutWriter;
-    let told: (RolloutOrder | undefined)[];
+    let reported: (RolloutOrder | undefined)[];
 
     const settle = () => new Promise(resolve => setImmediate(resolve));
     const fail = () => Promise.reject(new StoreError("silent", "no answer"));
@@ -38,7 +39,7 @@
     beforeEach(() => {
         now = 0;
         calls = [];
-        told = [];
+        reported = [];
         stored = order;
         answerWrite = (written, state) => Promise.resolve({ ...written, state, revision: written.revision + 1 });
         writer = createRolloutWriter({
@@ -55,18 +56,18 @@
                     return Promise.resolve(stored);
                 },
             },
-            onOrder: (_, newest) => told.push(newest),
+            onOrder: (_, newest) => reported.push(newest),
             signal: new AbortController().signal,
         });
     });
 
-    it("tells what the store has after a write, whoever wrote it", async () => {
+    it("reports the order as the store has it after a write, whichever box wrote it", async () => {
         answerWrite = () => Promise.resolve({ ...order, state: "rolledBack", revision: 9 });
         await write("completed");
-        expect(told.map(newest => newest?.state)).to.deep.equal(["rolledBack"]);
+        expect(reported.map(newest => newest?.state)).to.deep.equal(["rolledBack"]);
     });
 
-    it("makes one write at a time, however often it is asked", async () => {
+    it("makes one write at a time, however often it is called", async () => {
         answerWrite = () => new Promise(() => undefined);
         await write("running");
         await write("running");
@@ -74,7 +75,7 @@
         expect(calls).to.deep.equal(["running"]);
     });
 
-    it("pauses after a failure, and reads before it writes again", async () => {
+    it("backs off after a failure, and reads before it writes again", async () => {
         answerWrite = fail;
         await write("running");
         await write("running");
@@ -85,35 +86,35 @@
         expect([calls, writer.isFailing(service)]).to.deep.equal([["running", "read", "running"], false]);
     });
 
-    it("writes nothing over what a write without an answer, or another box, has done", async () => {
+    it("does not overwrite the result of a write without an answer, or of another box", async () => {
         answerWrite = fail;
         await write("completed");
         stored = { ...order, state: "completed", revision: 5 };
         now += 1000;
         await write("rolledBack");
         expect(calls).to.deep.equal(["completed", "read"]);
-        expect(told).to.deep.equal([stored]);
+        expect(reported).to.deep.equal([stored]);
     });
 
-    it("pauses longer with each failure", async () => {
+    it("backs off longer after each failure", async () => {
         answerWrite = fail;
-        const triesIn = async (time: number) => {
+        const writesWithin = async (time: number) => {
             const before = calls.filter(call => call !== "read").length;
             for (const end = now + time; now < end; now += 10) {
                 await write("running");
             }
             return calls.filter(call => call !== "read").length - before;
         };
-        const [first, later] = [await triesIn(2000), await triesIn(2000)];
+        const [first, later] = [await writesWithin(2000), await writesWithin(2000)];
         expect(first).to.be.greaterThan(later);
         expect(later).to.be.greaterThan(0);
     });
 });
 
-describe("the newest of an order", () => {
+describe("the newest order of a service", () => {
     const running: RolloutOrder = { ...order, state: "running", revision: 5 };
 
-    it("is what the store answered to a write, until the copy has more", () => {
+    it("is the store's answer to a write until the copy is newer", () => {
         const orders = createNewestOrders(order => order);
         orders.onCopyChanged([order]);
         orders.onStored(service, running);
@@ -123,7 +124,7 @@
         expect([orders.of(service), orders.all()]).to.deep.equal([decided, [decided]]);
     });
 
-    it("is gone once the store or the copy says so, and is a new one when that comes", () => {
+    it("is undefined once the store or the copy has none, and a new order once the copy has one", () => {
         const orders = createNewestOrders(order => order);
         orders.onCopyChanged([order]);
         orders.onStored(service, undefined);
--- a/packages/box/test/rollouts.test.ts
+++ b/packages/box/test/rollouts.test.ts
@@ -1,5 +1,5 @@
 /**
- * Roll-outs on several boxes while boxes, links and the store fail halfway.
+ * Roll-outs on several boxes while boxes, links and the store fail during the trial.
  */
 
 import type { RolloutOrder } from "@chalkdale/decisions";
@@ -11,248 +11,251 @@
 const duration = 20_000;
 
 describe("roll-outs on several boxes", () => {
-    let world: RolloutBoxes;
+    let emulation: RolloutBoxes;
 
     beforeEach(() => {
-        world = startRolloutBoxes(boxCount, 300, duration);
+        emulation = startRolloutBoxes(boxCount, 300, duration);
     });
 
     const expectWithinBounds = () => {
-        const { counts: { all, toTrial }, times: { fiftiethFailure, lastToTrial } } = world;
+        const { counts: { all, toTrial }, times: { fiftiethFailure, lastToTrial } } = emulation;
         expect(toTrial).to.be.at.most(bounds.exposedShare * all + bounds.exposedAllowance);
         expect(lastToTrial - fiftiethFailure).to.be.at.most(bounds.rollbackTime);
     };
-    const expectOneOutcome = (...states: string[]) => expect(world.written).to.deep.equal(states);
-    const isTried = (count: number) => {
-        for (let rounds = 0; rounds < 100 && world.counts.toTrial < count; rounds++) {
-            world.run(100);
+    const expectOneOutcome = (...states: string[]) => expect(emulation.written).to.deep.equal(states);
+    const runUntilSentToTrial = (count: number) => {
+        for (let rounds = 0; rounds < 100 && emulation.counts.toTrial < count; rounds++) {
+            emulation.run(100);
         }
-        expect(world.counts.toTrial).to.be.at.least(count);
+        expect(emulation.counts.toTrial).to.be.at.least(count);
     };
-    /** All boxes take another one for the deciding one. */
-    const takeOver = (index: number) => world.boxes.forEach(box => box.decider = index);
-    const begin = () => world.runUntil("running", 3000);
+    /** Makes all boxes select another deciding box. */
+    const changeDecidingBox = (index: number) => emulation.boxes.forEach(box => box.decidingBox = index);
+    const startTrial = () => emulation.runUntil("running", 3000);
 
-    it("send nothing to the version before the store has `running` [P23]", async () => {
-        world.boxes.forEach(box => box.hasStore = false);
-        await world.runUntil("running", 5000);
-        expect([world.counts.toTrial, world.order().state]).to.deep.equal([0, undefined]);
-        world.boxes.forEach(box => box.hasStore = true);
-        expect(await begin()).to.equal(true);
-        isTried(5);
+    it("send nothing to the trial version before the store has `running` [P23]", async () => {
+        emulation.boxes.forEach(box => box.reachesStore = false);
+        await emulation.runUntil("running", 5000);
+        expect([emulation.counts.toTrial, emulation.order().state]).to.deep.equal([0, undefined]);
+        emulation.boxes.forEach(box => box.reachesStore = true);
+        expect(await startTrial()).to.equal(true);
+        runUntilSentToTrial(5);
     });
 
-    it("complete a good version, all requests moved [P24]", async () => {
-        expect(await world.runUntil("completed", duration)).to.equal(true);
+    it("complete a good version once all requests have moved to it [P24]", async () => {
+        expect(await emulation.runUntil("completed", duration)).to.equal(true);
         expectOneOutcome("running", "completed");
-        world.run(200);
-        const { all, toTrial } = world.counts;
-        world.run(1000);
-        expect(world.counts.all - all).to.equal(world.counts.toTrial - toTrial);
+        emulation.run(200);
+        const { all, toTrial } = emulation.counts;
+        emulation.run(1000);
+        expect(emulation.counts.all - all).to.equal(emulation.counts.toTrial - toTrial);
     });
 
-    it("complete a good version though the store turns the deciding box away, and serves others [P24]", async () => {
-        world.boxes[0].hasStore = false;
-        expect(await world.runUntil("completed", duration)).to.equal(true);
+    it("complete a good version although the store serves other boxes but not the deciding box [P24]", async () => {
+        emulation.boxes[0].reachesStore = false;
+        expect(await emulation.runUntil("completed", duration)).to.equal(true);
         expectOneOutcome("running", "completed");
     });
 
-    it("are learned by a box without requests, though another order follows at once [P25]", () => {
+    it("are applied by a box without requests, although another order follows at once [P25]", () => {
         const { rollouts } = startRolloutBoxes(1, 0, duration).boxes[0];
-        const order = world.order();
+        const order = emulation.order();
         rollouts.onOrders([{ ...order, state: "running", revision: 10 }]);
         rollouts.onOrders([{ ...order, state: "completed", revision: 11 }]);
         rollouts.onOrders([{ ...order, targetVersion: serverVersion("v3"), revision: 12 }]);
         expect(rollouts.versions.provenVersion(service)).to.equal("v2");
     });
 
-    describe("whose states the store has lost, since it came back from an older copy", () => {
+    describe("whose states were lost when the store was restored from an older copy", () => {
         const failedVersion = async () => {
-            await begin();
-            isTried(20);
-            world.failureShare = 0.5;
-            expect(await world.runUntil("rolledBack", duration)).to.equal(true);
-            world.run(1000);
+            await startTrial();
+            runUntilSentToTrial(20);
+            emulation.failureShare = 0.5;
+            expect(await emulation.runUntil("rolledBack", duration)).to.equal(true);
+            emulation.run(1000);
         };
 
-        it("keep a failed version from requests, and write its end again [P24]", async () => {
+        it("send no requests to a failed version, and write its outcome again [P24]", async () => {
             await failedVersion();
-            const { toTrial } = world.counts;
-            world.restoreStore({ state: "running" });
-            expect(await world.runUntil("rolledBack", 3000)).to.equal(true);
-            world.run(2000);
-            expect(world.counts.toTrial).to.equal(toTrial);
+            const { toTrial } = emulation.counts;
+            emulation.restoreStore({ state: "running" });
+            expect(await emulation.runUntil("rolledBack", 3000)).to.equal(true);
+            emulation.run(2000);
+            expect(emulation.counts.toTrial).to.equal(toTrial);
             expectOneOutcome("running", "rolledBack", "rolledBack");
         });
 
-        it("keep it from requests though the order seems new, and another box decides by then [P24]", async () => {
+        it("send it no requests although the order seems new and another box decides by then [P24]", async () => {
             await failedVersion();
-            const { toTrial } = world.counts;
-            takeOver(2);
-            world.restoreStore({ state: undefined });
-            expect(await world.runUntil("rolledBack", 3000)).to.equal(true);
-            expect(world.counts.toTrial).to.equal(toTrial);
+            const { toTrial } = emulation.counts;
+            changeDecidingBox(2);
+            emulation.restoreStore({ state: undefined });
+            expect(await emulation.runUntil("rolledBack", 3000)).to.equal(true);
+            expect(emulation.counts.toTrial).to.equal(toTrial);
         });
 
-        it("leave all requests with a version that was completed, and write that again [P24]", async () => {
-            expect(await world.runUntil("completed", duration)).to.equal(true);
-            world.run(1000);
-            world.restoreStore({ state: "running" });
-            const { all, toTrial } = world.counts;
-            expect(await world.runUntil("completed", 3000)).to.equal(true);
-            world.run(1000);
-            expect(world.counts.all - all).to.equal(world.counts.toTrial - toTrial);
+        it("keep sending all requests to a completed version, and write its outcome again [P24]", async () => {
+            expect(await emulation.runUntil("completed", duration)).to.equal(true);
+            emulation.run(1000);
+            emulation.restoreStore({ state: "running" });
+            const { all, toTrial } = emulation.counts;
+            expect(await emulation.runUntil("completed", 3000)).to.equal(true);
+            emulation.run(1000);
+            expect(emulation.counts.all - all).to.equal(emulation.counts.toTrial - toTrial);
             expectOneOutcome("running", "completed", "completed");
         });
 
-        it("are decided in time, though the order is another object and the deciding box has started since [P25]", async () => {
-            const orderedAt = world.now();
-            await begin();
-            isTried(20);
-            world.run(4000);
-            world.restoreStore({ state: undefined, createdAt: 77 });
-            world.restart(0);
-            expect(await world.runUntil("completed", orderedAt + duration - world.now())).to.equal(true);
+        it("are decided in time although the order is a new object and the deciding box restarted [P25]", async () => {
+            const orderedAt = emulation.now();
+            await startTrial();
+            runUntilSentToTrial(20);
+            emulation.run(4000);
+            emulation.restoreStore({ state: undefined, createdAt: 77 });
+            emulation.restart(0);
+            expect(await emulation.runUntil("completed", orderedAt + duration - emulation.now())).to.equal(true);
         });
 
-        /** The store comes back five times, each time when the version is tried again, and another box decides after each. */
-        const restoreOftenWith = async (older: (time: number) => Partial<RolloutOrder>) => {
-            await begin();
-            for (let time = 1; time <= 5; time++) {
-                isTried(world.counts.toTrial + 15);
-                takeOver(time);
-                world.restoreStore(older(time));
-                expect(await begin()).to.equal(true);
+        /**
+         * Restores the store five times, each time after further requests to the trial version, and changes the
+         * deciding box.
+         */
+        const restoreRepeatedly = async (older: (round: number) => Partial<RolloutOrder>) => {
+            await startTrial();
+            for (let round = 1; round <= 5; round++) {
+                runUntilSentToTrial(emulation.counts.toTrial + 15);
+                changeDecidingBox(round);
+                emulation.restoreStore(older(round));
+                expect(await startTrial()).to.equal(true);
             }
-            const { all, toTrial } = world.counts;
+            const { all, toTrial } = emulation.counts;
             expect(toTrial).to.be.at.most(bounds.exposedShare * all + bounds.exposedAllowance);
         };
 
-        it("count on what was granted, whoever decides then [P23]", () =>
-            restoreOftenWith(() => ({ state: undefined })));
+        it("keep the granted total whichever box decides then [P23]", () =>
+            restoreRepeatedly(() => ({ state: undefined })));
 
-        it("count on what was granted where the order is lost and is written again as another object [P23]", () =>
-            restoreOftenWith(time => ({ state: undefined, createdAt: 70 + time })));
+        it("keep the granted total when the order is lost and written again as a new object [P23]", () =>
+            restoreRepeatedly(round => ({ state: undefined, createdAt: 70 + round })));
     });
 
     describe("of a version that fails", () => {
         beforeEach(async () => {
-            await begin();
-            isTried(20);
-            world.failureShare = 0.5;
+            await startTrial();
+            runUntilSentToTrial(20);
+            emulation.failureShare = 0.5;
         });
 
         const expectRolledBack = async () => {
-            expect(await world.runUntil("rolledBack", duration)).to.equal(true);
+            expect(await emulation.runUntil("rolledBack", duration)).to.equal(true);
             expectOneOutcome("running", "rolledBack");
-            world.run(1000);
+            emulation.run(1000);
             expectWithinBounds();
         };
 
         it("roll it back [P23] [P24] [P25]", expectRolledBack);
 
-        it("roll it back though the deciding box freezes, and another one takes over [P23] [P24] [P25]", async () => {
-            world.boxes[0].isFrozen = true;
-            world.run(2000);
-            takeOver(3);
+        it("roll it back although the deciding box freezes and another one takes over [P23] [P24] [P25]", async () => {
+            emulation.boxes[0].isFrozen = true;
+            emulation.run(2000);
+            changeDecidingBox(3);
             await expectRolledBack();
-            world.boxes[0].isFrozen = false;
-            world.run(2000);
+            emulation.boxes[0].isFrozen = false;
+            emulation.run(2000);
             expectWithinBounds();
         });
 
-        it("roll it back though the deciding box is lost with all it knows [P23] [P24] [P25]", async () => {
-            world.restart(0);
-            takeOver(4);
+        it("roll it back although the deciding box is lost with all its state [P23] [P24] [P25]", async () => {
+            emulation.restart(0);
+            changeDecidingBox(4);
             await expectRolledBack();
         });
 
         it("roll it back while two boxes decide at once [P23] [P24] [P25]", async () => {
-            world.boxes.slice(3).forEach(box => box.decider = 3);
+            emulation.boxes.slice(3).forEach(box => box.decidingBox = 3);
             await expectRolledBack();
         });
 
-        it("stop a box that is cut off by its cap and its own evidence [P23]", async () => {
-            const cutOff = world.boxes[5];
+        it("stop a box that is cut off from the others, by its cap and its own evidence [P23]", async () => {
+            const cutOff = emulation.boxes[5];
             cutOff.isCutOff = true;
-            cutOff.hasStore = false;
-            world.run(3000);
-            const share = cutOff.rollouts.summaries()[0].report!;
-            expect(share.sentToTrial).to.be.at.most(share.cap);
+            cutOff.reachesStore = false;
+            emulation.run(3000);
+            const report = cutOff.rollouts.summaries()[0].report!;
+            expect(report.sentToTrial).to.be.at.most(report.cap);
             await expectRolledBack();
         });
 
-        it("stop at once by news while the store is down, and write it when it is back [P24] [P25]", async () => {
-            world.boxes.forEach(box => box.hasStore = false);
-            await world.runUntil("rolledBack", 6000);
-            expect(world.order().state).to.equal("running");
-            const { toTrial } = world.counts;
-            await world.runUntil("rolledBack", 2000);
-            expect(world.counts.toTrial, "sent after the news").to.equal(toTrial);
-            world.boxes.forEach(box => box.hasStore = true);
+        it("stop on the decision at once while the store is down, and write it later [P24] [P25]", async () => {
+            emulation.boxes.forEach(box => box.reachesStore = false);
+            await emulation.runUntil("rolledBack", 6000);
+            expect(emulation.order().state).to.equal("running");
+            const { toTrial } = emulation.counts;
+            await emulation.runUntil("rolledBack", 2000);
+            expect(emulation.counts.toTrial, "sent after the decision").to.equal(toTrial);
+            emulation.boxes.forEach(box => box.reachesStore = true);
             await expectRolledBack();
         });
 
-        it("write it though the deciding box is lost after its news, and no box reports any more [P24]", async () => {
-            world.boxes.forEach(box => box.hasStore = false);
-            await world.runUntil("rolledBack", 6000);
-            world.boxes[0].isFrozen = true;
-            takeOver(3);
-            world.boxes.forEach(box => box.hasStore = true);
-            expect(await world.runUntil("rolledBack", 2000)).to.equal(true);
+        it("write the decision although the deciding box is lost and no box reports any more [P24]", async () => {
+            emulation.boxes.forEach(box => box.reachesStore = false);
+            await emulation.runUntil("rolledBack", 6000);
+            emulation.boxes[0].isFrozen = true;
+            changeDecidingBox(3);
+            emulation.boxes.forEach(box => box.reachesStore = true);
+            expect(await emulation.runUntil("rolledBack", 2000)).to.equal(true);
             expectOneOutcome("running", "rolledBack");
         });
 
-        it("stop a box that gets no grants any more, by the news alone [P25]", async () => {
-            const other = world.boxes[5];
-            other.decider = 4;
-            world.boxes[4].isFrozen = true;
-            other.hasStore = false;
-            other.hearsCopies = false;
-            expect(await world.runUntil("rolledBack", duration)).to.equal(true);
-            world.run(100);
+        it("stop a box that gets no more grants by the announced decision alone [P25]", async () => {
+            const other = emulation.boxes[5];
+            other.decidingBox = 4;
+            emulation.boxes[4].isFrozen = true;
+            other.reachesStore = false;
+            other.receivesCopies = false;
+            expect(await emulation.runUntil("rolledBack", duration)).to.equal(true);
+            emulation.run(100);
             expect(other.rollouts.requests.of(service)?.traffic.decision()).to.equal("rolledBack");
         });
 
-        it("stop a box that missed the news, when it reports [P25]", async () => {
-            const late = world.boxes[5];
-            await world.runUntil("rolledBack", duration);
+        it("stop a box that missed the announced decision when it reports [P25]", async () => {
+            const late = emulation.boxes[5];
+            await emulation.runUntil("rolledBack", duration);
             late.isCutOff = true;
-            late.hasStore = false;
-            world.run(1000);
+            late.reachesStore = false;
+            emulation.run(1000);
             late.isCutOff = false;
-            world.run(1000);
+            emulation.run(1000);
             expect(late.rollouts.requests.of(service)?.traffic.share()).to.equal(0);
         });
 
-        it("open no other trial on a box that was cut off while the store was down, whoever decides then [P23] [P25]", async () => {
-            const late = world.boxes[5];
-            world.boxes.forEach(box => box.hasStore = false);
+        it("start no trial on a box that was cut off with the store down, whoever decides [P23] [P25]", async () => {
+            const late = emulation.boxes[5];
+            emulation.boxes.forEach(box => box.reachesStore = false);
             late.isCutOff = true;
-            await world.runUntil("rolledBack", 8000);
-            expect(world.boxes[3].rollouts.requests.of(service)?.traffic.decision()).to.equal("rolledBack");
-            takeOver(3);
+            await emulation.runUntil("rolledBack", 8000);
+            expect(emulation.boxes[3].rollouts.requests.of(service)?.traffic.decision()).to.equal("rolledBack");
+            changeDecidingBox(3);
             late.isCutOff = false;
-            world.run(3000);
+            emulation.run(3000);
             expect(late.rollouts.requests.of(service)?.traffic.decision()).to.equal("rolledBack");
-            const { toTrial } = world.counts;
-            world.run(2000);
-            expect(world.counts.toTrial, "sent after its return").to.equal(toTrial);
+            const { toTrial } = emulation.counts;
+            emulation.run(2000);
+            expect(emulation.counts.toTrial, "sent after its return").to.equal(toTrial);
         });
 
-        it("send nothing more than new requests allow after all boxes lost their memory [P23]", async () => {
-            world.boxes.forEach(({ index }) => world.restart(index));
+        it("send no more than new requests allow after all boxes have lost their state [P23]", async () => {
+            emulation.boxes.forEach(({ index }) => emulation.restart(index));
             await expectRolledBack();
         });
     });
 
-    it("take no decision from a box that has just started, or does not decide by what it knows itself", () => {
-        world.restart(0);
-        world.run(1000);
-        expect(world.order().state).to.equal(undefined);
-        takeOver(4);
-        world.boxes[4].decider = 1;
-        world.run(3000);
-        expect(world.counts.toTrial).to.equal(0);
+    it("are not decided by a box that has just started, or that does not take itself for the deciding box", () => {
+        emulation.restart(0);
+        emulation.run(1000);
+        expect(emulation.order().state).to.equal(undefined);
+        changeDecidingBox(4);
+        emulation.boxes[4].decidingBox = 1;
+        emulation.run(3000);
+        expect(emulation.counts.toTrial).to.equal(0);
     });
 });
--- a/packages/testing/src/promises/box-mutations.ts
+++ b/packages/testing/src/promises/box-mutations.ts
@@ -218,7 +218,7 @@
         promise: "P25",
         name: "the news of a decision, before the store has it",
         file: boxFile("rollouts/rollouts"),
-        find: "trials.onDecision(news);",
+        find: "trials.onDecision(decision);",
         replace: "",
         testFiles: [boxTestFile("rollouts")],
     },
