--- a/packages/kernel/src/environment.ts
+++ b/packages/kernel/src/environment.ts
@@ -1,5 +1,6 @@
 /**
- * What decisions may not read by themselves: time and chance.
+ * Types of the clock and the random source that are passed to decision code,
+ * which reads neither by itself, and a seeded random source.
  */
 
 import type { Milliseconds } from "./ids.js";
@@ -10,9 +11,9 @@
 /** Returns a number from 0 up to but not including 1. */
 export type RandomSource = () => number;
 
-/** Constant of Mulberry32. */
+/** Increment of Mulberry32's state. */
 const mulberryIncrement = 0x6d2b79f5;
-/** Number of values of 32 bits. */
+/** Number of 32-bit values, 2^32. */
 const twoToThe32 = 4294967296;
 
 /**
--- a/packages/kernel/src/hash.ts
+++ b/packages/kernel/src/hash.ts
@@ -1,14 +1,14 @@
 /**
- * A small hash of texts that is the same in every process and release: boxes
- * rank servers and each other by it without asking.
+ * A string hash that is the same in every process and release. Boxes rank
+ * servers and each other by it, and agree on the ranking without messages.
  */
 
-/** Constant of FNV-1a, 32 bits. */
+/** Offset basis of 32-bit FNV-1a. */
 const fnvOffset = 0x811c9dc5;
-/** Constant of FNV-1a, 32 bits. */
+/** Prime of 32-bit FNV-1a. */
 const fnvPrime = 0x01000193;
 
-/** Returns the 32-bit FNV-1a hash of a text with a final avalanche step. */
+/** Returns the 32-bit FNV-1a hash of a text's UTF-16 code units, finalized with MurmurHash3's avalanche step. */
 export function hashText(text: string): number {
     let hash = fnvOffset;
     for (let index = 0; index < text.length; index++) {
--- a/packages/kernel/src/index.ts
+++ b/packages/kernel/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * What all packages share: branded ids and units, results, hashing, and the
- * clock and random source that decisions are given. No I/O.
+ * Types and functions that all packages share: branded ids and units, results,
+ * hashing, and the types of clock and random source. No I/O.
  */
 
 export * from "./environment.js";
--- a/packages/kernel/src/result.ts
+++ b/packages/kernel/src/result.ts
@@ -1,8 +1,8 @@
 /**
- * The one import of `ts-results` in the project.
+ * The only import of `ts-results`; all other modules use this one.
  *
- * The package is CommonJS, so its names are reached through the default
- * export under Node's ESM loader and directly in a bundle.
+ * The package is CommonJS: its exports are members of the default export under
+ * Node's ESM loader, and named exports in a bundle.
  */
 
 import * as tsResults from "ts-results";
@@ -10,21 +10,21 @@
 
 const library = (tsResults as unknown as { default?: typeof tsResults; }).default ?? tsResults;
 
-/** Makes the success side of a `Result`. */
+/** Creates a successful `Result`. */
 export const Ok = library.Ok;
 
 /**
- * Makes the failure side of a `Result`.
+ * Creates a failed `Result`.
  *
- * The library's own constructor takes a stack trace each time, some 50 us; a
- * refusal is an ordinary answer here and must cost no more than a success.
+ * The library's constructor captures a stack trace each time, which takes about
+ * 50 us. A refusal is an ordinary outcome and must cost no more than a success.
  */
 export const Err = <Failure>(failure: Failure): tsResults.Err<Failure> => {
-    const made = Object.create(library.Err.prototype) as { ok: false; err: true; val: Failure; };
-    made.ok = false;
-    made.err = true;
-    made.val = failure;
-    return made as tsResults.Err<Failure>;
+    const result = Object.create(library.Err.prototype) as { ok: false; err: true; val: Failure; };
+    result.ok = false;
+    result.err = true;
+    result.val = failure;
+    return result as tsResults.Err<Failure>;
 };
 
 export type { Result };
--- a/packages/runtime/src/addresses.ts
+++ b/packages/runtime/src/addresses.ts
@@ -1,20 +1,20 @@
 /**
- * Addresses of processes: an IP number and a port.
+ * Addresses on which processes listen: an IP address and a port.
  */
 
 import { isIP } from "node:net";
 
-/** Where a process listens. */
+/** A listening address. */
 export interface Address {
-    /** IP number. */
+    /** IPv4 or IPv6 address, without brackets. */
     readonly host: string;
     readonly port: number;
 }
 
-/** Largest port of TCP and UDP. */
-const largestPort = 65_535;
+/** Largest port number of TCP and UDP. */
+const maxPort = 65_535;
 
-/** Reads `IP:PORT`, or `[IPV6]:PORT`, as an operator types it; undefined when the text is neither. */
+/** Parses `IP:PORT` or `[IPV6]:PORT` as an operator types it; returns undefined for any other text. */
 export function parseAddress(text: string): Address | undefined {
     const match = /^(?:\[([^\]]+)\]|([^:]+)):(\d{1,5})$/.exec(text);
     if (match === null) {
@@ -22,16 +22,16 @@
     }
     const host = match[1] ?? match[2];
     const port = Number(match[3]);
-    return isIP(host) === 0 || port > largestPort ? undefined : { host, port };
+    return isIP(host) === 0 || port > maxPort ? undefined : { host, port };
 }
 
-/** Splits `HOST:PORT` as programs record it. */
+/** Splits `HOST:PORT` at its last colon. For addresses that programs have written; it validates nothing. */
 export function splitAddress(text: string): Address {
     const colon = text.lastIndexOf(":");
     return { host: text.slice(0, colon), port: Number(text.slice(colon + 1)) };
 }
 
-/** Returns the URL of a path at an address. */
+/** Returns the HTTP URL of a path at an address. */
 export function urlOf({ host, port }: Address, path = ""): string {
     return `http://${isIP(host) === 6 ? `[${host}]` : host}:${port}${path}`;
 }
--- a/packages/runtime/src/clock.ts
+++ b/packages/runtime/src/clock.ts
@@ -1,54 +1,55 @@
 /**
- * The clocks of the process, and the name of its one life.
+ * The process's clocks, and ids for its incarnations.
  */
 
 import { type Clock, type IncarnationId, incarnationId, milliseconds } from "@chalkdale/kernel";
 import { randomBytes } from "node:crypto";
 
-/** Monotonic milliseconds since the process started. Goes on while the process is stopped. */
+/** Monotonic milliseconds since the process started. It advances while the process is paused (SIGSTOP). */
 export const monotonicClock: Clock = () => milliseconds(performance.now());
 
 /**
- * Milliseconds by which the time of day must get ahead of the steady clock at once to stand for a suspension: far more than the clocks'
- * drift and their correction between two readings, and less than any bound on changes.
+ * Milliseconds that the wall clock must gain on the monotonic clock between two readings to count as a suspension. This
+ * is far more than the clocks' drift and its correction between two readings, and less than any bound on the age of
+ * state.
  */
-const leastSuspension = 500;
+const minSuspension = 500;
 
 /**
- * Creates the clock for ages of what this box was told. While the machine is suspended the steady clock stands still and what the box
- * believes grows old all the same; the time of day goes on. A step of the time of day looks alike: forward, everything is
- * confirmed once more than it had to be; back, nothing happens.
+ * Creates the monotonic clock that measures the age of state received from the store and from other boxes. It includes
+ * the time in which the machine was suspended: the process's monotonic clock stops then, but received state becomes
+ * outdated all the same. A forward step of the wall clock cannot be told from a suspension, and only causes state to be
+ * confirmed once more than needed; a backward step has no effect.
  *
- * @param steady the clock that goes on while the process is stopped, and not while the machine is suspended.
- * @param timeOfDay Unix milliseconds.
+ * @param monotonic a clock that advances while the process is paused, but not while the machine is suspended.
+ * @param wallClock returns Unix milliseconds.
  */
-export function createSuspendAwareClock(steady: Clock = monotonicClock, timeOfDay: () => number = Date.now): Clock {
+export function createSuspendAwareClock(monotonic: Clock = monotonicClock, wallClock: () => number = Date.now): Clock {
     let suspendedFor = 0;
-    let lead = timeOfDay() - steady();
+    let offset = wallClock() - monotonic();
 
     return () => {
-        const now = steady();
-        const nextLead = timeOfDay() - now;
-        if (nextLead - lead >= leastSuspension) {
-            suspendedFor += nextLead - lead;
+        const now = monotonic();
+        const newOffset = wallClock() - now;
+        if (newOffset - offset >= minSuspension) {
+            suspendedFor += newOffset - offset;
         }
-        lead = nextLead;
+        offset = newOffset;
         return milliseconds(now + suspendedFor);
     };
 }
 
-/** Bytes of chance, so that two starts in one millisecond differ. */
-const randomPart = 4;
-/** Digits of a time in base 36, enough until the year 5188, so that texts sort by time. */
+/** Random bytes in an incarnation, to distinguish starts within one millisecond. */
+const randomByteCount = 4;
+/** Base-36 digits of a padded time, enough until the year 5188; padded texts sort by time. */
 const timeDigits = 9;
 
 /**
- * Returns a new incarnation: the wall-clock time in base 36 and a random
- * part. The order of the texts is that of the start times, as far as the
- * boxes' wall clocks agree; nothing relies on it but the preference for the
- * newer of two processes of one name.
+ * Returns a new incarnation id: the wall-clock time in base 36 and a random
+ * suffix. Ids sort by start time as far as the boxes' wall clocks agree. The
+ * order is used only to prefer the newer of two processes with one name.
  */
 export function newIncarnation(): IncarnationId {
     const time = Date.now().toString(36).padStart(timeDigits, "0");
-    return incarnationId(`${time}-${randomBytes(randomPart).toString("hex")}`);
+    return incarnationId(`${time}-${randomBytes(randomByteCount).toString("hex")}`);
 }
--- a/packages/runtime/src/exit-codes.ts
+++ b/packages/runtime/src/exit-codes.ts
@@ -1,23 +1,23 @@
 /**
  * The exit codes of all programs. Operators' scripts and the deployment rely on
- * them.
+ * their numbers.
  */
 
-/** Exit codes of all programs. */
+/** Exit codes by name. */
 export const exitCodes = {
-    /** All went well. */
+    /** The program did what was requested. */
     success: 0,
     /** The program failed while it ran. */
     failure: 1,
-    /** The command line was wrong. */
+    /** The command line was invalid. */
     usage: 2,
-    /** Settings were refused. */
+    /** The settings were rejected. */
     settings: 3,
-    /** The settings' store or a box could not be reached. */
+    /** The settings store or a box could not be reached. */
     unavailable: 4,
-    /** An edit clashed with another operator's. */
+    /** An edit conflicted with another operator's. */
     clash: 5,
 } as const;
 
-/** An exit code that programs use. */
+/** One of the numbers in {@link exitCodes}. */
 export type ExitCode = (typeof exitCodes)[keyof typeof exitCodes];
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * What all programs share: logs, time, streams, addresses, exit codes.
+ * Modules that all programs share: logs, clocks, timers as streams, addresses and exit codes.
  */
 
 export * from "./addresses.js";
--- a/packages/runtime/src/line-output.ts
+++ b/packages/runtime/src/line-output.ts
@@ -1,37 +1,39 @@
 /**
- * Log lines to a stream whose reader may not read.
+ * Writes log lines to a stream whose reader may be slow or have stopped reading.
  *
- * Node writes to a pipe without blocking and keeps what its reader has not
- * taken; here that is bounded, and beyond the bound lines are left out and counted.
+ * Node writes to a pipe without blocking and buffers in memory what the reader
+ * has not read. This module bounds that buffer: beyond the bound it drops lines
+ * and counts them.
  *
- * Owns the count of lines left out; relies on the stream for how much it holds.
+ * Owns the count of dropped lines; relies on the stream's `writableLength`.
  */
 
-/** Something that takes bytes, as far as this module needs it. */
+/** The part of a writable stream that this module uses. */
 export interface LineTarget {
     readonly write: (text: string) => boolean;
     readonly writableLength: number;
 }
 
-/** Takes lines without their ends. */
+/** A bounded output of lines. */
 export interface LineOutput {
+    /** Writes one line, given without its line end, or drops it. */
     readonly write: (line: string) => void;
-    /** Lines left out so far. */
+    /** Number of lines dropped so far. */
     readonly droppedLines: () => number;
 }
 
-/** Bytes kept for a reader that does not read. */
-const mostPending = 256 * 1024;
+/** Bytes buffered for a slow reader before lines are dropped. */
+const maxPendingBytes = 256 * 1024;
 
-/** Creates an output that leaves lines out while the target holds too much. */
+/** Creates an output that drops lines while the target's buffer is too full, and then writes how many it dropped. */
 export function createLineOutput(target: LineTarget): LineOutput {
-    let leftOut = 0;
+    let dropped = 0;
     let unreported = 0;
 
     return {
         write(line) {
-            if (target.writableLength > mostPending) {
-                leftOut += 1;
+            if (target.writableLength > maxPendingBytes) {
+                dropped += 1;
                 unreported += 1;
                 return;
             }
@@ -41,6 +43,6 @@
             }
             target.write(`${line}\n`);
         },
-        droppedLines: () => leftOut,
+        droppedLines: () => dropped,
     };
 }
--- a/packages/runtime/src/log.ts
+++ b/packages/runtime/src/log.ts
@@ -1,18 +1,18 @@
 /**
- * Logs of one line of key=value pairs for each event: time, level, event,
- * then the event's fields. Values are quoted when they need it.
+ * The log: one line of key=value pairs for each event, with time, level, event
+ * and then the event's fields. Values with spaces, quotes or `=` are quoted as
+ * JSON strings.
  */
 
 import { createConsola, type LogObject } from "consola";
 
-/** A field's value. */
 type LogValue = string | number | boolean | undefined;
-/** Fields of an event; those that are undefined are left out. */
+/** Fields of an event; those with the value undefined are omitted. */
 export type LogFields = Readonly<Record<string, LogValue>>;
-/** How much a line matters. */
+/** Severity of a line. */
 export type LogLevel = "error" | "warn" | "info";
 
-/** Logs of one program. */
+/** Writes the events of one program. */
 export interface Log {
     readonly error: (event: string, fields?: LogFields) => void;
     readonly warn: (event: string, fields?: LogFields) => void;
@@ -20,13 +20,13 @@
 }
 
 export interface LogOptions {
-    /** Takes each line without its line end. Standard error by default. */
+    /** Receives each line without its line end. Standard error by default. */
     readonly write?: (line: string) => void;
-    /** Wall-clock time of each line. */
+    /** Returns the wall-clock time that a line states. The system's time by default. */
     readonly now?: () => Date;
 }
 
-/** The library's number for lines up to information; its own default depends on the environment. */
+/** Consola's number for the level `info`. Its default level depends on the environment. */
 const infoLevel = 3;
 
 /** Creates the log of a program. */
@@ -50,7 +50,6 @@
     return formatFields({ time: time.toISOString(), level: entry.type, event, ...fields });
 }
 
-/** Returns fields as `key=value` pairs on one line. */
 function formatFields(fields: LogFields): string {
     return Object.entries(fields)
         .filter(([, value]) => value !== undefined)
@@ -58,6 +57,7 @@
         .join(" ");
 }
 
+/** Values that are written without quotes. */
 const plainValue = /^[^\s"=]+$/;
 
 function formatValue(value: LogValue): string {
--- a/packages/runtime/src/streams.ts
+++ b/packages/runtime/src/streams.ts
@@ -1,10 +1,10 @@
 /**
- * Streams of `most` and waits that end with an abort signal.
+ * Timers that end with an abort signal: a stream of `most`, and a promise.
  */
 
 import { fromPromise, periodic, type Stream } from "most";
 
-/** Returns a stream with an event every so many milliseconds until the signal aborts. */
+/** Returns a stream that emits at once and then at each interval, in milliseconds, until the signal aborts. */
 export function intervalStream(interval: number, signal: AbortSignal): Stream<undefined> {
     const aborted = new Promise<void>(resolve => {
         signal.addEventListener("abort", () => resolve(), { once: true });
@@ -12,7 +12,7 @@
     return periodic(interval).constant(undefined).until(fromPromise(aborted));
 }
 
-/** Resolves after so many milliseconds, or at once when the signal aborts. */
+/** Resolves after a duration in milliseconds, or as soon as the signal aborts; never rejects. */
 export function sleep(duration: number, signal: AbortSignal): Promise<void> {
     return new Promise(resolve => {
         if (signal.aborted) {
--- a/packages/runtime/test/clock.test.ts
+++ b/packages/runtime/test/clock.test.ts
@@ -1,65 +1,68 @@
 /**
- * The clock for ages, by an injected pair of clocks: a machine that was suspended, and a time of day that is set.
+ * The clock for the age of state must include the time in which the machine was
+ * suspended. Otherwise a box would take outdated state for fresh after a
+ * suspension, since the monotonic clock stops meanwhile. The tests inject a
+ * monotonic clock and a wall clock.
  */
 
 import { type Clock, milliseconds } from "@chalkdale/kernel";
 import { expect } from "chai";
 import { createSuspendAwareClock } from "../src/clock.js";
 
-describe("the clock for ages [P8]", () => {
-    let steady: number;
-    let day: number;
+describe("the suspend-aware clock [P8]", () => {
+    let monotonic: number;
+    let wallClock: number;
     let clock: Clock;
 
     beforeEach(() => {
-        steady = 1000;
-        day = 1_700_000_000_000;
-        clock = createSuspendAwareClock(() => milliseconds(steady), () => day);
+        monotonic = 1000;
+        wallClock = 1_700_000_000_000;
+        clock = createSuspendAwareClock(() => milliseconds(monotonic), () => wallClock);
     });
 
-    function pass(duration: number): void {
-        steady += duration;
-        day += duration;
+    function advance(duration: number): void {
+        monotonic += duration;
+        wallClock += duration;
     }
 
-    it("goes on as the steady one does", () => {
-        pass(700);
+    it("advances with the monotonic clock", () => {
+        advance(700);
         expect(clock()).to.equal(1700);
     });
 
-    it("counts the time in which the machine was suspended, whenever it is read", () => {
+    it("includes the time in which the machine was suspended, however often it is read meanwhile", () => {
         const before = clock();
-        pass(200);
-        day += 5000;
+        advance(200);
+        wallClock += 5000;
         expect(clock() - before).to.equal(5200);
-        pass(100);
-        day += 3000;
-        pass(100);
+        advance(100);
+        wallClock += 3000;
+        advance(100);
         expect(clock() - before).to.equal(8400);
     });
 
-    it("does not take the drift of the time of day for a suspension", () => {
+    it("does not count drift of the wall clock as a suspension", () => {
         const before = clock();
         for (let index = 0; index < 1000; index++) {
-            pass(250);
-            day += 20;
+            advance(250);
+            wallClock += 20;
             clock();
         }
         expect(clock() - before).to.equal(250_000);
     });
 
-    it("never goes back, and counts no suspension that a time of day set back hides nothing of", () => {
+    it("ignores a backward step of the wall clock, and counts a suspension after it in full", () => {
         const before = clock();
-        day -= 60_000;
+        wallClock -= 60_000;
         expect(clock()).to.equal(before);
-        pass(100);
-        day += 4000;
+        advance(100);
+        wallClock += 4000;
         expect(clock() - before).to.equal(4100);
     });
 
-    it("takes a time of day that is set forward for a suspension: what may be old is confirmed once more", () => {
+    it("counts a forward step of the wall clock as a suspension, since state may be outdated", () => {
         const before = clock();
-        day += 2000;
+        wallClock += 2000;
         expect(clock() - before).to.equal(2000);
     });
 });
--- a/packages/runtime/test/output.test.ts
+++ b/packages/runtime/test/line-output.test.ts
@@ -1,8 +1,13 @@
+/**
+ * Bounds on logs: a reader that stops reading must not make the process buffer
+ * lines without limit, and a frequent event must not crowd out the others.
+ */
+
 import { expect } from "chai";
 import { createLineOutput, createLog, createRateLimitedLog } from "../src/index.js";
 
-describe("log output", () => {
-    it("leaves lines out while its reader does not read, and then says how many", () => {
+describe("the line output", () => {
+    it("drops lines while its reader does not read, and then reports how many", () => {
         const written: string[] = [];
         const target = {
             writableLength: 0,
@@ -23,8 +28,8 @@
     });
 });
 
-describe("log budget", () => {
-    it("bounds the lines of each event, and counts what it leaves out", () => {
+describe("the rate-limited log", () => {
+    it("limits the lines of each event, and reports how many it dropped", () => {
         const written: string[] = [];
         const log = createRateLimitedLog(createLog({ write: line => written.push(line.replace(/^time=\S+ /, "")) }), {
             linesPerSecond: 2,
