--- a/packages/settings-store/src/call-with-timeout.ts
+++ b/packages/settings-store/src/call-with-timeout.ts
@@ -1,14 +1,15 @@
 /**
- * Bounds of a single call.
+ * Runs one call with a timeout and abort signals.
  *
- * `AbortSignal.any` on a signal that lives as long as the program keeps
- * something of every call on Node 20, so calls link to their owner by hand
- * and unlink when they end.
+ * `AbortSignal.any` is not used: on Node 20, a signal that lives as long as the
+ * program retains memory for each signal derived from it. Listeners are added by
+ * hand instead, and removed when the call ends.
  */
 
 /**
- * Runs a task under a signal that aborts with any of the owners or after so
- * many milliseconds. Whatever the task returns or throws is passed on.
+ * Runs a task with a signal that aborts when any of the owners aborts or after
+ * `timeout` milliseconds. Returns what the task returns and throws what it throws;
+ * a task that ignores its signal is not interrupted.
  */
 export async function callWithTimeout<Value>(
     owners: readonly AbortSignal[],
--- a/packages/settings-store/src/change-object.ts
+++ b/packages/settings-store/src/change-object.ts
@@ -1,20 +1,20 @@
 /**
- * Read, change and write back one object until it stands.
+ * Read-modify-write of one object, with optimistic concurrency control.
  *
- * Owns no state; relies on conditional updates of the store.
+ * Owns no state; relies on the store's conditional updates.
  */
 
 import { type ObjectVersion, objectVersion } from "@chalkdale/kernel";
 import type { CallOptions, SettingsStore, StoredObject, StoreOutcome } from "./settings-store.js";
 
-/** What a change makes of an object's value: the next value, or a reason to stop. */
+/** What the step function decides, given an object's current value. */
 export type ChangeDecision<Value, Reason> =
     | { readonly kind: "write"; readonly value: Value; }
-    /** The value already is as wanted. */
+    /** The object has the wanted value already. */
     | { readonly kind: "keep"; }
     | { readonly kind: "stop"; readonly reason: Reason; };
 
-/** How a change ended. */
+/** How a change ended; `unknown` if a write may or may not have taken effect. */
 export type ChangeOutcome<Value, Reason> =
     | { readonly kind: "written"; readonly value: Value; readonly version: ObjectVersion; }
     | { readonly kind: "kept"; readonly value: Value; readonly version: ObjectVersion; }
@@ -24,14 +24,15 @@
 
 /** Bounds of a change. */
 export interface ChangeOptions extends CallOptions {
-    /** Writes that are tried when others write at the same time. */
+    /** Maximum number of writes, which fail when others write at the same time. */
     readonly maxAttempts: number;
 }
 
 /**
- * Changes an object under conditional update. After a write whose answer was
- * lost the object is read again; the step function must then recognise its
- * own write and answer `keep`, or write again if it did not take effect.
+ * Changes an object by conditional updates. When a write conflicts, or its answer
+ * is lost, the object is read again. After a lost answer the step function must
+ * recognise a write of its own that took effect and return `keep`, or else write
+ * again.
  */
 export async function changeObject<Value, Reason>(
     store: SettingsStore,
@@ -71,7 +72,7 @@
         }
     }
     return lostAnswer === undefined
-        ? { kind: "unavailable", reason: "too many writers at once" }
+        ? { kind: "unavailable", reason: "each write conflicted with another writer's" }
         : { kind: "unknown", reason: lostAnswer };
 }
 
--- a/packages/settings-store/src/http-store.ts
+++ b/packages/settings-store/src/http-store.ts
@@ -1,20 +1,20 @@
 /**
- * The store of the settings tree by JSON over HTTP: `GET /v1/entries/KEY`,
- * `POST /v1/entries/KEY` to create, and `PUT /v1/entries/KEY` with
- * `If-Match: VERSION`.
+ * Client of the settings store, with JSON over HTTP: `GET /v1/entries/KEY` to
+ * read, `POST /v1/entries/KEY` to create, and `PUT /v1/entries/KEY` with
+ * `If-Match: VERSION` to update.
  *
- * Owns its connections, which close with the signal; relies on `undici`.
+ * Owns its connections, which are closed when the signal aborts; relies on `undici`.
  */
 
 import { Agent, errors, request } from "undici";
 import { callWithTimeout } from "./call-with-timeout.js";
 import type { SettingsStore, StoredObject, StoreOutcome } from "./settings-store.js";
 
-/** Milliseconds until a connection must be up; an operator waits for it. */
+/** Timeout of connecting, in milliseconds; short because an operator is waiting. */
 const connectTimeout = 1000;
 
-/** Codes of errors that show that nothing was sent. */
-const notSentCodes = new Set(["ECONNREFUSED", "EHOSTUNREACH", "ENETUNREACH", "UND_ERR_CONNECT_TIMEOUT"]);
+/** Codes of errors that occur before anything was sent, so that a write cannot have taken effect. */
+const unsentErrorCodes = new Set(["ECONNREFUSED", "EHOSTUNREACH", "ENETUNREACH", "UND_ERR_CONNECT_TIMEOUT"]);
 
 interface Call {
     readonly method: "GET" | "POST" | "PUT";
@@ -25,7 +25,7 @@
     readonly signal: AbortSignal;
 }
 
-/** Creates a client of the store at a URL such as `http://127.0.0.1:7000`. It closes when the signal aborts. */
+/** Creates a client of the store at a URL such as `http://127.0.0.1:7000`. The signal's abort closes its connections. */
 export function createHttpStore(url: string, signal: AbortSignal): SettingsStore {
     const agent = new Agent({ connections: 4, connect: { timeout: connectTimeout } });
     signal.addEventListener("abort", () => void agent.destroy().catch(() => undefined), { once: true });
@@ -43,15 +43,15 @@
             }),
     };
 
-    async function call<Value>({ method, path, headers, body, timeout, signal: caller }: Call) {
+    async function call<Value>({ method, path, headers, body, timeout, signal: owner }: Call) {
         try {
-            return await callWithTimeout([caller], timeout, async bounded => {
+            return await callWithTimeout([owner], timeout, async callSignal => {
                 const response = await request(`${url}${path}`, {
                     method,
                     headers: { "content-type": "application/json", ...headers },
                     body: body === undefined ? undefined : JSON.stringify(body),
                     dispatcher: agent,
-                    signal: bounded,
+                    signal: callSignal,
                 });
                 return outcomeOf<Value>(response.statusCode, await response.body.text(), method);
             });
@@ -90,8 +90,8 @@
     const code = error instanceof errors.UndiciError || error instanceof Error
         ? (error as { code?: string; }).code ?? error.name
         : String(error);
-    const notSent = notSentCodes.has(code);
-    return method === "GET" || notSent
+    const isUnsent = unsentErrorCodes.has(code);
+    return method === "GET" || isUnsent
         ? { kind: "unavailable", reason: code }
         : { kind: "unknown", reason: code };
 }
--- a/packages/settings-store/src/index.ts
+++ b/packages/settings-store/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The store of the settings tree and its HTTP client.
+ * The interface of the settings store, its HTTP client, and conditional changes of an object.
  */
 
 export * from "./change-object.js";
--- a/packages/settings-store/src/settings-store.ts
+++ b/packages/settings-store/src/settings-store.ts
@@ -1,9 +1,9 @@
 /**
- * The store that keeps the operators' settings tree: one object under
- * conditional update, as narrow as the command line needs it.
+ * Interface of the store that keeps the operators' settings tree as one object
+ * with conditional updates. It has only the calls that the command line needs.
  *
- * Owns the key of the tree; relies on the store to raise versions and to check
- * conditions. Boxes don't read it.
+ * Owns the key of the tree; relies on the store to increase versions and to check
+ * conditions. Boxes do not read this store.
  */
 
 import type { ObjectVersion } from "@chalkdale/kernel";
@@ -11,7 +11,7 @@
 /** An object in the store. */
 export interface StoredObject {
     readonly key: string;
-    /** Raised by the store at every change of any object. */
+    /** Increased by the store with each change of any object. */
     readonly version: ObjectVersion;
     readonly value: unknown;
 }
@@ -20,27 +20,28 @@
 export type StoreOutcome<Value> =
     /** It took effect. */
     | { readonly kind: "done"; readonly value: Value; }
-    /** The object is of another version, or exists already; nothing was written. */
+    /** The object has another version, or exists already; nothing was written. */
     | { readonly kind: "conflict"; }
     /** There is no such object. */
     | { readonly kind: "absent"; }
-    /** The store did not take the call; nothing was written. */
+    /** The store was not reached or rejected the call; nothing was written. */
     | { readonly kind: "unavailable"; readonly reason: string; }
     /** The answer was lost; a write may have taken effect. */
     | { readonly kind: "unknown"; readonly reason: string; };
 
 /** Bounds of one call. */
 export interface CallOptions {
-    /** Milliseconds until the call is given up. */
+    /** Milliseconds. */
     readonly timeout: number;
+    /** Aborts the call. */
     readonly signal: AbortSignal;
 }
 
-/** The store. Calls never throw; an abort ends as `unavailable` or, for writes, `unknown`. */
+/** The store. Calls never throw; an aborted call ends as `unavailable` or, if it may have written, as `unknown`. */
 export interface SettingsStore {
     readonly get: (key: string, options: CallOptions) => Promise<StoreOutcome<StoredObject>>;
     readonly create: (key: string, value: unknown, options: CallOptions) => Promise<StoreOutcome<StoredObject>>;
-    /** Writes only if the object still has the version. */
+    /** Writes only if the object's version is the one given. */
     readonly update: (
         key: string,
         version: ObjectVersion,
--- a/packages/settings/src/address-block.ts
+++ b/packages/settings/src/address-block.ts
@@ -1,7 +1,7 @@
 /**
- * Checks the address blocks of the settings tree.
+ * Validates the address blocks (CIDR) of the settings tree.
  *
- * Owns nothing; relies on Node for the form of an IPv6 address.
+ * Pure; relies on Node to validate IPv6 addresses.
  */
 
 import { isIPv6 } from "node:net";
@@ -10,11 +10,15 @@
 const ipv4Bits = 32;
 /** Bits of an IPv6 address. */
 const ipv6Bits = 128;
-/** Largest part of an IPv4 address. */
-const largestByte = 255;
-const ipv4InIpv6 = "::ffff:";
+/** Largest value of one part of an IPv4 address. */
+const maxByte = 255;
+/** Prefix of an IPv4 address that is written as IPv6. */
+const ipv4MappedPrefix = "::ffff:";
 
-/** True for a block in CIDR form, such as `10.0.0.0/8` or `2001:db8::/32`. IPv4 written as IPv6 counts as IPv4. */
+/**
+ * Returns true for a block in CIDR notation, such as `10.0.0.0/8` or `2001:db8::/32`. An IPv4-mapped IPv6 address counts
+ * as IPv4: its prefix length is at most 32.
+ */
 export function isAddressBlock(text: string): boolean {
     const [address, length] = text.split("/");
     const bits = bitsOf(address);
@@ -22,15 +26,15 @@
 }
 
 function bitsOf(address: string): number | undefined {
-    const isWrapped = address.startsWith(ipv4InIpv6) && address.includes(".");
-    if (isIPv4Number(isWrapped ? address.slice(ipv4InIpv6.length) : address)) {
+    const isMapped = address.startsWith(ipv4MappedPrefix) && address.includes(".");
+    if (isIPv4Address(isMapped ? address.slice(ipv4MappedPrefix.length) : address)) {
         return ipv4Bits;
     }
     return isIPv6(address) ? ipv6Bits : undefined;
 }
 
-/** Unlike Node's own check this takes leading zeros, since trees that were stored may have them. */
-function isIPv4Number(text: string): boolean {
+/** Unlike Node's `isIPv4`, accepts leading zeros, since stored trees may contain them. */
+function isIPv4Address(text: string): boolean {
     const parts = text.split(".");
-    return parts.length === 4 && parts.every(part => /^\d+$/.test(part) && Number(part) <= largestByte);
+    return parts.length === 4 && parts.every(part => /^\d+$/.test(part) && Number(part) <= maxByte);
 }
--- a/packages/settings/src/checks.ts
+++ b/packages/settings/src/checks.ts
@@ -1,7 +1,8 @@
 /**
- * Checks across the nodes of a tree, and of trees that come from their store.
+ * Validates a settings tree across its nodes, and validates whole trees that are
+ * read as JSON.
  *
- * Owns nothing; all faults are returned at once.
+ * Pure. Each check returns all faults that it finds, not only the first.
  */
 
 import { Err, Ok, type Result } from "@chalkdale/kernel";
@@ -10,33 +11,36 @@
 import { kindOfPath, type NodePath, resolveValues, type SettingsDocument } from "./tree.js";
 import type { SettingKey } from "./values.js";
 
-/** A fault at a node of the tree. */
+/** A fault at a node of the tree, or at one of its settings. */
 export interface DocumentFault {
     readonly node: NodePath;
     readonly key?: SettingKey;
+    /** What was expected, or the schema's message; for people. */
     readonly expected: string;
 }
 
-/** Returns all faults that show only when nodes are seen together. */
+/** Returns all faults that cannot be found in a single node. */
 export function checkDocument(document: SettingsDocument): DocumentFault[] {
     return [
-        ...checkPlaces(document),
+        ...checkLocations(document),
         ...checkCapacities(document),
         ...checkBoxes(document),
-        ...checkServicePlaces(document),
+        ...checkServiceLocations(document),
         ...checkLatencies(document),
         ...checkLeases(document),
     ];
 }
 
-function checkPlaces(document: SettingsDocument): DocumentFault[] {
+function checkLocations(document: SettingsDocument): DocumentFault[] {
     const zones = pathsOfKind(document, "zone");
     const names = zones.map(lastName);
-    const twice = zones.filter((path, index) => names.indexOf(lastName(path)) !== index);
-    const empty = pathsOfKind(document, "region").filter(region => !zones.some(zone => zone.startsWith(`${region}/`)));
+    const duplicates = zones.filter((path, index) => names.indexOf(lastName(path)) !== index);
+    const emptyRegions = pathsOfKind(document, "region").filter(region =>
+        !zones.some(zone => zone.startsWith(`${region}/`))
+    );
     return [
-        ...twice.map(node => ({ node, expected: "expected a name that no other availability zone has" })),
-        ...empty.map(node => ({ node, expected: "expected at least one availability zone" })),
+        ...duplicates.map(node => ({ node, expected: "expected a name that no other availability zone has" })),
+        ...emptyRegions.map(node => ({ node, expected: "expected at least one availability zone" })),
     ];
 }
 
@@ -47,20 +51,20 @@
 }
 
 function checkBoxes(document: SettingsDocument): DocumentFault[] {
-    const all = configuredBoxes(document);
-    if (all.length === 0) {
-        return [{ node: "/", expected: "expected an entry box in at least one availability zone" }];
+    const boxes = configuredBoxes(document);
+    if (boxes.length === 0) {
+        return [{ node: "/", expected: "expected a box in at least one availability zone" }];
     }
     return pathsOfKind(document, "zone")
-        .filter(node => document.nodes[node].boxes?.some(box => all.filter(other => other === box).length > 1))
+        .filter(node => document.nodes[node].boxes?.some(box => boxes.filter(other => other === box).length > 1))
         .map(node => ({ node, key: "boxes", expected: "expected names that no other availability zone lists" }));
 }
 
-function checkServicePlaces(document: SettingsDocument): DocumentFault[] {
+function checkServiceLocations(document: SettingsDocument): DocumentFault[] {
     const paths = [...pathsOfKind(document, "serviceRegion"), ...pathsOfKind(document, "serviceZone")];
     return paths
         .filter(node => document.nodes[`/regions/${node.split("/").slice(3).join("/")}`] === undefined)
-        .map(node => ({ node, expected: "expected the name of a place under regions" }));
+        .map(node => ({ node, expected: "expected a region or availability zone that is listed under regions" }));
 }
 
 function checkLatencies(document: SettingsDocument): DocumentFault[] {
@@ -84,7 +88,7 @@
     return path.slice(path.lastIndexOf("/") + 1);
 }
 
-/** Checks a tree that came as JSON, for instance from its store. */
+/** Validates a tree that was read as JSON, such as from its store. On the `Err` side are all faults found. */
 export function checkJsonDocument(value: unknown): Result<SettingsDocument, readonly DocumentFault[]> {
     const parsed = documentSchema.safeParse(value);
     if (!parsed.success) {
--- a/packages/settings/src/edits.ts
+++ b/packages/settings/src/edits.ts
@@ -1,15 +1,16 @@
 /**
- * Edits of the tree: changes of single values, merged onto whatever others
- * have written meanwhile.
+ * Edits of the tree: changes of single values, merged onto a tree that others
+ * may have edited meanwhile.
  *
- * Owns nothing; a clash is an answer, and nothing of the edit is applied then.
+ * Pure. An edit that conflicts with another is returned as a failure, and none
+ * of its changes is applied.
  */
 
 import { Err, Ok, type Result } from "@chalkdale/kernel";
 import { isDeepStrictEqual } from "node:util";
 import type { NodePath, SettingsDocument } from "./tree.js";
 
-/** The change of one value; undefined stands for "not stated at this node". */
+/** The change of one value; undefined means that the node does not state the setting. */
 export interface ValueChange {
     readonly node: NodePath;
     readonly key: string;
@@ -17,20 +18,20 @@
     readonly to: unknown;
 }
 
-/** What one operator asks for. */
+/** The changes that one operator makes at once. */
 export interface SettingsEdit {
-    /** Unique; by it a writer whose answer was lost finds out what became of the write. */
+    /** Unique. A writer that lost the store's answer finds out by it whether its edit was stored. */
     readonly id: string;
     readonly author: string;
-    /** Wall-clock time, ISO 8601. */
+    /** Wall-clock time in ISO 8601. */
     readonly at: string;
     readonly changes: readonly ValueChange[];
 }
 
-/** The tree in its store, with its latest edits. */
+/** The tree and its latest edits, as the store keeps them. */
 export interface StoredSettings {
     readonly document: SettingsDocument;
-    /** Latest edits, newest last; at most {@link editsKept}. */
+    /** Latest edits, newest last; at most {@link maxEdits}. */
     readonly edits: readonly SettingsEdit[];
 }
 
@@ -38,24 +39,24 @@
 export interface EditConflict {
     readonly node: NodePath;
     readonly key: string;
-    /** What the second operator started from. */
+    /** Value that this edit is based on. */
     readonly from: unknown;
-    /** What the other operator wrote. */
+    /** Value that is stored now, written by another operator. */
     readonly theirs: unknown;
-    /** What the second operator asks for. */
+    /** Value that this edit sets. */
     readonly ours: unknown;
 }
 
-/** Edits kept with the tree. */
-const editsKept = 50;
+/** Number of edits that are kept with the tree. */
+const maxEdits = 50;
 
-/** Returns the changes that lead from one tree to another, in the order of nodes and keys. */
+/** Returns the changes that turn one tree into another, sorted by node and key. */
 export function changesBetween(from: SettingsDocument, to: SettingsDocument): ValueChange[] {
     const nodes = [...new Set([...Object.keys(from.nodes), ...Object.keys(to.nodes)])].sort();
     return nodes.flatMap(node => changesAtNode(node, from, to));
 }
 
-/** Stands as the key of a change that adds or removes a node itself. */
+/** Key of a change that adds (`to: true`) or removes (`to: false`) the node itself. */
 export const nodeExistenceKey = "";
 
 function changesAtNode(node: NodePath, from: SettingsDocument, to: SettingsDocument): ValueChange[] {
@@ -73,27 +74,27 @@
 }
 
 /**
- * Applies an edit to the tree as it stands now. Values that others changed
- * are kept unless the edit changes the same value to something else; that is
- * a clash, and nothing of the edit is applied. An edit already in the list
- * changes nothing.
+ * Applies an edit to the current tree. Values that others changed are kept. If
+ * the edit changes one of them to something else, that is a conflict: all
+ * conflicts are returned and nothing is applied. An edit whose id is in the list
+ * already changes nothing, and the stored settings are returned as they are.
  */
 export function applyEdit(stored: StoredSettings, edit: SettingsEdit): Result<StoredSettings, readonly EditConflict[]> {
     if (stored.edits.some(known => known.id === edit.id)) {
         return Ok(stored);
     }
-    const clashes = edit.changes.flatMap(change => clashOf(stored.document, change));
-    if (clashes.length > 0) {
-        return Err(clashes);
+    const conflicts = edit.changes.flatMap(change => conflictOf(stored.document, change));
+    if (conflicts.length > 0) {
+        return Err(conflicts);
     }
     const document = edit.changes.reduce(applyChange, stored.document);
-    return Ok({ document, edits: [...stored.edits, edit].slice(-editsKept) });
+    return Ok({ document, edits: [...stored.edits, edit].slice(-maxEdits) });
 }
 
-function clashOf(document: SettingsDocument, change: ValueChange): EditConflict[] {
+function conflictOf(document: SettingsDocument, change: ValueChange): EditConflict[] {
     const theirs = valueAt(document, change);
-    const settled = isDeepStrictEqual(theirs, change.from) || isDeepStrictEqual(theirs, change.to);
-    return settled ? [] : [{ node: change.node, key: change.key, from: change.from, theirs, ours: change.to }];
+    const isMergeable = isDeepStrictEqual(theirs, change.from) || isDeepStrictEqual(theirs, change.to);
+    return isMergeable ? [] : [{ node: change.node, key: change.key, from: change.from, theirs, ours: change.to }];
 }
 
 function valueAt(document: SettingsDocument, { node, key }: ValueChange): unknown {
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -1,7 +1,7 @@
 /**
- * The operators' settings tree: its nodes and values, its files, checks, and edits.
+ * The operators' settings tree: its nodes and values, its files, validation and edits.
  *
- * Owns the form of the tree; relies on `yaml` for files and `zod` for schemas. No I/O.
+ * Owns the schema of the tree; relies on `yaml` for files and `zod` for schemas. No I/O.
  */
 
 export * from "./address-block.js";
--- a/packages/settings/src/schema.ts
+++ b/packages/settings/src/schema.ts
@@ -1,5 +1,7 @@
 /**
- * What a value of each setting may be, as a schema.
+ * The schemas of settings, nodes, settings files and stored trees.
+ *
+ * Owns the range of each setting and the kinds of node that may state it.
  */
 
 import { isIP } from "node:net";
@@ -8,7 +10,7 @@
 import type { NodeKind } from "./tree.js";
 import type { SettingKey, SettingValues } from "./values.js";
 
-/** Names of regions, zones, services, boxes and deployments. */
+/** Names of regions, availability zones, services, boxes and deployments. */
 const namePattern = /^[a-z0-9][a-z0-9-]{0,62}$/;
 
 const name = z.string().regex(namePattern, "a name of lower-case letters, digits and hyphens");
@@ -18,10 +20,10 @@
 const seconds = z.number().positive().max(86_400);
 const count = z.int().min(1).max(1_000_000);
 const block = z.string().refine(isAddressBlock, "an address block such as 10.0.0.0/8");
-const address = z.string().refine(text => isIP(text) !== 0, "an IP number");
+const address = z.string().refine(text => isIP(text) !== 0, "an IP address");
 const method = z.enum(["POST", "PUT", "PATCH", "DELETE"]);
 
-/** The schema of each setting. */
+/** Schema of each setting's value. */
 const valueSchemas: { readonly [Key in SettingKey]: z.ZodType<SettingValues[Key]>; } = {
     drain: z.boolean(),
     capacity: positive,
@@ -58,9 +60,9 @@
     relaysPerZone: z.int().min(1).max(10),
 };
 
-const placeKeys: readonly SettingKey[] = ["drain", "zoneLatency"];
+const locationKeys: readonly SettingKey[] = ["drain", "zoneLatency"];
 const regionKeys: readonly SettingKey[] = [
-    ...placeKeys,
+    ...locationKeys,
     "capacity",
     "linkLimit",
     "clientBlocks",
@@ -98,19 +100,20 @@
     "connections",
     "slowStart",
 ];
-const onlyBelowRoot: readonly SettingKey[] = ["drain", "clientBlocks", "boxes", "latencyTo"];
+/** Settings that make sense for one region, service or zone only. */
+const notAtRoot: readonly SettingKey[] = ["drain", "clientBlocks", "boxes", "latencyTo"];
 
-/** The settings that a node of each kind may state. */
+/** Settings that a node of each kind may state. */
 const keysOfKind: Readonly<Record<NodeKind, readonly SettingKey[]>> = {
-    root: (Object.keys(valueSchemas) as SettingKey[]).filter(key => !onlyBelowRoot.includes(key)),
+    root: (Object.keys(valueSchemas) as SettingKey[]).filter(key => !notAtRoot.includes(key)),
     region: regionKeys,
-    zone: [...placeKeys, "boxes"],
+    zone: [...locationKeys, "boxes"],
     service: serviceKeys,
     serviceRegion: serviceZoneKeys,
     serviceZone: serviceZoneKeys,
 };
 
-/** Returns the schema of the values that a node of a kind states. */
+/** Returns the schema of the values that a node of one kind may state; all are optional. */
 export function nodeSchema(kind: NodeKind) {
     const shape = Object.fromEntries(keysOfKind[kind].map(key => [key, valueSchemas[key].optional()]));
     return z.strictObject(shape);
@@ -137,10 +140,10 @@
     ),
 });
 
-/** A settings file, checked. */
+/** Content of a settings file that has passed {@link fileSchema}. */
 export type SettingsFile = z.infer<typeof fileSchema>;
 
-/** The schema of the tree as its store keeps it. */
+/** The schema of the tree as its store keeps it; the values of its nodes are validated by {@link nodeSchema}. */
 export const documentSchema = z.strictObject({
     deployment: name,
     nodes: z.record(z.string(), z.record(z.string(), z.unknown())),
--- a/packages/settings/src/tree-file.ts
+++ b/packages/settings/src/tree-file.ts
@@ -1,5 +1,7 @@
 /**
- * Reads the settings tree from a YAML text, with all faults at once.
+ * Reads the settings tree from a YAML text and reports all faults at once.
+ *
+ * Pure; the caller reads the file.
  */
 
 import { Err, Ok, type Result } from "@chalkdale/kernel";
@@ -10,7 +12,7 @@
 import type { NodeValues } from "./values.js";
 import { parseYaml, type YamlSource } from "./yaml-source.js";
 
-/** Reads a settings tree. On the `Err` side are all faults in the order of the file. */
+/** Reads a settings tree; `file` is its name in faults. On the `Err` side are all faults in the order of the file. */
 export function readTree(file: string, text: string): Result<SettingsDocument, readonly SettingsFault[]> {
     const source = parseYaml(file, text);
     if (source.syntaxFaults.length > 0) {
@@ -18,18 +20,18 @@
     }
     const parsed = fileSchema.safeParse(source.value);
     if (!parsed.success) {
-        return Err(inOrder(faultsFromSchemaIssues(source, parsed.error.issues)));
+        return Err(sortByLocation(faultsFromSchemaIssues(source, parsed.error.issues)));
     }
     const document = flatten(parsed.data);
-    const faults = checkDocument(document).map(fault => locate(source, fault));
-    return faults.length > 0 ? Err(inOrder(faults)) : Ok(document);
+    const faults = checkDocument(document).map(fault => toFault(source, fault));
+    return faults.length > 0 ? Err(sortByLocation(faults)) : Ok(document);
 }
 
-function inOrder(faults: SettingsFault[]): SettingsFault[] {
+function sortByLocation(faults: SettingsFault[]): SettingsFault[] {
     return faults.sort((a, b) => a.line - b.line || a.column - b.column);
 }
 
-function locate(source: YamlSource, { node, key, expected }: DocumentFault): SettingsFault {
+function toFault(source: YamlSource, { node, key, expected }: DocumentFault): SettingsFault {
     const steps = pathInFile(node);
     return createFaultAt(source, key === undefined ? steps : [...steps, "settings", key], expected);
 }
--- a/packages/settings/src/tree.ts
+++ b/packages/settings/src/tree.ts
@@ -1,14 +1,14 @@
 /**
- * The settings tree: nodes by path, and how a path resolves to values.
+ * The settings tree: nodes by path, and the inheritance of values along a path.
  *
- * Paths: `/` is the root; `/regions/R` and `/regions/R/Z` describe places;
- * `/services/S`, `/services/S/R` and `/services/S/R/Z` describe a service in
- * general, in one region, and in one availability zone.
+ * Paths: `/` is the root; `/regions/R` and `/regions/R/Z` are a region and an
+ * availability zone; `/services/S`, `/services/S/R` and `/services/S/R/Z` are a
+ * service in general, in one region, and in one availability zone.
  */
 
 import { defaultValues, type NodeValues, type SettingKey, type SettingValues } from "./values.js";
 
-/** Path of a node, for instance `/services/profil-api/ro-nord`. */
+/** Path of a node, such as `/services/profil-api/ro-nord`. */
 export type NodePath = string;
 
 /** The whole tree as its store keeps it. */
@@ -17,17 +17,17 @@
     readonly nodes: Readonly<Record<NodePath, NodeValues>>;
 }
 
-/** A value and the node it came from; `default` when no node states it. */
+/** A value and the node that states it, or `default` if no node does. */
 export interface ResolvedValue {
     readonly key: SettingKey;
     readonly value: SettingValues[SettingKey];
     readonly from: NodePath | "default";
 }
 
-/** The kinds of node, by the shape of their path. */
+/** Kinds of nodes, distinguished by the form of their path. */
 export type NodeKind = "root" | "region" | "zone" | "service" | "serviceRegion" | "serviceZone";
 
-/** Returns the kind of node a path names, or undefined for a path of another shape. */
+/** Returns the kind of node that a path names, or undefined if it is not a valid path. The node need not exist. */
 export function kindOfPath(path: NodePath): NodeKind | undefined {
     if (path === "/") {
         return "root";
@@ -45,31 +45,31 @@
     return undefined;
 }
 
-/** Returns the paths from the root to the node, both included. */
-function lineageOf(path: NodePath): NodePath[] {
+/** Returns the paths on which a node's values may be stated, from the root to the node itself. */
+function inheritancePath(path: NodePath): NodePath[] {
     if (path === "/") {
         return ["/"];
     }
     const parts = path.split("/").slice(1);
-    const lineage: NodePath[] = ["/"];
+    const inheritance: NodePath[] = ["/"];
     for (let length = 2; length <= parts.length; length++) {
-        lineage.push(`/${parts.slice(0, length).join("/")}`);
+        inheritance.push(`/${parts.slice(0, length).join("/")}`);
     }
-    return lineage;
+    return inheritance;
 }
 
-/** Returns all settings in force at a path. Nearer nodes win over farther ones. */
+/** Returns all settings in force at a path. A node's values override those of the nodes above it. */
 export function resolveValues(document: SettingsDocument, path: NodePath): SettingValues {
-    const stated = lineageOf(path).map(step => document.nodes[step] ?? {});
+    const stated = inheritancePath(path).map(step => document.nodes[step] ?? {});
     return Object.assign({}, defaultValues, ...stated) as SettingValues;
 }
 
-/** Returns each setting in force at a path together with the node that states it. */
+/** Returns each setting in force at a path, with the node that states it. */
 export function explainValues(document: SettingsDocument, path: NodePath): ResolvedValue[] {
-    const lineage = lineageOf(path).reverse();
+    const inheritance = inheritancePath(path).reverse();
     const keys = Object.keys(defaultValues) as SettingKey[];
     return keys.map(key => {
-        const from = lineage.find(step => document.nodes[step]?.[key] !== undefined);
+        const from = inheritance.find(step => document.nodes[step]?.[key] !== undefined);
         const value = from === undefined ? defaultValues[key] : document.nodes[from][key]!;
         return { key, value, from: from ?? "default" };
     });
--- a/packages/settings/src/values.ts
+++ b/packages/settings/src/values.ts
@@ -1,88 +1,89 @@
 /**
- * The settings that a node of the tree can carry, with their defaults.
+ * The settings that nodes of the tree can state, with their defaults.
  *
- * Durations are in seconds and rates in units per second, as operators write
- * them. The comments say what operators mean by each; no box reads the tree
- * today, so none is in force on a box (docs/DESIGN.md, "The settings tree and the boxes").
+ * Durations are in seconds and rates in units per second unless stated
+ * otherwise. The comments describe what each setting is intended for: boxes do
+ * not read the tree, so no setting takes effect on a box yet
+ * (docs/DESIGN.md, "The settings tree and the boxes").
  */
 
-/** Every setting, fully resolved. */
+/** All settings, with a value for each. */
 export interface SettingValues {
-    /** No new traffic goes to this place. */
+    /** True if no new traffic is to be sent to this region, zone or service. */
     readonly drain: boolean;
-    /** Cost units per second that a region can serve. */
+    /** Cost units per second that a region can serve; see `requestCost`. */
     readonly capacity: number;
-    /** Part of a region's capacity that is split among the configured boxes, 0 to 1; the rest is leased. */
+    /** Fraction of a region's capacity that is divided among boxes as guaranteed floors, 0 to 1; the rest is leased. */
     readonly floorShare: number;
-    /** Part of a region's floors that goes to its own boxes, 0 to 1; the rest to the boxes of other regions. */
+    /** Fraction of a region's floors for boxes of the same region, 0 to 1; the rest is for boxes of other regions. */
     readonly localFloorPart: number;
-    /** Seconds without contact to a peer or the platform after which a box gives up its floor. */
+    /** Seconds without contact to a peer or the platform after which a box stops using its floor. */
     readonly isolationTime: number;
-    /** Seconds for which a capacity grant holds unless renewed. */
+    /** Seconds for which a capacity lease is valid unless renewed. */
     readonly leaseTime: number;
     /** Requests per second on the link from one other region into this one. */
     readonly linkLimit: number;
-    /** Share of a service's traffic that may move into one place per minute. */
+    /** Fraction of a service's traffic that may move to one region or zone per minute. */
     readonly shiftCap: number;
-    /** Address blocks (CIDR) whose callers count as coming from this region. */
+    /** Address blocks (CIDR) of callers that belong to this region. */
     readonly clientBlocks: readonly string[];
-    /** Names of the entry boxes configured in an availability zone. */
+    /** Names of the boxes configured in an availability zone. */
     readonly boxes: readonly string[];
-    /** One-way milliseconds to other regions. */
+    /** One-way latency to other regions in milliseconds, by name of the region. */
     readonly latencyTo: Readonly<Record<string, number>>;
-    /** One-way milliseconds between availability zones of one region. */
+    /** One-way latency between availability zones of one region, in milliseconds. */
     readonly zoneLatency: number;
-    /** Price of one millisecond of round trip. */
+    /** Cost of one millisecond of round-trip time in the choice of a destination. */
     readonly latencyPrice: number;
-    /** Price of load near capacity. */
+    /** Cost of load near capacity in the choice of a destination. */
     readonly headroomPrice: number;
-    /** Price of a place whose caches are cold. */
+    /** Cost of cold caches in the choice of a destination. */
     readonly coldPrice: number;
     /** Seconds of steady traffic after which caches count as warm. */
     readonly warmUp: number;
-    /** Seconds for which a caller may keep a look-up answer. */
+    /** Seconds for which a caller may cache the answer of a look-up. */
     readonly answerLifetime: number;
-    /** Seconds until a request without a deadline of its own is given up. */
+    /** Timeout in seconds of a request that states no deadline. */
     readonly requestTimeout: number;
-    /** Bytes that a request body may have. */
+    /** Maximum size of a request body in bytes. */
     readonly maximumBodyBytes: number;
-    /** Requests that one backend server works on at once. */
+    /** Requests that one backend server processes concurrently. */
     readonly slots: number;
-    /** Connections that one box opens to one backend server. */
+    /** Maximum number of connections from one box to one backend server. */
     readonly connections: number;
-    /** Seconds over which a new or returning backend server is brought up to full load. */
+    /** Seconds over which a backend server that starts or recovers is brought to its full load. */
     readonly slowStart: number;
-    /** Retries allowed for each request started, 0 to 1. */
+    /** Retries allowed per request, as a fraction of the requests started, 0 to 1. */
     readonly retryRatio: number;
-    /** Cost units that one request takes from a region's capacity. */
+    /** Cost units that one request consumes of a region's capacity. */
     readonly requestCost: number;
-    /** Methods that are accepted only with a ticket, since they must not run twice. */
+    /** HTTP methods that are accepted only with a ticket, since their requests must not run twice. */
     readonly ticketMethods: readonly string[];
-    /** Seconds for which a ticket may be spent. */
+    /** Seconds for which a ticket is valid. */
     readonly ticketLifetime: number;
-    /** Services with a lower priority are shed first; 0 to 9. */
+    /** Priority of a service, 0 to 9; load is shed from services with lower priority first. */
     readonly priority: number;
-    /** Requests in flight that one box holds. */
+    /** Maximum number of requests in flight on one box. */
     readonly requestsInFlight: number;
     /** Seconds between two probes of a backend server. */
     readonly probeInterval: number;
-    /** Milliseconds within which a request should be answered. */
+    /** Latency objective of a request, in milliseconds. */
     readonly latencyObjective: number;
-    /** Share of requests that should succeed, 0 to 1. */
+    /** Fraction of requests that should succeed, 0 to 1. */
     readonly availabilityObjective: number;
-    /** Addresses whose forwarded-for header is believed. */
+    /** IP addresses of proxies whose X-Forwarded-For header is trusted. */
     readonly trustedForwarders: readonly string[];
-    /** Boxes per availability zone that watch the platform and link the zones. */
+    /** Relays per availability zone: boxes that watch the platform and exchange state with other zones. */
     readonly relaysPerZone: number;
 }
 
 /** Name of a setting. */
 export type SettingKey = keyof SettingValues;
 
-/** The values that one node states itself. */
+/** Values that one node states; it inherits the others. */
 export type NodeValues = Partial<SettingValues>;
 
-/** What holds where no node of the path says otherwise. */
+/** Values of the settings that no node on a path states. */
 export const defaultValues: SettingValues = {
     drain: false,
     capacity: 0,
--- a/packages/settings/src/yaml-source.ts
+++ b/packages/settings/src/yaml-source.ts
@@ -1,11 +1,13 @@
 /**
- * A YAML text with the place of every node.
+ * A parsed YAML text that knows the line and column of each node.
+ *
+ * Relies on `yaml`; bounds the length of the text and the expansion of aliases.
  */
 
 import { isNode, LineCounter, parseDocument } from "yaml";
 
-/** A place in a file, both 1-based. */
-interface Place {
+/** A location in a file; line and column are 1-based. */
+interface Location {
     readonly line: number;
     readonly column: number;
 }
@@ -13,38 +15,38 @@
 /** A parsed YAML text. */
 export interface YamlSource {
     readonly file: string;
-    /** The text's value; meaningless when there are syntax faults. */
+    /** The parsed value; undefined if there are syntax faults. */
     readonly value: unknown;
-    readonly syntaxFaults: readonly (Place & { readonly message: string; })[];
-    /** Returns the place of the node at a path, or of the nearest node above it that exists. */
-    readonly locationOf: (path: readonly PropertyKey[]) => Place;
+    readonly syntaxFaults: readonly (Location & { readonly message: string; })[];
+    /** Returns the location of the node at a path, or of its nearest existing ancestor. */
+    readonly locationOf: (path: readonly PropertyKey[]) => Location;
 }
 
-/** Longest settings text that is read, in bytes. */
-const longestText = 4 * 1024 * 1024;
-/** Aliases that may be resolved; guards against texts that expand without bound. */
-const mostAliases = 100;
+/** Maximum length of a settings text, in UTF-16 code units. */
+const maxTextLength = 4 * 1024 * 1024;
+/** Maximum number of aliases resolved, against texts that expand exponentially. */
+const maxAliases = 100;
 
-/** Parses a text. Never throws. */
+/** Parses a text; `file` is its name in faults. Never throws: errors become syntax faults. */
 export function parseYaml(file: string, text: string): YamlSource {
     const lines = new LineCounter();
-    const tooLong = text.length > longestText;
-    const document = parseDocument(tooLong ? "" : text, { lineCounter: lines, uniqueKeys: true, stringKeys: true });
+    const isTooLong = text.length > maxTextLength;
+    const document = parseDocument(isTooLong ? "" : text, { lineCounter: lines, uniqueKeys: true, stringKeys: true });
     const syntaxFaults = document.errors.map(error => ({
-        ...placeAt(error.pos[0]),
+        ...locationAt(error.pos[0]),
         message: error.message.split("\n")[0],
     }));
-    if (tooLong) {
-        syntaxFaults.push({ line: 1, column: 1, message: `longer than ${longestText} bytes` });
+    if (isTooLong) {
+        syntaxFaults.push({ line: 1, column: 1, message: `longer than ${maxTextLength} characters` });
     }
-    return { file, value: valueOf(), syntaxFaults, locationOf: placeOf };
+    return { file, value: valueOf(), syntaxFaults, locationOf };
 
     function valueOf(): unknown {
         if (syntaxFaults.length > 0) {
             return undefined;
         }
         try {
-            return document.toJS({ maxAliasCount: mostAliases });
+            return document.toJS({ maxAliasCount: maxAliases });
         }
         catch (error) {
             syntaxFaults.push({ line: 1, column: 1, message: String(error) });
@@ -52,16 +54,16 @@
         }
     }
 
-    function placeAt(offset: number): Place {
+    function locationAt(offset: number): Location {
         const { line, col } = lines.linePos(offset);
         return { line, column: col };
     }
 
-    function placeOf(path: readonly PropertyKey[]): Place {
+    function locationOf(path: readonly PropertyKey[]): Location {
         for (let length = path.length; length >= 0; length--) {
             const node = document.getIn(path.slice(0, length), true);
             if (isNode(node) && node.range) {
-                return placeAt(node.range[0]);
+                return locationAt(node.range[0]);
             }
         }
         return { line: 1, column: 1 };
--- a/packages/settings/test/address-block.test.ts
+++ b/packages/settings/test/address-block.test.ts
@@ -1,8 +1,8 @@
 import { expect } from "chai";
 import { isAddressBlock } from "../src/index.js";
 
-describe("an address block", () => {
-    it("is an address and the number of its first bits that count", () => {
+describe("isAddressBlock", () => {
+    it("accepts an address and a prefix length", () => {
         for (
             const text of ["10.0.0.0/8", "0.0.0.0/0", "192.0.2.1/32", "2001:db8::/32", "::/128", "::ffff:192.0.2.0/24"]
         ) {
@@ -10,8 +10,8 @@
         }
     });
 
-    it("is nothing else", () => {
-        const others = [
+    it("rejects any other text", () => {
+        const invalid = [
             "",
             "10.0.0.0",
             "10.0.0/8",
@@ -22,7 +22,7 @@
             "x/8",
             "10.0.0.0/",
         ];
-        for (const text of [...others, "::ffff:192.0.2.0/33"]) {
+        for (const text of [...invalid, "::ffff:192.0.2.0/33"]) {
             expect(isAddressBlock(text), text).to.equal(false);
         }
     });
--- a/packages/settings/test/edits.test.ts
+++ b/packages/settings/test/edits.test.ts
@@ -21,15 +21,15 @@
     return edits.reduce((current, next) => {
         const applied = applyEdit(current, next);
         if (applied.err) {
-            throw new Error("clash");
+            throw new Error("the edits conflict");
         }
         return applied.val;
     }, start);
 }
 
 describe("edits of the tree [P8]", () => {
-    describe("by two operators at once", () => {
-        it("both count when they change different values", () => {
+    describe("by two operators at the same time", () => {
+        it("are both applied if they change different values", () => {
             const both = apply(
                 stored,
                 edit("1", "/", "shiftCap", 0.1, 0.2),
@@ -39,7 +39,7 @@
             expect(both.document.nodes["/regions/ro-nord"].capacity).to.equal(800);
         });
 
-        it("clash when they change the same value differently, and nothing is lost", () => {
+        it("conflict if they change one value differently, and the first edit is kept", () => {
             const first = apply(stored, edit("1", "/", "shiftCap", 0.1, 0.2));
             const second = applyEdit(first, edit("2", "/", "shiftCap", 0.1, 0.3));
             expect(second.err && second.val).to.deep.equal([
@@ -48,22 +48,22 @@
             expect(first.document.nodes["/"].shiftCap).to.equal(0.2);
         });
 
-        it("agree when they change the same value alike", () => {
+        it("are both applied if they change one value to the same", () => {
             const both = apply(stored, edit("1", "/", "shiftCap", 0.1, 0.2), edit("2", "/", "shiftCap", 0.1, 0.2));
             expect(both.edits.map(({ id }) => id)).to.deep.equal(["1", "2"]);
         });
     });
 
-    describe("sent twice after a lost answer", () => {
-        it("count once", () => {
+    describe("that are sent again after a lost answer", () => {
+        it("are applied once", () => {
             const once = apply(stored, edit("1", "/", "shiftCap", 0.1, 0.2));
             const undone = apply(once, edit("2", "/", "shiftCap", 0.2, 0.1));
             expect(apply(undone, edit("1", "/", "shiftCap", 0.1, 0.2))).to.equal(undone);
         });
     });
 
-    describe("worked out from two trees", () => {
-        it("lead from one to the other, nodes that come and go included", () => {
+    describe("computed from two trees", () => {
+        it("turn one into the other, including added and removed nodes", () => {
             const target: SettingsDocument = {
                 deployment: "pedala",
                 nodes: { "/": {}, "/regions/eu-sud": { capacity: 5 } },
--- a/packages/settings/test/tree-file.test.ts
+++ b/packages/settings/test/tree-file.test.ts
@@ -33,7 +33,7 @@
         const read = readTree("tree.yaml", tree);
         const document = read.ok ? read.val : undefined;
 
-        it("takes the nearest node that states a value", () => {
+        it("takes each value from the nearest node that states it", () => {
             const leaf = resolveValues(document!, "/services/profil-api/ro-nord/ro-nord-a");
             expect(leaf.drain).to.equal(true);
             expect(leaf.slots).to.equal(8);
@@ -41,7 +41,7 @@
             expect(leaf.requestTimeout).to.equal(10);
         });
 
-        it("names the node that each value came from", () => {
+        it("reports the node that states each value", () => {
             const values = explainValues(document!, "/services/profil-api/ro-nord/ro-nord-a");
             const from = (key: string) => values.find(value => value.key === key)?.from;
             expect(from("drain")).to.equal("/services/profil-api/ro-nord/ro-nord-a");
@@ -52,29 +52,29 @@
     });
 
     describe("faults", () => {
-        it("are all told at once, each with its line and path", () => {
+        it("are all reported at once, each with its line and path", () => {
             const text = tree
                 .replace("capacity: 900", "capacity: -1")
                 .replace("slots: 8", "slots: many")
                 .replace("  shiftCap: 0.1", "  shiftCaps: 0.1");
             expect(faultsOf(text)).to.deep.equal([
-                "tree.yaml:3:14: settings.shiftCaps: not a setting of this kind of node",
+                "tree.yaml:3:14: settings.shiftCaps: unknown key, or a setting that this kind of node does not have",
                 "tree.yaml:7:17: regions.ro-nord.settings.capacity: expected more than 0",
                 "tree.yaml:17:28: services.profil-api.regions.ro-nord.settings.slots: expected number",
             ]);
         });
 
-        it("show a place of a service that is no place of the deployment", () => {
+        it("include a zone of a service that the deployment does not have", () => {
             const text = tree.replace(
                 "          ro-nord-a: { settings: { drain",
                 "          ro-nord-c: { settings: { drain",
             );
             expect(faultsOf(text)).to.deep.equal([
-                "tree.yaml:19:22: services.profil-api.regions.ro-nord.zones.ro-nord-c: expected the name of a place under regions",
+                "tree.yaml:19:22: services.profil-api.regions.ro-nord.zones.ro-nord-c: expected a region or availability zone that is listed under regions",
             ]);
         });
 
-        it("show a box that is listed twice, and a region without capacity", () => {
+        it("include a box that is listed twice, and a region without capacity", () => {
             const text = tree
                 .replace("ro-nord-b: {}", "ro-nord-b: { settings: { boxes: [pedala-1] } }")
                 .replace("      capacity: 900\n", "      zoneLatency: 2\n");
@@ -85,13 +85,13 @@
             ]);
         });
 
-        it("show broken YAML with its place", () => {
+        it("include the location of a YAML syntax error", () => {
             expect(faultsOf("deployment: [pedala\n")[0]).to.match(/^tree\.yaml:\d+:\d+: /);
         });
     });
 
-    describe("any text at all", () => {
-        it("is read or refused with faults, and never throws", () => {
+    describe("an arbitrary text", () => {
+        it("is read or rejected with faults, and never causes an exception", () => {
             fc.assert(
                 fc.property(fc.string({ maxLength: 200 }), text => {
                     const read = readTree("x", text);
@@ -101,7 +101,7 @@
             );
         });
 
-        it("is survived when it is a valid tree with one line changed", () => {
+        it("that is a valid tree with one line changed causes no exception either", () => {
             const lines = tree.split("\n");
             fc.assert(
                 fc.property(fc.nat(lines.length - 1), fc.string({ maxLength: 30 }), (index, line) => {
@@ -113,7 +113,7 @@
             );
         });
 
-        it("is refused when aliases would expand without bound", () => {
+        it("is rejected if its aliases would expand exponentially", () => {
             const levels = Array.from({ length: 9 }, (_, level) => {
                 const inner = level === 0 ? "x" : Array(9).fill(`*a${level - 1}`).join(", ");
                 return `a${level}: &a${level} [${inner}]`;
--- a/packages/testing/src/promises/box-mutations.ts
+++ b/packages/testing/src/promises/box-mutations.ts
@@ -178,7 +178,7 @@
         promise: "P8",
         name: "the clash of two operators' edits of the settings tree",
         file: "packages/settings/dist/src/edits.js",
-        find: "if (clashes.length > 0) {",
+        find: "if (conflicts.length > 0) {",
         replace: "if (false) {",
         testFiles: ["packages/settings/dist/test/edits.test.js"],
     },
