--- a/packages/cli/src/boxes.ts
+++ b/packages/cli/src/boxes.ts
@@ -1,6 +1,7 @@
 /**
- * `boxes --peer IP:PORT`: every box that runs, what it carries and what it has in
- * force. A large fleet is summed up by zone, with the odd boxes by name.
+ * `boxes --peer IP:PORT`: the running boxes, with their state, load and the
+ * versions that they have in force. A large fleet is summarized by zone, and
+ * only boxes with anomalies are listed.
  */
 
 import { advertisedBoxes, describePosition } from "@chalkdale/decisions";
@@ -11,14 +12,14 @@
 import { type BoxWithMetrics, isInService, readRunningBoxes } from "./running-boxes.js";
 import { formatTable } from "./table.js";
 
-/** Boxes up to which each has its line without --all: what fits on a screen. */
-const mostListed = 30;
-/** Milliseconds of a second. */
+/** Largest fleet that is listed box by box without --all: as many lines as fit on a screen. */
+const maxListedBoxes = 30;
+/** Milliseconds in a second. */
 const second = 1000;
-/** Bytes of a megabyte. */
+/** Bytes in a megabyte. */
 const megabyte = 1024 * 1024;
 
-/** The command. */
+/** The command `boxes`. */
 export const boxes: Command = {
     words: ["boxes"],
     usage: "boxes --peer IP:PORT [--all]",
@@ -31,56 +32,56 @@
         if (context.flags.json) {
             context.write(JSON.stringify(found.map(entry => jsonOf(entry, advertised.has(entry.member.box)))));
         }
-        else if (found.length <= mostListed || context.flags.all) {
-            context.write(listOf(found, advertised));
+        else if (found.length <= maxListedBoxes || context.flags.all) {
+            context.write(formatList(found, advertised));
         }
         else {
-            context.write(summaryOf(found, advertised));
+            context.write(formatSummary(found, advertised));
         }
         return found.every(({ metrics }) => metrics !== undefined) ? exitCodes.success : exitCodes.unavailable;
     },
 };
 
-function listOf(found: readonly BoxWithMetrics[], advertised: ReadonlySet<string>): string {
+function formatList(found: readonly BoxWithMetrics[], advertised: ReadonlySet<string>): string {
     return formatTable(
         ["box", "zone", "state", "carries", "load", "version", "servers", "store", "in flight", "memory"],
         found.map(entry => rowOf(entry, advertised.has(entry.member.box))),
     );
 }
 
-function summaryOf(found: readonly BoxWithMetrics[], advertised: ReadonlySet<string>): string {
-    const odd = findAnomalousBoxes(found);
+function formatSummary(found: readonly BoxWithMetrics[], advertised: ReadonlySet<string>): string {
+    const anomalous = findAnomalousBoxes(found);
     const zones = formatTable(zoneColumns, zoneRows(found, advertised));
-    if (odd.length === 0) {
-        return `${zones}\n\n${found.length} boxes, none of them odd; --all lists each`;
+    if (anomalous.length === 0) {
+        return `${zones}\n\n${found.length} boxes, none with anomalies; --all lists each`;
     }
-    const rows = odd.map(({ box: { member }, reasons }) => [member.box, member.zone, reasons.join("; ")]);
-    return `${zones}\n\n${odd.length} of ${found.length} boxes are odd; --all lists each\n${
+    const rows = anomalous.map(({ box: { member }, reasons }) => [member.box, member.zone, reasons.join("; ")]);
+    return `${zones}\n\n${anomalous.length} of ${found.length} boxes have anomalies; --all lists each\n${
         formatTable(["box", "zone", "why"], rows)
     }`;
 }
 
-/** The keys are what operators' scripts read. */
-function jsonOf({ member, metrics }: BoxWithMetrics, carries: boolean) {
-    return { member, figures: metrics, carries };
+/** Returns a box as `--json` writes it. Operators' scripts rely on the keys. */
+function jsonOf({ member, metrics }: BoxWithMetrics, isAdvertised: boolean) {
+    return { member, figures: metrics, carries: isAdvertised };
 }
 
-function rowOf({ metrics, member }: BoxWithMetrics, carries: boolean): string[] {
-    const place = [
+function rowOf({ metrics, member }: BoxWithMetrics, isAdvertised: boolean): string[] {
+    const memberCells = [
         member.box,
         member.zone,
         member.leaving ? "leaving" : member.ready ? "in service" : "starting",
-        carries ? "yes" : "no",
+        isAdvertised ? "yes" : "no",
         `${member.load.toFixed(2)}/${member.capacity.toFixed(2)} cores`,
     ];
     if (metrics === undefined) {
-        return [...place, "unreachable", "", "", "", ""];
+        return [...memberCells, "unreachable", "", "", "", ""];
     }
     const value = (name: string) => valueOf(metrics, name);
     const revision = value("servers_revision");
     const lostFor = value("store_lost_milliseconds") ?? 0;
     return [
-        ...place,
+        ...memberCells,
         String(value("configuration_version") ?? "none"),
         revision === undefined ? "none" : describePosition(revision),
         lostFor === 0 ? "answers" : `lost for ${(lostFor / second).toFixed(1)} s`,
--- a/packages/cli/src/burn-rate.ts
+++ b/packages/cli/src/burn-rate.ts
@@ -1,49 +1,53 @@
 /**
- * Service-level burn: how fast the error budget of each route is used up.
+ * Computes burn rates: how fast the error budget of each route is consumed.
  *
- * A burn rate of 1 uses the budget up exactly over the period of the objective
- * (Google SRE Workbook, chapter 5). Pure: samples in, rates out.
+ * A burn rate of 1 consumes the budget exactly over the period of the objective
+ * (Google SRE Workbook, chapter 5). Pure.
  */
 
-/** Counters of one life of one box, by route. */
+/** Counters of one box since the start of its incarnation, by route. */
 export interface BoxCounters {
     readonly incarnation: string;
+    /** Requests that succeeded, by route. */
     readonly good: Readonly<Record<string, number>>;
+    /** Requests that failed, by route. */
     readonly bad: Readonly<Record<string, number>>;
 }
 
 /** The counters of all boxes at one moment. */
 export interface BurnSample {
-    /** Milliseconds since the epoch. */
+    /** Milliseconds since the Unix epoch. */
     readonly at: number;
+    /** By name of the box; a box that did not answer is absent. */
     readonly boxes: Readonly<Record<string, BoxCounters>>;
 }
 
-/** A span of time over which burn is told. */
+/** A window over which burn is computed. */
 export interface BurnWindow {
     readonly name: string;
+    /** Milliseconds. */
     readonly length: number;
 }
 
-/** Burn of one route. */
+/** Burn of one route. Requests and failures are those of the longest window. */
 export interface RouteBurn {
     readonly route: string;
     readonly requests: number;
     readonly failures: number;
-    /** By name of the window; undefined where nothing was asked. */
+    /** Burn rate by name of the window; undefined if the window has no requests. */
     readonly rates: Readonly<Record<string, number | undefined>>;
     readonly alert: BurnAlert;
 }
 
-/** What to do about a burn: wake someone, look at it by day, or nothing. */
+/** Severity of a burn: page on-call, file a ticket, or none. */
 type BurnAlert = "page" | "ticket" | "none";
 
-/** Milliseconds of a minute. */
+/** Milliseconds in a minute. */
 const minute = 60_000;
-/** Milliseconds of an hour. */
+/** Milliseconds in an hour. */
 const hour = 60 * minute;
 
-/** The windows of the report. */
+/** Windows of the report, shortest first. */
 export const burnWindows: readonly BurnWindow[] = [
     { name: "5 min", length: 5 * minute },
     { name: "1 h", length: hour },
@@ -51,26 +55,26 @@
     { name: "3 days", length: 72 * hour },
 ];
 
-/** Rates from which both windows of an alert must burn. */
+/** Burn rate above which both windows cause a page: 2% of a 30-day budget in one hour (SRE Workbook, chapter 5). */
 const pageRate = 14.4;
-/** Burn rate from which a ticket is due; the same chapter of the SRE Workbook as the page's. */
+/** Burn rate above which both windows cause a ticket (SRE Workbook, chapter 5). */
 const ticketRate = 1;
 
-/** Outcomes that are the caller's own doing and use up no budget. */
-const callersOwn: ReadonlySet<string> = new Set(["callerLeft", "noRoute", "bodyTooLarge", "bodyStalled"]);
-/** Statuses of failures begin here, by HTTP. */
-const leastFailureStatus = 500;
+/** Outcomes that callers cause; they consume no budget. */
+const callerOutcomes: ReadonlySet<string> = new Set(["callerLeft", "noRoute", "bodyTooLarge", "bodyStalled"]);
+/** Lowest HTTP status that counts as a failure. */
+const minFailureStatus = 500;
 
-/** True, false, or undefined for an outcome that does not count. */
+/** Returns true for a success, false for a failure, and undefined for an outcome that does not count. */
 export function classifyOutcome(outcome: string): boolean | undefined {
-    if (callersOwn.has(outcome)) {
+    if (callerOutcomes.has(outcome)) {
         return undefined;
     }
     const status = Number(outcome);
-    return Number.isInteger(status) && status < leastFailureStatus;
+    return Number.isInteger(status) && status < minFailureStatus;
 }
 
-/** Returns the burn of every route, given samples in order of time and the objective, such as 0.999. */
+/** Returns the burn of each route. `samples` are in order of time; `objective` is a fraction, such as 0.999. */
 export function computeBurn(samples: readonly BurnSample[], objective: number): RouteBurn[] {
     const routes = new Set(
         samples.flatMap(sample =>
@@ -103,7 +107,7 @@
     return isAbove(["6 h", "3 days"], ticketRate) ? "ticket" : "none";
 }
 
-/** Adds up what the counters rose between samples that lie within the window before the last sample. */
+/** Sums the increases of the counters between samples within the window that ends at the last sample. */
 function countWithin(route: string, samples: readonly BurnSample[], length: number) {
     const end = samples.at(-1)?.at ?? 0;
     const total = { good: 0, bad: 0 };
@@ -116,7 +120,7 @@
             if (!isWithin) {
                 continue;
             }
-            // A new life of a box counts from zero; a box that missed samples, from its last one.
+            // Counters of a new incarnation start at zero. If a box is missing from samples, its last one is the base.
             const since = last?.incarnation === counters.incarnation ? last : undefined;
             total.good += (counters.good[route] ?? 0) - (since?.good[route] ?? 0);
             total.bad += (counters.bad[route] ?? 0) - (since?.bad[route] ?? 0);
--- a/packages/cli/src/burn.ts
+++ b/packages/cli/src/burn.ts
@@ -1,7 +1,7 @@
 /**
- * `burn --peer IP:PORT --samples FILE`: how fast the error budget of each route is used up.
+ * `burn --peer IP:PORT --samples FILE`: how fast the error budget of each route is consumed.
  *
- * Owns the file of samples that each run appends to.
+ * Owns the file of samples, to which each run appends one line of JSON.
  */
 
 import type { MemberRecord } from "@chalkdale/decisions";
@@ -20,7 +20,7 @@
 import { type BoxWithMetrics, readRunningBoxes } from "./running-boxes.js";
 import { formatTable } from "./table.js";
 
-/** The command: takes a sample, and shows the burn of each route over four windows. */
+/** The command `burn`: takes a sample and shows the burn of each route over four windows. */
 export const burn: Command = {
     words: ["burn"],
     usage: "burn --peer IP:PORT --samples FILE",
@@ -28,10 +28,13 @@
     async run(_, context): Promise<ExitCode> {
         const { objective, samples: file } = context.flags;
         if (file === undefined) {
-            throw new CommandError("expected --samples FILE, where samples are kept between runs", exitCodes.usage);
+            throw new CommandError("expected --samples FILE, in which samples are kept between runs", exitCodes.usage);
         }
         if (!(objective > 0 && objective < 1)) {
-            throw new CommandError("--objective must lie between 0 and 1, such as 0.999", exitCodes.usage);
+            throw new CommandError(
+                "--objective must be greater than 0 and less than 1, such as 0.999",
+                exitCodes.usage,
+            );
         }
         const earlier = await readSamples(file);
         const sample = sampleOf(await readRunningBoxes(context));
@@ -72,7 +75,7 @@
         }
         catch {
             throw new CommandError(
-                `${file}:${index + 1} is no sample; move the file away to begin anew`,
+                `${file}:${index + 1} is not a valid sample; move the file away to start a new one`,
                 exitCodes.failure,
             );
         }
@@ -80,10 +83,10 @@
 }
 
 function sampleOf(found: readonly BoxWithMetrics[]): BurnSample {
-    const counted = found.flatMap(({ metrics, member }) =>
+    const counters = found.flatMap(({ metrics, member }) =>
         metrics === undefined ? [] : [[member.box, countersOf(member, metrics)] as const]
     );
-    return { at: Date.now(), boxes: Object.fromEntries(counted) };
+    return { at: Date.now(), boxes: Object.fromEntries(counters) };
 }
 
 function countersOf(member: MemberRecord, metrics: readonly Metric[]): BoxCounters {
--- a/packages/cli/src/commands.ts
+++ b/packages/cli/src/commands.ts
@@ -1,5 +1,5 @@
 /**
- * All commands of the command line.
+ * The list of all commands.
  */
 
 import { boxes } from "./boxes.js";
--- a/packages/cli/src/customers.ts
+++ b/packages/cli/src/customers.ts
@@ -1,6 +1,6 @@
 /**
- * `customers --peer IP:PORT`: what each customer's quota is, and what boxes
- * admitted and refused of it since they started. Keys are never shown.
+ * `customers --peer IP:PORT`: each customer's quota, and the numbers of requests
+ * that boxes have admitted and refused since they started. Keys are never shown.
  */
 
 import { type ExitCode, exitCodes } from "@chalkdale/runtime";
@@ -9,7 +9,7 @@
 import { type BoxWithMetrics, readRunningBoxes } from "./running-boxes.js";
 import { formatTable } from "./table.js";
 
-/** A customer on one box, or on all. Rates in requests a second. */
+/** Figures of a customer on one box or summed over all. The rate is in requests per second. */
 interface CustomerFigures {
     readonly customer: string;
     rate: number;
@@ -17,14 +17,14 @@
     refused: number;
 }
 
-/** The command. */
+/** The command `customers`. */
 export const customers: Command = {
     words: ["customers"],
     usage: "customers --peer IP:PORT [--all]",
     summary: "customers: quota, requests admitted and refused; by box with --all",
     async run(_, context): Promise<ExitCode> {
         const found = await readRunningBoxes(context);
-        const total = sumUp(found);
+        const total = sumByCustomer(found);
         if (context.flags.json) {
             const byBox = found.map(({ member, metrics }) => ({
                 box: member.box,
@@ -33,7 +33,7 @@
             context.write(JSON.stringify({ customers: total, boxes: byBox }));
         }
         else if (total.length === 0) {
-            context.write("no customer with a quota has asked yet");
+            context.write("no customer with a quota has sent a request yet");
         }
         else {
             context.write(formatTable(["customer", "quota", "admitted", "refused"], total.map(rowOf)));
@@ -60,8 +60,8 @@
     );
 }
 
-/** Sums over all boxes, the most refused first. */
-function sumUp(found: readonly BoxWithMetrics[]): CustomerFigures[] {
+/** Returns each customer's sums over all boxes, the customer with the most refused requests first. */
+function sumByCustomer(found: readonly BoxWithMetrics[]): CustomerFigures[] {
     const sums = new Map<string, CustomerFigures>();
     for (const figures of found.flatMap(({ metrics }) => figuresOf(metrics ?? []))) {
         const sum = sums.get(figures.customer) ?? { ...figures, admitted: 0, refused: 0 };
--- a/packages/cli/src/explain.ts
+++ b/packages/cli/src/explain.ts
@@ -1,8 +1,8 @@
 /**
- * `explain ID [FILE...]`: what became of a request, from the logs of one box or of all.
+ * `explain ID [LOG...]`: traces a request through the logs of one or more boxes.
  *
- * Owns nothing; reads the files, or standard input, line by line, so that their
- * size does not matter.
+ * Owns no state. Reads the files, or standard input, line by line and keeps only
+ * the lines that contain the request's id, so logs may be of any size.
  */
 
 import { type ExitCode, exitCodes } from "@chalkdale/runtime";
@@ -12,7 +12,7 @@
 import { type LogLine, readLogLine } from "./log-lines.js";
 import { traceRequest } from "./request-trace.js";
 
-/** The command. */
+/** The command `explain`. */
 export const explain: Command = {
     words: ["explain"],
     usage: "explain ID [LOG...]",
@@ -21,18 +21,18 @@
         if (request === undefined) {
             throw new CommandError("expected the id of a request; see chalkdale --help", exitCodes.usage);
         }
-        const story = traceRequest(request, await findLines(request, files));
-        if (story === undefined) {
+        const trace = traceRequest(request, await findLines(request, files));
+        if (trace === undefined) {
             throw new CommandError(
-                `no line of request ${request}: logs leave out what is beyond their budget`,
+                `no line of request ${request} found; logs drop lines beyond their rate limit`,
                 exitCodes.failure,
             );
         }
         if (context.flags.json) {
-            context.write(JSON.stringify(story));
+            context.write(JSON.stringify(trace));
             return exitCodes.success;
         }
-        const { route = "none", steps, verdict } = story;
+        const { route = "none", steps, verdict } = trace;
         context.write(
             [`request ${request}, route ${route}`, ...steps.map(step => `  ${step}`), `It ${verdict}.`].join("\n"),
         );
--- a/packages/cli/src/fleet-summary.ts
+++ b/packages/cli/src/fleet-summary.ts
@@ -1,23 +1,23 @@
 /**
- * A fleet too large for one line a box: the boxes of each zone summed up, and
- * those that are odd with the reason.
+ * Summarizes a fleet that is too large for a line per box: sums by availability
+ * zone, and the boxes with anomalies.
  *
- * Pure: boxes in, rows out.
+ * Pure.
  */
 
 import { valueOf } from "./box-metrics.js";
 import { type BoxWithMetrics, isInService } from "./running-boxes.js";
 
-/** A box that on-call should look at, and why. */
+/** A box that on-call should inspect, with the reasons. */
 export interface AnomalousBox {
     readonly box: BoxWithMetrics;
     readonly reasons: readonly string[];
 }
 
-/** Part of its capacity that a box uses before it counts as busy. */
-const busyPart = 0.8;
+/** Fraction of its capacity above which a box's load counts as busy. */
+const busyFraction = 0.8;
 
-/** Returns a row for each zone: region, zone, boxes, in service, advertised, load and capacity, requests in flight. */
+/** Returns a row for each zone, with the cells of {@link zoneColumns}. `advertised` has the names of boxes. */
 export function zoneRows(boxes: readonly BoxWithMetrics[], advertised: ReadonlySet<string>): string[][] {
     const zones = new Map<string, BoxWithMetrics[]>();
     for (const box of boxes) {
@@ -27,7 +27,7 @@
     return [...zones].sort(([a], [b]) => a.localeCompare(b)).map(([, ofZone]) => zoneRow(ofZone, advertised));
 }
 
-/** Columns of {@link zoneRows}. */
+/** Headings of the cells of {@link zoneRows}; `carry` is the number of advertised boxes. */
 export const zoneColumns = ["region", "zone", "boxes", "in service", "carry", "load", "in flight"];
 
 function zoneRow(boxes: readonly BoxWithMetrics[], advertised: ReadonlySet<string>): string[] {
@@ -45,28 +45,28 @@
     ];
 }
 
-/** Returns the boxes that differ from the others in what matters, those with most reasons first. */
+/** Returns the boxes that are not in service, busy or behind others in their state; those with most reasons first. */
 export function findAnomalousBoxes(boxes: readonly BoxWithMetrics[]): AnomalousBox[] {
-    const newestVersion = greatest(boxes, "configuration_version");
-    const newestServers = greatest(boxes, "servers_revision");
+    const newestVersion = maxOf(boxes, "configuration_version");
+    const newestServers = maxOf(boxes, "servers_revision");
     return boxes
         .map(box => ({ box, reasons: reasonsOf(box, newestVersion, newestServers, boxes.length) }))
         .filter(({ reasons }) => reasons.length > 0)
         .sort((a, b) => b.reasons.length - a.reasons.length);
 }
 
-function reasonsOf(box: BoxWithMetrics, newestVersion: number, newestServers: number, known: number): string[] {
+function reasonsOf(box: BoxWithMetrics, newestVersion: number, newestServers: number, boxCount: number): string[] {
     const { member, metrics } = box;
     const reasons: string[] = [];
-    const add = (isOdd: boolean, reason: string) => {
-        if (isOdd) {
+    const add = (applies: boolean, reason: string) => {
+        if (applies) {
             reasons.push(reason);
         }
     };
-    add(metrics === undefined, "tells no metrics");
+    add(metrics === undefined, "metrics unreachable");
     add(member.leaving, "leaving");
     add(!member.ready && !member.leaving, "starting");
-    add(member.load > member.capacity * busyPart, "busy");
+    add(member.load > member.capacity * busyFraction, "busy");
     if (metrics === undefined) {
         return reasons;
     }
@@ -74,8 +74,8 @@
     const alive = valueIn(box, "boxes_alive");
     add(version !== newestVersion, `configuration ${version ?? "none"}, newest ${newestVersion}`);
     add(valueIn(box, "servers_revision") !== newestServers, "older list of servers");
-    add((valueIn(box, "store_lost_milliseconds") ?? 0) > 0, "no store");
-    add(alive !== undefined && alive !== known, `knows ${alive} of ${known} boxes`);
+    add((valueIn(box, "store_lost_milliseconds") ?? 0) > 0, "store unreachable");
+    add(alive !== undefined && alive !== boxCount, `knows ${alive} of ${boxCount} boxes`);
     return reasons;
 }
 
@@ -83,7 +83,7 @@
     return metrics === undefined ? undefined : valueOf(metrics, name);
 }
 
-function greatest(boxes: readonly BoxWithMetrics[], name: string): number {
+function maxOf(boxes: readonly BoxWithMetrics[], name: string): number {
     return Math.max(...boxes.map(box => valueIn(box, name) ?? -Infinity));
 }
 
--- a/packages/cli/src/log-lines.ts
+++ b/packages/cli/src/log-lines.ts
@@ -1,17 +1,17 @@
 /**
- * Reads the boxes' log lines: key=value pairs, values quoted where they need it.
+ * Parses the boxes' log lines: key=value pairs, with some values quoted.
  *
- * Owns nothing; relies on the form that the runtime's log writes.
+ * Pure; relies on the format that the runtime's log writes.
  */
 
-/** The fields of one line, as text. */
+/** The fields of one line; values are unquoted text. */
 export type LogLine = Readonly<Record<string, string>>;
 
-const pair = /([A-Za-z][\w.]*)=("(?:[^"\\]|\\.)*"|\S*)/g;
+const pairPattern = /([A-Za-z][\w.]*)=("(?:[^"\\]|\\.)*"|\S*)/g;
 
-/** Reads one line; whatever stands before its pairs, such as a collector's own prefix, is passed over. */
+/** Parses one line. Skips text that is not part of a pair, such as the prefix of a log collector. */
 export function readLogLine(text: string): LogLine {
-    return Object.fromEntries([...text.matchAll(pair)].map(([, key, value]) => [key, unquote(value)]));
+    return Object.fromEntries([...text.matchAll(pairPattern)].map(([, key, value]) => [key, unquote(value)]));
 }
 
 function unquote(value: string): string {
@@ -22,7 +22,7 @@
         return JSON.parse(value) as string;
     }
     catch {
-        // Not as a box writes it: a collector cut the line, and what is left is shown.
+        // A log collector cut the line within the value; the rest is returned as it is.
         return value;
     }
 }
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * The program `chalkdale`: the operators' command line.
+ * Entry point of `chalkdale`, the operators' command line.
  */
 
 import { exitCodes } from "@chalkdale/runtime";
@@ -9,7 +9,7 @@
 
 const cli = meow(
     `
-  Steers traffic by a tree of settings.
+  Manages the settings tree and inspects running boxes.
 
   Usage
 ${commands.map(({ usage, summary }) => `    $ chalkdale ${usage.padEnd(44)} ${summary}`).join("\n")}
@@ -17,19 +17,19 @@
   Options
     --at PATH          node of the tree, such as /services/profil-api/ro-nord
     --platform IP:PORT store of the settings tree
-    --peer IP:PORT     address for other boxes of a running box program
+    --peer IP:PORT     peer address of a running box
     --metrics-port N   port of the boxes' metrics (9464)
-    --samples FILE     where samples of metrics are kept between runs
-    --objective PART   part of the requests that must be served (0.999)
-    --json             output for programs
-    --all              a line for each box, however many
-    --dry-run          show what would be done, and do nothing
-    --author NAME      who makes the edit (default: the user's name)
+    --samples FILE     file in which samples of metrics are kept between runs
+    --objective PART   fraction of the requests that must succeed (0.999)
+    --json             output in JSON
+    --all              a line for each box, regardless of their number
+    --dry-run          show the changes without making them
+    --author NAME      author of the edit (default: the user's name)
     --help, --version
 
   Exit codes
-    0 success, 1 failure, 2 wrong command line, 3 settings refused,
-    4 platform or box not reached, 5 the edit clashes with another operator's
+    0 success, 1 failure, 2 invalid command line, 3 settings rejected,
+    4 platform or box not reached, 5 the edit conflicts with another operator's
 `,
     {
         importMeta: import.meta,
@@ -58,7 +58,7 @@
     signal: AbortSignal.timeout(600_000),
 };
 
-/** The command whose words begin the input; longer names first. */
+/** The command whose words the input begins with; the one with most words if there are several. */
 const command = commands
     .filter(({ words }) => words.every((word, index) => cli.input[index] === word))
     .sort((a, b) => b.words.length - a.words.length)[0];
--- a/packages/cli/src/request-trace.ts
+++ b/packages/cli/src/request-trace.ts
@@ -1,81 +1,82 @@
 /**
- * Tells from the log lines of one request how it fared: which servers had it,
- * why one of them was chosen, how it ended, and whether it ran.
+ * Traces one request through log lines: which servers it was sent to, why one of
+ * them was chosen, how it ended, and whether it ran.
  *
- * Pure: lines in, text out.
+ * Pure; relies on the events and fields of the boxes' request log.
  */
 
 import { type RefusalKind, refusals } from "@chalkdale/decisions";
 import type { LogLine } from "./log-lines.js";
 
-/** Whether a server ran a request, as far as the lines show. */
+/** Whether a server ran a request, as far as the log lines show. */
 type RunVerdict = "ran" | "did not run" | "may have run";
 
-/** What became of one request. */
+/** The trace of one request; `explain --json` writes it as it is. */
 export interface RequestTrace {
     readonly request: string;
     readonly route: string | undefined;
-    /** One line a step, in the order of the log. */
+    /** Descriptions of the log lines, in the order of the log. */
     readonly steps: readonly string[];
     readonly verdict: RunVerdict;
+    /** The log lines that concern the request. */
     readonly lines: readonly LogLine[];
 }
 
-/** Why each refusal is given, as on-call needs it. */
-const reasons: Readonly<Record<RefusalKind, string>> = {
-    notReady: "the box lacked a copy of the configuration, the servers or the closed zones",
-    leaving: "the box was stopping",
-    noRoute: "no route has this host and path",
-    unknownKey: "the configuration in force knows no such key, or the request had none",
-    copyTooOld: "the box's copy of the configuration is too old to know whether this key exists or still stands",
-    quotaSpent: "the customer's quota over all boxes had no room",
-    bodyTooLarge: "the body is beyond the configuration's limit",
-    bodyStalled: "the body hardly came on while the memory for bodies was spent and others waited",
-    bodiesFull: "the memory for bodies was spent, and as many as may wait were waiting",
-    noServer: "no server may take the request",
-    serversCold: "the servers that are left are in slow start and had their share",
-    serversBackedOff: "the servers that are left want nothing from this box for a while",
-    serversLimited: "the servers that are left name limits, and had what they take from all boxes",
-    tooLate: "no server could answer in the time that was left",
-    crowded: "the wait for a free slot was too long for the route's goal",
-    serversFull: "as many servers as the route allows said that they are full",
-    budgetSpent: "no retry was left in the window",
+/** Cause of each refusal, in words for on-call. */
+const refusalReasons: Readonly<Record<RefusalKind, string>> = {
+    notReady: "the box had no copy of the configuration, the servers or the closed zones",
+    leaving: "the box was shutting down",
+    noRoute: "no route matches this host and path",
+    unknownKey: "the request had no key, or one that the configuration in force does not have",
+    copyTooOld: "the box's copy of the configuration is too old to tell whether this key exists or is still valid",
+    quotaSpent: "the customer's quota across all boxes was used up",
+    bodyTooLarge: "the body exceeds the configuration's limit",
+    bodyStalled: "the body arrived too slowly while the memory for bodies was used up and others waited",
+    bodiesFull: "the memory for bodies was used up, and the queue for it was full",
+    noServer: "no server is eligible for the request",
+    serversCold: "the remaining servers are in slow start and have received their share",
+    serversBackedOff: "the remaining servers have requested a back-off from this box",
+    serversLimited: "the remaining servers have reported rate limits, which all boxes together have used up",
+    tooLate: "no server could answer in the remaining time",
+    crowded: "the wait for a free slot was too long for the route's latency goal",
+    serversFull: "as many servers as the route allows answered that they are full",
+    budgetSpent: "the retry budget of the window was used up",
     endsServers:
-        "three servers ended one after the other while they had this same request, and none has answered it since",
-    unreachable: "four servers took no connection",
-    timedOutUnsent: "the time limit was over before a server had the request",
-    timedOut: "the time limit was over while a server had the request",
+        "poison request: three servers terminated one after the other while they had it, and none has answered it since",
+    unreachable: "four servers accepted no connection",
+    timedOutUnsent: "the time limit passed before a server had the request",
+    timedOut: "the time limit passed while a server had the request",
     brokenOff: "the connection to the server broke after the request was sent",
-    unprovenAnswer: "a success came without the server's stamp, or in another coding",
+    unprovenAnswer: "a success arrived without the server's stamp, or in another content coding",
     unframedAnswer:
-        "the answer had no length, and could not end the connection since requests behind it were at servers",
-    internalFault: "a fault of the program: please report it",
+        "the answer had no length, and its end could not be marked by closing the connection since servers had requests behind it",
+    internalFault: "an internal error of the box; please report it",
 };
 
-/** Status by which a refusal promises that the request has not run. */
+/** Status of refusals that guarantee that the request has not run. */
 const statusNotRun = 503;
 
-/** Returns the story of a request; undefined if none of the lines is of it. */
+/** Returns the trace of a request, or undefined if none of the lines concerns it. */
 export function traceRequest(request: string, lines: readonly LogLine[]): RequestTrace | undefined {
-    const own = lines.filter(line => line.request === request || latestSend(line, request) !== undefined);
-    if (own.length === 0) {
+    const matching = lines.filter(line => line.request === request || latestSend(line, request) !== undefined);
+    if (matching.length === 0) {
         return undefined;
     }
     return {
         request,
-        route: own.find(line => line.route !== undefined)?.route,
-        steps: own.map(line => tellLine(line, request)),
-        verdict: judge(own),
-        lines: own,
+        route: matching.find(line => line.route !== undefined)?.route,
+        steps: matching.map(line => describeLine(line, request)),
+        verdict: verdictOf(matching),
+        lines: matching,
     };
 }
 
-function tellLine(line: LogLine, request: string): string {
+function describeLine(line: LogLine, request: string): string {
     switch (line.event) {
         case "attempt.failed":
             return `attempt at ${line.server}${versionOf(line)}: ${line.reason}; ${line.timeLeft} ms left`;
         case "attempt.hedged":
-            return `${line.overdue} overdue after ${line.after} ms: ${line.second} has it too`;
+            return `${line.overdue} overdue after ${line.after} ms: hedged attempt at ${line.second}`;
         case "request.served":
             return `answered ${line.status} after ${line.after} ms${choiceOf(line)}; configuration ${line.version}`;
         case "request.refused":
@@ -83,75 +84,78 @@
                 reasonOf(line)
             }; configuration ${line.version}`;
         case "request.callerLeft":
-            return `the caller left after ${line.after} ms`;
+            return `the caller disconnected after ${line.after} ms`;
         case "request.noRoute":
             return `answered 404: no route for ${line.host}${line.path} in configuration ${line.version}`;
         case "server.leaving":
             return `${line.server} was ${line.as} ${
-                tellSend(line, request)
+                describeSend(line, request)
             }; the list had been unconfirmed for ${line.unconfirmedFor} ms`;
         case "server.restarted":
-            return `${line.server} was found to have started again ${tellSend(line, request)}`;
+            return `${line.server} was found to have restarted ${describeSend(line, request)}`;
         case "request.fault":
-            return `ended by a fault of the program: ${line.reason}`;
+            return `ended by an internal error of the box: ${line.reason}`;
         default:
             return `${line.event}`;
     }
 }
 
-/** A request among the latest that a line on a server names. Times in milliseconds, as texts. */
+/** One of the latest requests to a server, from a log line about the server. Times are in milliseconds, as text. */
 interface LatestSend {
+    /** Time since the request was sent. */
     readonly age: string;
+    /** Time from the choice of the server until the request was sent. */
     readonly wait: string;
+    /** Time since the list of servers was confirmed, when the server was chosen. */
     readonly listAge: string;
 }
 
-/** Finds a request in `sends=id:age:wait:listAge,…`. */
+/** Finds a request in the field `sends=id:age:wait:listAge,…` of a line. */
 function latestSend({ sends }: LogLine, request: string): LatestSend | undefined {
     const found = sends?.split(",").find(send => send.startsWith(`${request}:`));
     const [age, wait, listAge] = found?.slice(request.length + 1).split(":") ?? [];
     return listAge === undefined ? undefined : { age, wait, listAge };
 }
 
-function tellSend(line: LogLine, request: string): string {
+function describeSend(line: LogLine, request: string): string {
     const send = latestSend(line, request);
     if (send === undefined) {
         return "";
     }
     const { age, listAge, wait } = send;
-    return `${age} ms after the request was sent there, ${wait} ms after its choice by a list of ${listAge} ms`;
+    return `${age} ms after the request was sent to it, ${wait} ms after it was chosen from a list ${listAge} ms old`;
 }
 
-/** Why the last server and not another, as far as the line has it. */
+/** Describes why the last server was chosen, or returns an empty text if the line does not say. */
 function choiceOf(line: LogLine): string {
     const { expected, rank, runnerUp, runnerUpExpected, tried, warm } = line;
     const server = tried?.split(",").at(-1);
     if (server === undefined || rank === undefined) {
         return "";
     }
-    const key = warm === "true" ? "known there" : "not known there";
+    const key = warm === "true" ? "warm" : "cold";
     const other = runnerUp === undefined
-        ? "no other was compared"
+        ? "no other server was compared"
         : `${runnerUp} came second with ${runnerUpExpected} ms`;
     return ` by ${server}${
         versionOf(line)
-    }, rank ${rank} of its key, which was ${key}: ${expected} ms expected, ${other}`;
+    }, rank ${rank} for its key, which was ${key} there: ${expected} ms expected, ${other}`;
 }
 
-/** The version of a server's software, where versions were compared. */
+/** Names the version of a server's software, which lines state only while versions are compared. */
 function versionOf({ serverVersion }: LogLine): string {
     return serverVersion === undefined ? "" : ` of version ${serverVersion}`;
 }
 
 function reasonOf({ refusal }: LogLine): string {
-    return isRefusalKind(refusal) ? reasons[refusal] : "not a reason of this release";
+    return isRefusalKind(refusal) ? refusalReasons[refusal] : "a kind of refusal that this release does not know";
 }
 
 function isRefusalKind(text: string | undefined): text is RefusalKind {
-    return text !== undefined && text in reasons;
+    return text !== undefined && text in refusalReasons;
 }
 
-function judge(lines: readonly LogLine[]): RunVerdict {
+function verdictOf(lines: readonly LogLine[]): RunVerdict {
     const end = lines.find(line => line.event?.startsWith("request."));
     switch (end?.event) {
         case "request.served":
@@ -159,14 +163,14 @@
         case "request.noRoute":
             return "did not run";
         case "request.refused":
-            return isRefusalKind(end.refusal) && promisesNotRun(end) ? "did not run" : "may have run";
+            return isRefusalKind(end.refusal) && showsNotRun(end) ? "did not run" : "may have run";
         default:
             return Number(end?.sent ?? 1) === 0 ? "did not run" : "may have run";
     }
 }
 
-/** A refusal without a promise still says so if no server had the request. */
-function promisesNotRun(end: LogLine): boolean {
+/** True if the refusal's status guarantees that the request has not run, or if it was sent to no server. */
+function showsNotRun(end: LogLine): boolean {
     const { status } = refusals[end.refusal as RefusalKind];
     return status === statusNotRun || Number(end.sent ?? 0) === 0;
 }
--- a/packages/cli/src/rollouts.ts
+++ b/packages/cli/src/rollouts.ts
@@ -1,7 +1,7 @@
 /**
- * `rollouts --peer IP:PORT`: the roll-outs of server versions as the running
- * boxes have them: how far each is, what the version on trial got, what was seen
- * of it, and what was decided and why.
+ * `rollouts --peer IP:PORT`: the roll-outs of server versions that the running
+ * boxes report: stage, requests sent to the trial version, evidence by route, and
+ * the decision with its reason.
  */
 
 import { type ExitCode, exitCodes } from "@chalkdale/runtime";
@@ -10,7 +10,7 @@
 import { readRunningBoxes } from "./running-boxes.js";
 import { formatTable } from "./table.js";
 
-/** One order, summed over all boxes. */
+/** One roll-out, summed over all boxes. */
 interface RolloutFigures {
     readonly service: string;
     version: string;
@@ -19,25 +19,28 @@
     stage: string;
     decision: string;
     reason: string;
-    /** Requests of the service at any server, and at the version on trial, since the boxes know of the order. */
+    /** Requests sent to any server of the service since the boxes have known the order. */
     sent: number;
+    /** Those of them that were sent to the trial version. */
     sentToTrial: number;
-    /** Requests that the version may have had by now and has been granted, as the deciding box has it. */
+    /** Requests that the trial version may have received by now; only the deciding box reports it. */
     allowed: number | undefined;
+    /** Requests granted to boxes so far for the trial version; only the deciding box reports it. */
     granted: number | undefined;
     readonly evidence: EvidenceFigures[];
 }
 
-/** Answers of one route, at the version on trial or at the servers it is compared with. */
+/** Evidence of one route, of the trial version or of the servers that it is compared with. */
 interface EvidenceFigures {
     readonly of: string;
     readonly route: string;
     answers: number;
     failures: number;
+    /** Sum over successes of the natural logarithm of time needed over time expected. */
     slownessSum: number;
 }
 
-/** The command. */
+/** The command `rollouts`. */
 export const rollouts: Command = {
     words: ["rollouts"],
     usage: "rollouts --peer IP:PORT",
@@ -49,7 +52,7 @@
             context.write(JSON.stringify({ rollouts: figures }));
         }
         else if (figures.length === 0) {
-            context.write("no box takes part in a roll-out");
+            context.write("no box reports a roll-out");
         }
         else {
             context.write(formatTable(
@@ -100,7 +103,7 @@
         ]);
 }
 
-/** Sums over boxes, given the metrics of each. */
+/** Returns the roll-outs by service, summed over boxes, given the metrics of each box. */
 export function sumRolloutMetrics(boxes: readonly (readonly Metric[])[]): RolloutFigures[] {
     const sums = new Map<string, RolloutFigures>();
     for (const { labels, name, value } of boxes.flat()) {
@@ -135,7 +138,7 @@
 function addMetric(sum: RolloutFigures, { labels, name, value }: Metric): void {
     switch (name) {
         case "rollout_info":
-            // A box that has heard of a decision knows more than one that has not.
+            // Boxes learn of a decision at different times; the labels of a box that knows of one take precedence.
             if (sum.version === "" || labels.decision !== "") {
                 const { decision = "", proven = "", reason = "", stage = "", state = "", version = "" } = labels;
                 Object.assign(sum, { decision, proven, reason: reason || sum.reason, stage, state, version });
--- a/packages/cli/src/settings-file-commands.ts
+++ b/packages/cli/src/settings-file-commands.ts
@@ -15,7 +15,7 @@
 import { type Command, type CommandContext, CommandError, requireSingleArgument } from "./command.js";
 import { formatTable } from "./table.js";
 
-/** Reads a settings file; shows all its faults and fails when there are any. */
+/** Reads a settings file. Shows all its faults, if it has any, and throws a `CommandError`. */
 export async function readTreeFile(file: string, context: CommandContext): Promise<SettingsDocument> {
     const text = await readFile(file, "utf8").catch((error: Error) => {
         throw new CommandError(error.message, exitCodes.settings);
@@ -30,10 +30,10 @@
     else {
         read.val.forEach(fault => context.writeError(formatFault(fault)));
     }
-    throw new CommandError(`${file}: ${read.val.length} fault(s); mend the places above`, exitCodes.settings);
+    throw new CommandError(`${file}: ${read.val.length} fault(s), listed above`, exitCodes.settings);
 }
 
-/** `settings check FILE`. */
+/** The command `settings check FILE`: validates a file. */
 export const settingsCheck: Command = {
     words: ["settings", "check"],
     usage: "settings check FILE",
@@ -49,7 +49,7 @@
     },
 };
 
-/** `settings show FILE --at PATH`. */
+/** The command `settings show FILE --at PATH`: shows the values in force at a path. */
 export const settingsShow: Command = {
     words: ["settings", "show"],
     usage: "settings show FILE --at PATH",
@@ -60,23 +60,22 @@
         if (kindOfPath(path) === undefined) {
             throw new CommandError(`${path} is not the path of a node, such as /regions/ro-nord`, exitCodes.usage);
         }
-        if (document.nodes[path] === undefined && !isImplied(document, path)) {
-            throw new CommandError(`there is no node ${path}; see the names with settings check`, exitCodes.usage);
+        if (document.nodes[path] === undefined && !isImplicit(document, path)) {
+            throw new CommandError(`the file has no node ${path}`, exitCodes.usage);
         }
         showValues(path, explainValues(document, path), context);
         return exitCodes.success;
     },
 };
 
-/** A service's places that no node states exist all the same: they inherit. */
-function isImplied(document: SettingsDocument, path: string): boolean {
-    const [, branch, service, ...place] = path.split("/");
+/** Returns true for a service's region or zone that the file does not state; it exists and inherits all its values. */
+function isImplicit(document: SettingsDocument, path: string): boolean {
+    const [, branch, service, ...location] = path.split("/");
     return branch === "services"
         && document.nodes[`/services/${service}`] !== undefined
-        && document.nodes[`/regions/${place.join("/")}`] !== undefined;
+        && document.nodes[`/regions/${location.join("/")}`] !== undefined;
 }
 
-/** Shows resolved values as a table or as JSON. */
 function showValues(path: string, values: readonly ResolvedValue[], context: CommandContext): void {
     if (context.flags.json) {
         context.write(JSON.stringify({ path, values }));
--- a/packages/cli/src/settings-store-commands.ts
+++ b/packages/cli/src/settings-store-commands.ts
@@ -1,5 +1,5 @@
 /**
- * Commands on the tree in its store: `settings apply | diff | edit | history`.
+ * Commands on the stored settings tree: `settings diff`, `apply`, `edit` and `history`.
  */
 
 import { type ExitCode, exitCodes } from "@chalkdale/runtime";
@@ -9,7 +9,7 @@
 import { emptyTree, formatValue, readStoredSettings, requireStoredSettings, writeChanges } from "./stored-settings.js";
 import { formatTable } from "./table.js";
 
-/** `settings diff FILE`: what applying the file would change. */
+/** The command `settings diff FILE`: shows what applying the file would change. */
 export const settingsDiff: Command = {
     words: ["settings", "diff"],
     usage: "settings diff FILE",
@@ -21,23 +21,23 @@
     },
 };
 
-/** `settings apply FILE`: makes the tree in its store that of the file. */
+/** The command `settings apply FILE`: replaces the stored tree by that of the file. */
 export const settingsApply: Command = {
     words: ["settings", "apply"],
     usage: "settings apply FILE [--dry-run]",
-    summary: "put a file in force",
+    summary: "write a file to the platform",
     async run(args, context): Promise<ExitCode> {
         const { changes, deployment } = await compare(requireSingleArgument(args, "FILE"), context);
         showChanges(changes, context);
         if (context.flags.dryRun || changes.length === 0) {
             return exitCodes.success;
         }
-        tellVersion(await writeChanges(changes, deployment, context), context);
+        writeVersion(await writeChanges(changes, deployment, context), context);
         return exitCodes.success;
     },
 };
 
-/** `settings edit --at PATH KEY=VALUE ...`: changes single values; an empty value takes one away. */
+/** The command `settings edit KEY=VALUE ... --at PATH`: changes single values; an empty value removes a setting. */
 export const settingsEdit: Command = {
     words: ["settings", "edit"],
     usage: "settings edit KEY=VALUE ... --at PATH",
@@ -55,13 +55,13 @@
         const all = [...added, ...changes];
         showChanges(all, context);
         if (!context.flags.dryRun) {
-            tellVersion(await writeChanges(all, document.deployment, context), context);
+            writeVersion(await writeChanges(all, document.deployment, context), context);
         }
         return exitCodes.success;
     },
 };
 
-/** `settings history`: the latest edits, newest first. */
+/** The command `settings history`: shows the latest edits, newest first. */
 export const settingsHistory: Command = {
     words: ["settings", "history"],
     usage: "settings history",
@@ -88,7 +88,7 @@
     const current = stored?.document ?? emptyTree(wanted.deployment);
     if (current.deployment !== wanted.deployment) {
         throw new CommandError(
-            `the platform holds ${current.deployment}, the file is for ${wanted.deployment}`,
+            `the platform has the settings of ${current.deployment}, the file those of ${wanted.deployment}`,
             exitCodes.settings,
         );
     }
@@ -110,17 +110,17 @@
     context.write(formatTable(["node", "setting", "from", "to"], rows));
 }
 
-function tellVersion(version: number, context: CommandContext): void {
+function writeVersion(version: number, context: CommandContext): void {
     context.write(context.flags.json ? JSON.stringify({ version }) : `in force as version ${version}`);
 }
 
 function parseAssignment(text: string): { readonly key: string; readonly value: unknown; } {
-    const split = text.indexOf("=");
-    if (split <= 0) {
+    const separatorIndex = text.indexOf("=");
+    if (separatorIndex <= 0) {
         throw new CommandError(`expected KEY=VALUE, not ${text}`, exitCodes.usage);
     }
-    const key = text.slice(0, split);
-    const value = text.slice(split + 1);
+    const key = text.slice(0, separatorIndex);
+    const value = text.slice(separatorIndex + 1);
     if (value === "") {
         return { key, value: undefined };
     }
@@ -128,7 +128,7 @@
         return { key, value: JSON.parse(value) as unknown };
     }
     catch {
-        // What is no JSON is taken as a text, so that names need no quotes.
+        // A value that is not JSON is a string, so names need no quotes.
         return { key, value };
     }
 }
--- a/packages/cli/src/stored-settings.ts
+++ b/packages/cli/src/stored-settings.ts
@@ -1,5 +1,7 @@
 /**
- * The settings tree in its store, as the command line reads and edits it.
+ * Reads and edits the stored settings tree.
+ *
+ * Owns no state; relies on the store's conditional updates to merge edits of several operators.
  */
 
 import { exitCodes, parseAddress, urlOf } from "@chalkdale/runtime";
@@ -24,34 +26,34 @@
 import { userInfo } from "node:os";
 import { type CommandContext, CommandError } from "./command.js";
 
-/** Milliseconds for one call of the store; an operator waits for it. */
+/** Timeout of one call to the store in milliseconds; short because an operator is waiting. */
 const callTimeout = 5000;
-/** Writes that are tried while other operators write at the same time. */
-const attempts = 8;
+/** Maximum number of writes, which fail while other operators write at the same time. */
+const maxAttempts = 8;
 
-/** The tree with the version that its store gave it. */
+/** The tree and its version in the store. */
 export interface VersionedSettings extends StoredSettings {
     readonly version: number;
 }
 
-/** Why an edit was not taken. */
-type Refusal =
+/** Why an edit was rejected. */
+type EditRejection =
     | { readonly kind: "clash"; readonly clashes: readonly EditConflict[]; }
     | { readonly kind: "faults"; readonly faults: readonly DocumentFault[]; };
 
-/** Returns the store of the settings tree that `--platform` names. */
+/** Creates a client of the store that `--platform` or the environment names; throws a `CommandError` without one. */
 function storeOf(context: CommandContext): SettingsStore {
     const address = parseAddress(context.flags.platform ?? process.env.CHALKDALE_PLATFORM ?? "");
     if (address === undefined) {
         throw new CommandError(
-            "name the platform with --platform IP:PORT or CHALKDALE_PLATFORM",
+            "expected --platform IP:PORT, or IP:PORT in CHALKDALE_PLATFORM",
             exitCodes.usage,
         );
     }
     return createHttpStore(urlOf(address), context.signal);
 }
 
-/** Reads the tree; undefined when there is none yet. */
+/** Reads the tree; returns undefined if there is none yet. Throws a `CommandError` if the store does not answer. */
 export async function readStoredSettings(context: CommandContext): Promise<VersionedSettings | undefined> {
     const call = { timeout: callTimeout, signal: context.signal };
     const read = await storeOf(context).get(treeKey, call);
@@ -67,19 +69,20 @@
     }
 }
 
-/** Reads the tree; fails when there is none. */
+/** Reads the tree. Throws a `CommandError` if there is none yet or the store does not answer. */
 export async function requireStoredSettings(context: CommandContext): Promise<VersionedSettings> {
     const stored = await readStoredSettings(context);
     if (stored === undefined) {
-        throw new CommandError("no settings yet; apply a file first", exitCodes.failure);
+        throw new CommandError("the platform has no settings yet; apply a file first", exitCodes.failure);
     }
     return stored;
 }
 
 /**
- * Merges changes onto the tree under conditional update and returns the
- * version that holds them. A write whose answer was lost is settled by the
- * edit's id.
+ * Merges changes onto the stored tree by conditional updates and returns the
+ * version that contains them. After a write whose answer was lost, the edit's id
+ * shows whether it took effect. Throws a `CommandError` if the edit conflicts,
+ * would leave the tree with faults, or could not be written.
  */
 export async function writeChanges(
     changes: readonly ValueChange[],
@@ -93,16 +96,16 @@
         changes,
     };
     const empty: StoredSettings = { document: { deployment, nodes: {} }, edits: [] };
-    const outcome = await changeObject<StoredSettings, Refusal>(
+    const outcome = await changeObject<StoredSettings, EditRejection>(
         storeOf(context),
         treeKey,
-        current => stepOf(current ?? empty, edit),
-        { timeout: callTimeout, signal: context.signal, maxAttempts: attempts },
+        current => decideChange(current ?? empty, edit),
+        { timeout: callTimeout, signal: context.signal, maxAttempts },
     );
     return versionOf(outcome);
 }
 
-function stepOf(current: StoredSettings, edit: SettingsEdit) {
+function decideChange(current: StoredSettings, edit: SettingsEdit) {
     const applied = applyEdit(current, edit);
     if (applied.err) {
         return { kind: "stop", reason: { kind: "clash", clashes: applied.val } } as const;
@@ -117,13 +120,13 @@
     return { kind: "write", value: applied.val } as const;
 }
 
-function versionOf(outcome: ChangeOutcome<StoredSettings, Refusal>): number {
+function versionOf(outcome: ChangeOutcome<StoredSettings, EditRejection>): number {
     switch (outcome.kind) {
         case "written":
         case "kept":
             return outcome.version;
         case "stopped":
-            throw refusalError(outcome.reason);
+            throw rejectionError(outcome.reason);
         case "unavailable":
             throw new CommandError(`nothing was written: ${outcome.reason}; try again later`, exitCodes.unavailable);
         case "unknown":
@@ -134,41 +137,44 @@
     }
 }
 
-function refusalError(refusal: Refusal): CommandError {
-    switch (refusal.kind) {
+function rejectionError(rejection: EditRejection): CommandError {
+    switch (rejection.kind) {
         case "clash":
             return new CommandError(
                 [
                     "another operator changed the same values; nothing of yours was written:",
-                    ...refusal.clashes.map(clashLine),
+                    ...rejection.clashes.map(formatConflict),
                 ]
                     .join("\n"),
                 exitCodes.clash,
             );
         case "faults":
             return new CommandError(
-                ["the tree would have faults; nothing was written:", ...refusal.faults.map(faultLine)].join("\n"),
+                [
+                    "the edited tree would have faults; nothing was written:",
+                    ...rejection.faults.map(formatDocumentFault),
+                ].join("\n"),
                 exitCodes.settings,
             );
     }
 }
 
-function clashLine({ node, key, from, theirs, ours }: EditConflict): string {
+function formatConflict({ node, key, from, theirs, ours }: EditConflict): string {
     return `  ${node} ${key}: it was ${formatValue(from)}, theirs is ${formatValue(theirs)}, yours is ${
         formatValue(ours)
     }`;
 }
 
-function faultLine({ node, key, expected }: DocumentFault): string {
+function formatDocumentFault({ node, key, expected }: DocumentFault): string {
     return `  ${node}${key === undefined ? "" : ` ${key}`}: ${expected}`;
 }
 
-/** Returns a value for people. */
+/** Formats a setting's value for people. */
 export function formatValue(value: unknown): string {
     return value === undefined ? "(not stated)" : JSON.stringify(value);
 }
 
-/** An empty tree, from which the first file is applied. */
+/** Returns an empty tree, to which the first file is applied. */
 export function emptyTree(deployment: string): SettingsDocument {
     return { deployment, nodes: {} };
 }
--- a/packages/cli/test/burn-rate.test.ts
+++ b/packages/cli/test/burn-rate.test.ts
@@ -4,7 +4,7 @@
 
 const minute = 60_000;
 
-/** One sample of one box with so many good and bad requests of route `a` since its start. */
+/** Returns a sample of one box with its numbers of good and bad requests of route `a` since its start. */
 function sample(minutes: number, good: number, bad: number, incarnation = "1"): BurnSample {
     return { at: minutes * minute, boxes: { "box-1": { incarnation, good: { a: good }, bad: { a: bad } } } };
 }
@@ -12,46 +12,46 @@
 describe("burn rate", () => {
     const burnOf = (...samples: BurnSample[]) => computeBurn(samples, 0.999)[0];
 
-    it("is 1 when failures use the budget up exactly", () => {
+    it("is 1 when failures consume the budget exactly", () => {
         const { rates, requests } = burnOf(sample(0, 0, 0), sample(3, 9990, 10));
         expect(requests).to.equal(10_000);
         expect(rates["5 min"]).to.be.closeTo(1, 1e-9);
     });
 
-    it("is unknown where nothing was asked, as after one sample", () => {
+    it("is undefined for a window without requests, such as after one sample", () => {
         expect(burnOf(sample(0, 5, 1)).rates["3 days"]).to.equal(undefined);
     });
 
-    it("counts within each window only", () => {
+    it("counts only requests within each window", () => {
         const { rates } = burnOf(sample(0, 0, 0), sample(30, 0, 100), sample(32, 1000, 100));
         expect(rates["5 min"]).to.equal(0);
         expect(rates["1 h"]).to.be.greaterThan(0);
     });
 
-    it("counts a new life of a box from zero", () => {
+    it("counts a new incarnation of a box from zero", () => {
         const { failures, requests } = burnOf(sample(0, 500, 50), sample(1, 20, 2, "2"));
         expect([requests, failures]).to.deep.equal([22, 2]);
     });
 
-    it("goes on from a box's last sample when it did not answer in between", () => {
+    it("continues from a box's last sample if the box did not answer in between", () => {
         const { requests } = burnOf(sample(0, 500, 0), { at: minute, boxes: {} }, sample(2, 520, 0));
         expect(requests).to.equal(20);
     });
 
-    it("wakes someone when an hour and the last minutes burn fast, and asks for a look when days burn slowly", () => {
+    it("causes a page after a fast burn over 5 minutes and an hour, and a ticket after a slow one over 6 hours and days", () => {
         expect(burnOf(sample(0, 0, 0), sample(3, 900, 100)).alert).to.equal("page");
         expect(burnOf(sample(0, 0, 0), sample(200, 9970, 30), sample(202, 10_970, 30)).alert).to.equal("ticket");
         expect(burnOf(sample(0, 0, 0), sample(3, 1000, 0)).alert).to.equal("none");
     });
 
-    it("blames no box for what callers do", () => {
+    it("does not count outcomes that callers cause", () => {
         expect(["200", "404", "500", "timedOut", "callerLeft", "noRoute"].map(classifyOutcome))
             .to.deep.equal([true, true, false, false, undefined, undefined]);
     });
 });
 
 describe("metrics of a box", () => {
-    it("are read with their labels, and other lines are left out", () => {
+    it("are parsed with their labels, and other lines are skipped", () => {
         const text =
             "chalkdale_requests_total{route=\"a\",outcome=\"200\"} 7\nchalkdale_boxes_alive 3\nother 1\n# x\nchalkdale_x y\n";
         const metrics = parseMetrics(text);
@@ -61,7 +61,7 @@
         expect(valueOf(metrics, "requests_total")).to.equal(undefined);
     });
 
-    it("are read whatever a label's value holds", () => {
+    it("are parsed if a label's value contains quotes, backslashes and separators", () => {
         const line = "chalkdale_customer_quota_rate{customer=\"a \\\"b\\\\c, d=\\\"e\\\"\"} 5";
         expect(parseMetrics(line)).to.deep.equal([
             { name: "customer_quota_rate", labels: { customer: "a \"b\\c, d=\"e\"" }, value: 5 },
--- a/packages/cli/test/fleet-summary.test.ts
+++ b/packages/cli/test/fleet-summary.test.ts
@@ -23,10 +23,16 @@
         load: 0.2,
         ...member,
     };
-    const told = { configuration_version: 7, servers_revision: 90, boxes_alive: 4, callers_in_flight: 2, ...values };
+    const metricValues = {
+        configuration_version: 7,
+        servers_revision: 90,
+        boxes_alive: 4,
+        callers_in_flight: 2,
+        ...values,
+    };
     return {
         member: record,
-        metrics: Object.entries(told).map(([metric, value]) => ({ name: metric, labels: {}, value })),
+        metrics: Object.entries(metricValues).map(([metric, value]) => ({ name: metric, labels: {}, value })),
     };
 }
 
@@ -38,30 +44,30 @@
         { ...createBox("d", { leaving: true }), metrics: undefined },
     ];
 
-    it("sums up each zone", () => {
+    it("has sums for each zone", () => {
         expect(zoneRows(fleet, new Set(["a", "b"]))).to.deep.equal([
             ["north", "north-a", "3", "2", "1", "1.30/3.00 cores", "4"],
             ["north", "north-b", "1", "1", "1", "0.20/1.00 cores", "2"],
         ]);
     });
 
-    it("names the odd boxes with the reasons, the oddest first", () => {
+    it("lists the boxes with anomalies and their reasons, those with most reasons first", () => {
         expect(findAnomalousBoxes(fleet).map(({ box, reasons }) => [box.member.box, reasons])).to.deep.equal([
-            ["c", ["busy", "configuration 6, newest 7", "no store"]],
-            ["d", ["tells no metrics", "leaving"]],
+            ["c", ["busy", "configuration 6, newest 7", "store unreachable"]],
+            ["d", ["metrics unreachable", "leaving"]],
         ]);
     });
 
-    it("names a box that knows fewer than the others", () => {
-        const [odd] = findAnomalousBoxes([
+    it("lists a box that knows fewer boxes than the others", () => {
+        const [anomalous] = findAnomalousBoxes([
             ...fleet.slice(0, 2),
             createBox("e", {}, { boxes_alive: 1 }),
             createBox("f"),
         ]);
-        expect(odd.reasons).to.deep.equal(["knows 1 of 4 boxes"]);
+        expect(anomalous.reasons).to.deep.equal(["knows 1 of 4 boxes"]);
     });
 
-    it("finds nothing odd in a fleet that agrees", () => {
+    it("finds no anomalies in a uniform fleet", () => {
         expect(findAnomalousBoxes(["a", "b", "c", "d"].map(name => createBox(name)))).to.deep.equal([]);
     });
 });
--- a/packages/cli/test/request-trace.test.ts
+++ b/packages/cli/test/request-trace.test.ts
@@ -18,64 +18,64 @@
     "level=info event=request.served request=r8 route=look status=200 tried=i-1,i-2 after=400 version=2",
 ].map(readLogLine);
 
-describe("the story of a request", () => {
-    it("names each attempt and why the request was refused, and that it did not run", () => {
-        const story = traceRequest("r1", lines)!;
-        expect(story.route).to.equal("save");
-        expect(story.steps).to.deep.equal([
+describe("the trace of a request", () => {
+    it("has each attempt, the reason of the refusal, and that the request did not run", () => {
+        const trace = traceRequest("r1", lines)!;
+        expect(trace.route).to.equal("save");
+        expect(trace.steps).to.deep.equal([
             "attempt at i-1: not run, status 503; 1685 ms left",
-            "refused as serversFull after 7 ms: as many servers as the route allows said that they are full; configuration 13",
+            "refused as serversFull after 7 ms: as many servers as the route allows answered that they are full; configuration 13",
         ]);
-        expect(story.verdict).to.equal("did not run");
+        expect(trace.verdict).to.equal("did not run");
     });
 
-    it("says why a server was chosen and not another", () => {
+    it("has the reason for the choice of a server", () => {
         const [step] = traceRequest("r2", lines)!.steps;
         expect(step).to.include(
-            "by i-2, rank 1 of its key, which was not known there: 145 ms expected, i-3 came second with 200 ms",
+            "by i-2, rank 1 for its key, which was cold there: 145 ms expected, i-3 came second with 200 ms",
         );
     });
 
-    it("names a server that turned out to be leaving, or to have started again, after the request was sent there", () => {
-        const story = traceRequest("r7", lines)!;
-        expect(story.steps).to.deep.equal([
-            "i-8 was draining 41 ms after the request was sent there, 2 ms after its choice by a list of 8190 ms; the list had been unconfirmed for 8230 ms",
-            "i-8 was found to have started again 900 ms after the request was sent there, 2 ms after its choice by a list of 8190 ms",
+    it("has a server that turned out to be leaving, or to have restarted, after the request was sent to it", () => {
+        const trace = traceRequest("r7", lines)!;
+        expect(trace.steps).to.deep.equal([
+            "i-8 was draining 41 ms after the request was sent to it, 2 ms after it was chosen from a list 8190 ms old; the list had been unconfirmed for 8230 ms",
+            "i-8 was found to have restarted 900 ms after the request was sent to it, 2 ms after it was chosen from a list 8190 ms old",
         ]);
-        expect(story.verdict).to.equal("may have run");
+        expect(trace.verdict).to.equal("may have run");
         expect(traceRequest("r", lines)).to.equal(undefined);
     });
 
-    it("takes the end for the end, whatever attempts came before it", () => {
+    it("takes the verdict from how the request ended, not from earlier attempts", () => {
         expect(traceRequest("r8", lines)!.verdict).to.equal("ran");
     });
 
-    it("names the version of each try while versions are compared", () => {
+    it("has the server version of each attempt while versions are compared", () => {
         const [first, second] = traceRequest("r6", lines)!.steps;
         expect(first).to.include("attempt at i-7 of version v2: not run");
         expect(second).to.include("by i-1 of version v1, rank 0");
     });
 
-    it("promises nothing where a server may have run the request", () => {
+    it("says that the request may have run if a server may have run it", () => {
         expect(traceRequest("r3", lines)!.verdict).to.equal("may have run");
         expect(traceRequest("r5", lines)!.verdict).to.equal("may have run");
     });
 
-    it("knows that a request which no server had did not run", () => {
+    it("says that a request which was sent to no server did not run", () => {
         expect(traceRequest("r4", lines)!.verdict).to.equal("did not run");
     });
 
-    it("is none without a line of the request", () => {
+    it("is undefined without a line of the request", () => {
         expect(traceRequest("r9", lines)).to.equal(undefined);
     });
 });
 
 describe("a log line", () => {
-    it("is read with its quoted values, whatever stands before it", () => {
+    it("is parsed with its quoted values, after any prefix", () => {
         expect(lines[0]).to.include({ event: "attempt.failed", reason: "not run, status 503", timeLeft: "1685" });
     });
 
-    it("that was cut is read as far as it goes", () => {
+    it("that was cut is parsed up to the cut", () => {
         expect(readLogLine("event=attempt.failed reason=\"read ECO")).to.include({ event: "attempt.failed" });
     });
 });
--- a/packages/cli/test/rollouts.test.ts
+++ b/packages/cli/test/rollouts.test.ts
@@ -25,8 +25,8 @@
     ],
 ].map(lines => parseMetrics(lines.join("\n")));
 
-describe("roll-outs as the boxes tell them", () => {
-    it("are summed up by service, with what the box knows that heard of a decision", () => {
+describe("the roll-outs that boxes report", () => {
+    it("are summed by service, with the labels of a box that knows of a decision", () => {
         const expected = {
             service: "profiles",
             version: "v2",
@@ -45,7 +45,7 @@
         expect(sumRolloutMetrics([...boxes].reverse())).to.deep.equal([expected]);
     });
 
-    it("are none where no box tells of one", () => {
+    it("are none if no box reports one", () => {
         expect(sumRolloutMetrics([parseMetrics("chalkdale_lookups_total 3"), []])).to.deep.equal([]);
     });
 });
--- a/packages/testing/test/command-line-deployment.test.ts
+++ b/packages/testing/test/command-line-deployment.test.ts
@@ -1,6 +1,6 @@
 /**
- * The commands on a whole deployment, as an operator uses them: the built
- * program against running boxes.
+ * The commands on a whole deployment: the built program runs as a process against
+ * running boxes.
  */
 
 import { expect } from "chai";
@@ -46,13 +46,13 @@
         await rm(folder, { recursive: true, force: true });
     });
 
-    it("lists all boxes with what they have in force", async () => {
+    it("lists all boxes with the versions that they have in force", async () => {
         let listed: ListedBox[] = [];
         await waitUntil(async () => {
             const { exitCode: code, stdout: output } = await runCommandLine("boxes", ...at, "--json");
             listed = code === 0 ? JSON.parse(output) as ListedBox[] : [];
             return listed.length === 2 && listed.every(({ carries }) => carries);
-        }, "both are listed, each known to the other as ready");
+        }, "both boxes are listed as advertised");
         expect(listed.map(({ carries, member }) => [member.box, carries])).to.deep.equal([["box-1", true], [
             "box-2",
             true,
@@ -64,19 +64,19 @@
         expect(table.stdout).to.match(/box-2 +north-a +in service +yes .* 2 +\d+ +answers/);
     });
 
-    it("ends with 4 when a box does not tell its figures, and says which", async () => {
+    it("exits with 4 if the metrics of a box cannot be read, and shows which box", async () => {
         const run = await runCommandLine("boxes", "--peer", boxes[0].peerAddress, "--metrics-port", "1");
         expect(run.exitCode).to.equal(4);
         expect(run.stdout).to.match(/box-1 .*unreachable/);
     });
 
-    it("ends with 4 when there is no box, and says what to name", async () => {
+    it("exits with 4 if no box answers, and says which address to give", async () => {
         const run = await runCommandLine("boxes", "--peer", "127.0.0.1:1");
         expect(run.exitCode).to.equal(4);
         expect(run.stderr).to.include("name the peer address of a running box");
     });
 
-    it("tells the burn of each route from two samples on", async () => {
+    it("shows the burn of each route from the second sample on", async () => {
         const samples = join(folder, "samples.jsonl");
         const burn = () => runCommandLine("burn", ...at, "--samples", samples, "--json");
         expect((await burn()).exitCode).to.equal(0);
@@ -92,20 +92,20 @@
         expect(route).to.include({ route: "lookup", requests: 4, failures: 0 });
     });
 
-    it("refuses a wrong command line with 2 and spoiled samples with their line", async () => {
+    it("rejects an invalid command line with 2, and invalid samples with their line", async () => {
         expect((await runCommandLine("burn", ...at)).exitCode).to.equal(2);
         expect((await runCommandLine("burn", ...at, "--samples", "x", "--objective", "2")).exitCode).to.equal(2);
-        const spoiled = join(folder, "spoiled.jsonl");
-        await writeFile(spoiled, "{}x\n");
-        const run = await runCommandLine("burn", ...at, "--samples", spoiled);
+        const invalid = join(folder, "invalid.jsonl");
+        await writeFile(invalid, "{}x\n");
+        const run = await runCommandLine("burn", ...at, "--samples", invalid);
         expect([run.exitCode, run.stderr]).to.deep.equal([
             1,
-            `chalkdale: ${spoiled}:1 is no sample; move the file away to begin anew\n`,
+            `chalkdale: ${invalid}:1 is not a valid sample; move the file away to start a new one\n`,
         ]);
     });
 
-    it("tells roll-outs: versions, stage, what the new version got, and the evidence", async () => {
-        expect((await runCommandLine("rollouts", ...at)).stdout).to.include("no box takes part in a roll-out");
+    it("shows roll-outs: versions, stage, requests sent to the trial version, and evidence", async () => {
+        expect((await runCommandLine("rollouts", ...at)).stdout).to.include("no box reports a roll-out");
         await deployment.addServer({ id: "i-2", version: "v2" });
         deployment.orderRollout("profiles", "v2", "60s");
         const ask = (requestId: string) =>
@@ -115,19 +115,21 @@
             const { stdout: output } = await runCommandLine("rollouts", ...at);
             return /profiles +v1 +v2 +running +watching +\d+ +[1-9]\d* .*\d+\/\d+/.test(output)
                 && /profiles +lookup +trial +\d+ +0 +/.test(output);
-        }, "the version is tried, and the table says so");
-        // Lines of served requests are few a second, so one of the version on trial may take some rounds.
+        }, "the table shows requests at the trial version");
+        // Lines of served requests are rate-limited, so it may take some rounds until one names the trial version.
         await waitUntil(async () => {
             await Promise.all(Array.from({ length: 20 }, (_, count) => ask(`w-${count}`)));
             return boxes[0].logLines.some(line => /event=request\.served .* tried=i-2 .*serverVersion=v2 /.test(line));
-        }, "a line names the version on trial with its server");
+        }, "a line names the trial version with its server");
         const served = boxes[0].logLines.filter(line => /event=request\.served .*serverVersion=/.test(line));
         served.forEach(line => expect(line).to.match(/tried=i-1 .*serverVersion=v1 |tried=i-2 .*serverVersion=v2 /));
         deployment.store.delete("rollouts", "profiles");
     });
 
-    it("tells customers' quotas, and what was admitted and refused, without their keys", async () => {
-        expect((await runCommandLine("customers", ...at)).stdout).to.include("no customer with a quota has asked yet");
+    it("shows customers' quotas and the requests admitted and refused, without keys", async () => {
+        expect((await runCommandLine("customers", ...at)).stdout).to.include(
+            "no customer with a quota has sent a request yet",
+        );
         const rules = [{ name: "lookup", path: "/lookup/", kind: "safe" as const }];
         deployment.configure(3, rules, [{ name: "club", keys: ["key-of-club"], rate: 2, burst: 2 }]);
         const ask = (box: TestBox, count: number) =>
--- a/packages/testing/test/command-line.test.ts
+++ b/packages/testing/test/command-line.test.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' command line as its users see it: the built program against
- * the stand-in for the store of the settings tree.
+ * The operators' command line: the built program runs as a process against the
+ * stand-in for the settings store.
  */
 
 import { expect } from "chai";
@@ -35,30 +35,30 @@
         return file;
     }
 
-    it("tells its help and its version", async () => {
+    it("shows its help and its version", async () => {
         expect((await chalkdale("--help")).stdout).to.include("settings apply");
         expect((await chalkdale("--version")).stdout.trim()).to.equal("0.1.0");
     });
 
-    it("ends with 2 for what it does not know", async () => {
+    it("exits with 2 for an unknown command or node", async () => {
         expect((await chalkdale("paint")).exitCode).to.equal(2);
         expect((await chalkdale("settings", "show", example, "--at", "/nowhere")).exitCode).to.equal(2);
     });
 
-    it("shows where a value comes from", async () => {
+    it("shows the node that states a value", async () => {
         const run = await chalkdale("settings", "show", example, "--at", "/services/profil-api/ro-nord/ro-nord-a");
         expect(run.exitCode).to.equal(0);
         expect(run.stdout).to.match(/slots +6 +\/services\/profil-api\n/);
     });
 
-    it("refuses a file with faults with 3 and names the places", async () => {
+    it("rejects a file with faults with 3, and shows their locations", async () => {
         const file = await variant("faults.yaml", "capacity: 900", "capacity: lots");
         const run = await chalkdale("settings", "check", file);
         expect(run.exitCode).to.equal(3);
         expect(run.stderr).to.include("faults.yaml:14:17: regions.ro-nord.settings.capacity: expected number");
     });
 
-    it("applies a file, then only its differences, and acts on nothing in a dry run", async () => {
+    it("applies a file, then only the differences, and writes nothing in a dry run", async () => {
         expect((await chalkdale("settings", "apply", example, ...at)).exitCode).to.equal(0);
         const stored = () => server.store.read("config/settings")!;
         const version = stored().version;
@@ -71,7 +71,7 @@
         expect((await chalkdale("settings", "history", "--json", ...at)).stdout).to.include("\"to\":0.2");
     });
 
-    it("edits one value, and settles a write whose answer was lost", async () => {
+    it("edits one value, and writes it once although the store's answer is lost", async () => {
         server.store.faults.lostAnswers = 1;
         const run = await chalkdale("settings", "edit", "shiftCap=0.3", "--at", "/", ...at);
         expect(run.exitCode).to.equal(0);
@@ -84,7 +84,7 @@
             .length(1);
     });
 
-    it("explains a request from the logs of several boxes", async () => {
+    it("traces a request through the logs of several boxes", async () => {
         const [one, other] = ["one.log", "other.log"].map(name => join(folder, name));
         await writeFile(one, "event=request.served request=r2 route=look status=200 after=1 version=1\n");
         await writeFile(
@@ -102,13 +102,13 @@
         expect((await chalkdale("explain")).exitCode).to.equal(2);
     });
 
-    it("refuses an edit that would leave the tree with faults", async () => {
+    it("rejects an edit that would leave the tree with faults", async () => {
         const run = await chalkdale("settings", "edit", "capacity=-5", "--at", "/regions/ro-nord", ...at);
         expect(run.exitCode).to.equal(3);
         expect(run.stderr).to.include("/regions/ro-nord capacity");
     });
 
-    it("merges what two operators edit at once", async () => {
+    it("merges the concurrent edits of two operators", async () => {
         const [one, other] = await Promise.all([
             chalkdale("settings", "edit", "headroomPrice=50", "--at", "/", ...at),
             chalkdale("settings", "edit", "coldPrice=20", "--at", "/", ...at),
@@ -120,7 +120,7 @@
         expect(document.nodes["/"]).to.include({ headroomPrice: 50, coldPrice: 20 });
     });
 
-    it("ends with 4 when the store is out, and says what to do", async () => {
+    it("exits with 4 if the store is unavailable, and says what to do", async () => {
         server.store.faults.outage = true;
         const run = await chalkdale("settings", "history", ...at);
         server.store.faults.outage = false;
@@ -128,7 +128,7 @@
         expect(run.stderr).to.include("try again later");
     });
 
-    it("ends with 2 for commands of programs that are gone", async () => {
+    it("exits with 2 for commands that were removed", async () => {
         for (const word of ["status", "drain"]) {
             expect((await chalkdale(word)).exitCode).to.equal(2);
         }
