--- a/packages/box/src/state/replica-status.ts
+++ b/packages/box/src/state/replica-status.ts
@@ -1,30 +1,30 @@
 /**
- * What a box knows of each of its copies beside the copy itself.
+ * Status of each replica of a box, apart from its content: when the store last confirmed it, and its pending reads.
  *
- * Owned by the replicator; its store follower and its catch-up write to it.
+ * Owned by the replicator; its store follower and its snapshot catch-up write to it.
  */
 
 import type { SharedKind } from "@chalkdale/decisions";
 
-/** Status of the copy of one kind. */
+/** Status of the replica of one kind. Times are of the box's clock, in milliseconds. */
 export interface ReplicaStatus {
-    /** When the store last confirmed, to this box or through another, that the copy is complete. */
+    /** When the store last confirmed, to this box or to another one, that the replica is complete. */
     confirmedAt: number;
     /**
-     * The same without the credit of a first list that may be old, by which a box that has just started waits for its
-     * region's relay: what the copy lacks may be denied by this one only.
+     * The same, but a first list, which may be stale, doesn't count. (It advances `confirmedAt`, so that a box that has just
+     * started waits for its region's relay.) Only this time justifies rejecting a request for an entry that the replica lacks.
      */
     provenAt: number;
-    /** When a snapshot will be read from a box that knows more. */
+    /** When a snapshot will be read from a box whose replica holds more; once that read runs, when it becomes overdue. */
     snapshotReadAt: number | undefined;
-    /** The watch that is waiting now. */
+    /** Aborts the watch of the store that is pending. */
     watch: AbortController | undefined;
 }
 
-/** Age that stands for a copy that was never confirmed, in milliseconds: 11 days. */
+/** Age of a replica that was never confirmed, in milliseconds: 11 days. */
 export const unconfirmedAge = 1e9;
 
-/** Creates the statuses of copies that nobody has confirmed yet. */
+/** Creates the statuses of replicas that were never confirmed. */
 export function createReplicaStatuses(): Readonly<Record<SharedKind, ReplicaStatus>> {
     return {
         configuration: createStatus(),
--- a/packages/box/src/state/replicator.ts
+++ b/packages/box/src/state/replicator.ts
@@ -1,8 +1,8 @@
 /**
- * Keeps the copies of shared state up to date: from the store while that is
- * this box's part, and from what other boxes say. Any one source suffices.
+ * Keeps the replicas of shared state up to date: from the store while this box follows it, and from updates, digests and
+ * snapshots of other boxes. Any one source suffices.
  *
- * Owns the age of each copy; the copies themselves belong to the shared state.
+ * Owns the age of each replica; the replicas themselves belong to the shared state.
  */
 
 import {
@@ -22,6 +22,7 @@
 import type { StateStore } from "./state-store.js";
 import { startStoreFollower } from "./store-follower.js";
 
+/** What the replicator of one box depends on. */
 export interface ReplicatorOptions {
     readonly clock: Clock;
     readonly random: () => number;
@@ -30,57 +31,59 @@
     readonly state: SharedState;
     readonly store: StateStore;
     readonly relayRole: RelayRole;
+    /** Boxes that the store doesn't serve, as far as this box knows. */
     readonly turnedAway: UnservedBoxes;
     readonly self: BoxId;
-    /** Kinds that the box copies. */
+    /** Kinds that the box replicates. */
     readonly kinds: readonly SharedKind[];
     readonly readState: StateReader;
-    /** Passes changes on to the boxes of the region. */
+    /** Relays changes to the boxes of the region. */
     readonly publish: (update: StateUpdate) => void;
-    /** Tells the boxes of the region how far the copies reach, at once. */
+    /** Sends this box's digest to the boxes of its region at once. */
     readonly sendDigestToRegion: () => void;
     readonly signal: AbortSignal;
 }
 
-/** The part that other boxes talk to. */
+/** The replicator of one box: the age of its replicas, and the handlers of other boxes' messages. */
 export interface Replicator {
+    /** How far the replicas of this box reach, as sent to other boxes. */
     readonly digest: () => StateDigest;
     /** Milliseconds since the store stopped answering; 0 while it answers. */
     readonly storeUnavailableFor: () => number;
-    /** Time since the store confirmed the copy of the configuration, to this box or through another. */
+    /** Time since the store confirmed the configuration, to this box or to another one. */
     readonly configurationAge: () => Milliseconds;
-    /** Time since the store confirmed the copy of a kind, to this box or through another; undefined if it never did. */
+    /** Time since the store confirmed the replica of a kind, to this box or to another one; undefined if it never did. */
     readonly provenAge: (kind: SharedKind) => Milliseconds | undefined;
-    /** The same with the credit that a first list has, as the boxes tell each other; very large if there is no copy. */
+    /** The same, but a first list, which may be stale, counts in part; `unconfirmedAge` if there was no confirmation. */
     readonly confirmedAge: (kind: SharedKind) => Milliseconds;
-    /** True while this box follows the store, so that others depend on what it says. */
+    /** True while this box follows the store: other boxes then rely on its digests. */
     readonly isFollowingStore: () => boolean;
-    /** Another box said how far its copies reach. */
+    /** Takes another box's digest. */
     readonly onDigest: (peer: StatePeer, digest: StateDigest) => void;
-    /** Another box passed changes on. */
+    /** Takes changes that another box relayed. */
     readonly onUpdate: (update: StateUpdate) => void;
 }
 
-/** Starts to follow the store; ends when the signal aborts. */
+/** Starts the replicator; it stops when the signal aborts. */
 export function startReplicator(options: ReplicatorOptions): Replicator {
-    const { clock, relayRole, self, state, turnedAway } = options;
+    const { clock, relayRole, self, state, turnedAway: unservedBoxes } = options;
     const statuses = createReplicaStatuses();
     const follower = startStoreFollower({ ...options, statuses });
-    const onCopyState = createSnapshotCatchUp({
+    const onReplicaProgress = createSnapshotCatchUp({
         ...options,
         statuses,
         alwaysFollowsStore: relayRole.alwaysFollowsStore,
-        isStoreUnavailable: () => follower.isStoreUnavailable() || turnedAway.has(self, clock()),
+        isStoreUnavailable: () => follower.isStoreUnavailable() || unservedBoxes.has(self, clock()),
         isStale: relayRole.isStale,
     });
 
     return {
         digest: () => ({
-            configuration: provenCopyState("configuration"),
-            servers: copyState("servers"),
-            closedZones: copyState("closedZones"),
-            ...turnedAway.has(self, clock()) ? { turnedAway: true } : {},
-            ...options.kinds.includes("rollouts") ? { rollouts: provenCopyState("rollouts") } : {},
+            configuration: provenReplicaProgress("configuration"),
+            servers: replicaProgress("servers"),
+            closedZones: replicaProgress("closedZones"),
+            ...unservedBoxes.has(self, clock()) ? { turnedAway: true } : {},
+            ...options.kinds.includes("rollouts") ? { rollouts: provenReplicaProgress("rollouts") } : {},
         }),
         storeUnavailableFor: follower.storeUnavailableFor,
         configurationAge: () => provenAge("configuration"),
@@ -92,21 +95,21 @@
         isFollowingStore: () =>
             relayRole.alwaysFollowsStore() || options.kinds.some(kind => statuses[kind].watch !== undefined),
         onDigest(peer, digest) {
-            const isNews = turnedAway.onPeerReport(peer.box, digest.turnedAway === true, clock());
+            const isChanged = unservedBoxes.onPeerReport(peer.box, digest.turnedAway === true, clock());
             for (const kind of options.kinds) {
-                const told = digest[kind];
-                if (told !== undefined) {
-                    onCopyState(kind, peer, told);
+                const progress = digest[kind];
+                if (progress !== undefined) {
+                    onReplicaProgress(kind, peer, progress);
                 }
             }
-            if (isNews && peer.region === options.region) {
+            if (isChanged && peer.region === options.region) {
                 follower.wake();
             }
         },
         onUpdate: update => applyUpdate(update.kind, update),
     };
 
-    function copyState(kind: SharedKind): ReplicaProgress {
+    function replicaProgress(kind: SharedKind): ReplicaProgress {
         const replica = state.replica(kind);
         return {
             changed: replica.lastChangeRevision(),
@@ -119,8 +122,8 @@
         return milliseconds(Math.min(unconfirmedAge, clock() - statuses[kind].confirmedAt));
     }
 
-    function provenCopyState(kind: SharedKind): ReplicaProgress {
-        return { ...copyState(kind), provenAge: Math.round(provenAge(kind)) };
+    function provenReplicaProgress(kind: SharedKind): ReplicaProgress {
+        return { ...replicaProgress(kind), provenAge: Math.round(provenAge(kind)) };
     }
 
     function provenAge(kind: SharedKind): Milliseconds {
--- a/packages/box/src/state/shared-state.ts
+++ b/packages/box/src/state/shared-state.ts
@@ -1,8 +1,8 @@
 /**
- * This box's copies of the shared state and what follows from them: the tables of
- * routes and keys, the catalog of servers, and which availability zones admit requests.
+ * This box's replicas of the shared state and what is derived from them: the tables of routes and keys, the catalog of
+ * servers, and which availability zones admit requests.
  *
- * Owns the copies; the replicator brings them up to date.
+ * Owns the replicas; the replicator keeps them up to date.
  */
 
 import {
@@ -35,58 +35,67 @@
 import type { AvailabilityZoneId, BackendServerId, Clock, Milliseconds, RegionId, ServiceId } from "@chalkdale/kernel";
 import type { Log } from "@chalkdale/runtime";
 
-/** The copies and their use. */
+/** The replicas, and look-ups in what is derived from them. */
 export interface SharedState {
     readonly replica: <Kind extends SharedKind>(kind: Kind) => Replica<SharedItems[Kind]>;
-    /** The newest epoch of the store that a copy has reached; undefined before the first. */
+    /** The newest epoch of the store that a replica has reached; undefined before the first snapshot. */
     readonly storeEpoch: () => number | undefined;
-    /** Ends what was held against the word of a store that came back older. Due some times a second. */
+    /**
+     * Drops entries whose retention is over: replicas keep them although a store that was restored from an older copy no
+     * longer has them. To be called a few times a second.
+     */
     readonly expireHeldEntries: () => void;
     readonly configuration: () => Configuration | undefined;
     readonly routes: () => RouteTable | undefined;
     readonly keys: () => CustomerTable | undefined;
     readonly service: (id: ServiceId) => Service | undefined;
-    /** Picks the destination of a request on a route. */
+    /** Picks the service that a request on a route goes to, by the weights of the route's destinations. */
     readonly pickDestination: (route: Route) => ServiceId;
+    /** True unless the zone is closed. */
     readonly admitsZone: (zone: AvailabilityZoneId) => boolean;
-    /** True once requests can be decided. */
+    /** True once the replicas that every request needs have a snapshot. */
     readonly isComplete: () => boolean;
 }
 
+/** What the shared state depends on, and its listeners. */
 export interface SharedStateOptions {
     readonly clock: Clock;
     readonly log: Log;
     readonly catalog: ServerCatalog;
     readonly regionOfZone: ReadonlyMap<AvailabilityZoneId, RegionId>;
-    /** Time since the store confirmed the copy of a kind. While a copy takes a change, that of the confirmation before. */
+    /** Time since the store confirmed the replica of a kind. While a change is applied: since the previous confirmation. */
     readonly confirmedAge: (kind: SharedKind) => Milliseconds;
-    /** The latest requests to a server, for the line that tells of its leaving. */
+    /** Describes the latest requests to a server, for the log line written when it leaves. */
     readonly describeRecentSends: (server: BackendServerId) => string | undefined;
-    /** Called with each server that has started again. */
+    /** Called with each server that has restarted. */
     readonly onRestarted: (restarted: RestartedServer) => void;
-    /** Called with all orders of roll-outs whenever one changes. */
+    /** Called with all roll-out orders whenever one changes. */
     readonly onRollouts: (orders: readonly RolloutOrder[]) => void;
-    /** Called with each configuration that comes into force. */
+    /** Called with each configuration that takes effect. */
     readonly onConfiguration: (configuration: Configuration) => void;
 }
 
-/** Creates empty copies. */
+/** Creates the shared state with empty replicas. */
 export function createSharedState(options: SharedStateOptions): SharedState {
     const { clock, log } = options;
     let configuration: Configuration | undefined;
     let routes: RouteTable | undefined;
     let keys: CustomerTable | undefined;
     let services = new Map<ServiceId, Service>();
-    let rotations = new Map<string, WeightedSplit>();
-    let places: LocalitySettings = defaultLocalitySettings;
-    /** The values in force by zone, as far as they were asked for since the places changed. */
-    let admission = new Map<AvailabilityZoneId, boolean>();
+    let splitsByRoute = new Map<string, WeightedSplit>();
+    let localitySettings: LocalitySettings = defaultLocalitySettings;
+    /** Cached results of `admitsZone`; emptied when the locality settings change. */
+    let admissionByZone = new Map<AvailabilityZoneId, boolean>();
 
     const replicas: { readonly [Kind in SharedKind]: Replica<SharedItems[Kind]>; } = {
-        configuration: createReplica<Configuration>(() => "main", applyConfiguration, restoreOf("configuration")),
-        servers: createReplica<BackendServerRecord>(record => record.id, applyServers, restoreOf("servers")),
-        closedZones: createReplica<AvailabilityZoneId>(zone => zone, applyClosedZones, restoreOf("closedZones")),
-        rollouts: createReplica<RolloutOrder>(order => order.service, applyRollouts, restoreOf("rollouts")),
+        configuration: createReplica<Configuration>(
+            () => "main",
+            applyConfiguration,
+            restoreOptionsOf("configuration"),
+        ),
+        servers: createReplica<BackendServerRecord>(record => record.id, applyServers, restoreOptionsOf("servers")),
+        closedZones: createReplica<AvailabilityZoneId>(zone => zone, applyClosedZones, restoreOptionsOf("closedZones")),
+        rollouts: createReplica<RolloutOrder>(order => order.service, applyRollouts, restoreOptionsOf("rollouts")),
     };
 
     return {
@@ -101,7 +110,7 @@
         routes: () => routes,
         keys: () => keys,
         service: id => services.get(id),
-        pickDestination: destinationOf,
+        pickDestination,
         admitsZone,
         isComplete: () =>
             configuration !== undefined
@@ -109,16 +118,16 @@
             && replicas.closedZones.revision() !== undefined,
     };
 
-    function restoreOf<Kind extends SharedKind>(kind: Kind): RestoreOptions<SharedItems[Kind]> {
+    function restoreOptionsOf<Kind extends SharedKind>(kind: Kind): RestoreOptions<SharedItems[Kind]> {
         return {
             clock,
             policy: retentionPolicies[kind],
-            onStoreRestored: (revision, previous, held) =>
+            onStoreRestored: (revision, previous, heldNames) =>
                 log.warn("state.restored", {
                     kind,
                     revision: describePosition(revision),
                     previous: describePosition(previous),
-                    held: held.slice(0, 8).join(",") || "none",
+                    held: heldNames.slice(0, 8).join(",") || "none",
                 }),
         };
     }
@@ -139,7 +148,7 @@
         routes = createRouteTable(next);
         keys = createCustomerTable(next.access);
         services = new Map(next.services.map(service => [service.id, service]));
-        rotations = new Map();
+        splitsByRoute = new Map();
         options.onConfiguration(next);
     }
 
@@ -154,7 +163,7 @@
                 removed: removed.slice(0, 8).join(","),
                 draining: startedDraining.slice(0, 8).join(","),
                 restarted: restarted.map(({ server }) => server.id).slice(0, 8).join(","),
-                revision: shownRevision("servers"),
+                revision: describeRevision("servers"),
                 unconfirmedFor: Math.round(options.confirmedAge("servers")),
             });
         }
@@ -163,14 +172,14 @@
         removed.forEach(server => logLeaving(server, "unlisted"));
     }
 
-    /** One line for each server, as its requests are looked for by its id. */
+    /** Writes one line per server, so that a search for the server's id finds it. */
     function logLeaving(server: BackendServerId, as: "draining" | "unlisted"): void {
         const known = options.catalog.get(server)?.state;
         log.info("server.leaving", {
             server,
             as,
             recordRevision: known && describePosition(known.record().revision),
-            revision: shownRevision("servers"),
+            revision: describeRevision("servers"),
             unconfirmedFor: Math.round(options.confirmedAge("servers")),
             inFlight: known?.inFlight(),
             sends: options.describeRecentSends(server),
@@ -178,8 +187,8 @@
     }
 
     function applyClosedZones(zones: readonly AvailabilityZoneId[]): void {
-        places = closeZones(defaultLocalitySettings, zones);
-        admission = new Map();
+        localitySettings = closeZones(defaultLocalitySettings, zones);
+        admissionByZone = new Map();
         log.info("places.changed", { closed: zones.join(",") || "none" });
     }
 
@@ -188,34 +197,34 @@
         log.info("rollouts.changed", {
             orders: orders.map(({ service, state, targetVersion }) => `${service}:${targetVersion}:${state ?? "new"}`)
                 .slice(0, 8).join(",") || "none",
-            revision: shownRevision("rollouts"),
+            revision: describeRevision("rollouts"),
         });
     }
 
-    function shownRevision(kind: SharedKind): string | undefined {
+    function describeRevision(kind: SharedKind): string | undefined {
         const revision = replicas[kind].revision();
         return revision === undefined ? undefined : describePosition(revision);
     }
 
     function admitsZone(zone: AvailabilityZoneId): boolean {
-        let admits = admission.get(zone);
+        let admits = admissionByZone.get(zone);
         if (admits === undefined) {
-            admits = resolveLocality(places, regionOf(zone), zone).admitsRequests;
-            admission.set(zone, admits);
+            admits = resolveLocality(localitySettings, regionOf(zone), zone).admitsRequests;
+            admissionByZone.set(zone, admits);
         }
         return admits;
     }
 
-    function destinationOf(route: Route): ServiceId {
+    function pickDestination(route: Route): ServiceId {
         if (route.destinations.length === 1) {
             return route.destinations[0].service;
         }
-        let rotation = rotations.get(route.name);
-        if (rotation === undefined) {
-            rotation = createWeightedSplit(route.destinations);
-            rotations.set(route.name, rotation);
+        let split = splitsByRoute.get(route.name);
+        if (split === undefined) {
+            split = createWeightedSplit(route.destinations);
+            splitsByRoute.set(route.name, split);
         }
-        return rotation();
+        return split();
     }
 
     function regionOf(zone: AvailabilityZoneId): RegionId {
--- a/packages/box/src/state/snapshot-catch-up.ts
+++ b/packages/box/src/state/snapshot-catch-up.ts
@@ -1,9 +1,8 @@
 /**
- * Catches up with other boxes: takes their confirmations of what this box has
- * too, and reads what it lacks from one that knows more, unless the changes come
- * by the ordinary way before.
+ * Brings replicas up to date from other boxes: takes their confirmations of what this box's replica already holds, and reads
+ * what it lacks from a box that has more, unless the changes arrive from the store or the relay first.
  *
- * Owns the reads that wait; relies on the copies to refuse what is older.
+ * Owns the delayed reads; relies on the replicas to reject what is older than they are.
  */
 
 import { describePosition, maxInterRegionDelay, type SharedKind, snapshotDelay } from "@chalkdale/decisions";
@@ -15,11 +14,12 @@
 import type { StatePeer, StateReader, StateReadResult } from "./state-reader.js";
 
 /**
- * Milliseconds after which a read of another box no longer keeps this one from reading a third. A read is given up after 1.5 s, most
- * of a bound on changes of 2 s; a whole copy of 796 servers, 17 KB packed, takes some ways between regions of 35 ms.
+ * Milliseconds after which a read no longer prevents another one, from a different box. A read times out only after 1.5 s, most of
+ * a bound on changes of 2 s, while a snapshot of 796 servers, 17 KB compressed, takes a few one-way delays of 35 ms between regions.
  */
 const readOverdueAfter = 400;
 
+/** What the catch-up depends on. */
 export interface SnapshotCatchUpOptions {
     readonly clock: Clock;
     readonly log: Log;
@@ -28,37 +28,37 @@
     readonly statuses: Readonly<Record<SharedKind, ReplicaStatus>>;
     readonly alwaysFollowsStore: () => boolean;
     readonly isStoreUnavailable: () => boolean;
-    /** True for an age that a copy does not reach while a box of the region follows the store. */
+    /** True for an age that a replica doesn't reach while a box of the region follows the store. */
     readonly isStale: (kind: SharedKind, age: number) => boolean;
     readonly readState: StateReader;
-    /** Tells the boxes of the region how far the copies reach. */
+    /** Sends this box's digest to the boxes of its region at once. */
     readonly sendDigestToRegion: () => void;
     readonly signal: AbortSignal;
 }
 
-/** Returns the function that takes how far another box's copy of a kind reaches. */
+/** Returns the handler of another box's report of how far its replica of a kind reaches. */
 export function createSnapshotCatchUp(options: SnapshotCatchUpOptions) {
     const { clock, log, signal, state, statuses } = options;
 
-    return function onCopyState(kind: SharedKind, peer: StatePeer, told: ReplicaProgress): void {
+    return function onReplicaProgress(kind: SharedKind, peer: StatePeer, progress: ReplicaProgress): void {
         const status = statuses[kind];
         const replica = state.replica(kind);
         const revision = replica.revision();
-        if (revision !== undefined && revision >= told.changed) {
-            replica.applyChanges(revision, [], Math.max(revision, told.complete));
+        if (revision !== undefined && revision >= progress.changed) {
+            replica.applyChanges(revision, [], Math.max(revision, progress.complete));
             const sentAt = clock() - (peer.region === options.region ? 0 : maxInterRegionDelay);
-            status.confirmedAt = Math.max(status.confirmedAt, sentAt - told.age);
-            status.provenAt = Math.max(status.provenAt, sentAt - (told.provenAge ?? unconfirmedAge));
+            status.confirmedAt = Math.max(status.confirmedAt, sentAt - progress.age);
+            status.provenAt = Math.max(status.provenAt, sentAt - (progress.provenAge ?? unconfirmedAge));
             return;
         }
-        const readAt = clock() + headStartOf(kind, peer);
-        if (told.complete >= 0 && readAt < (status.snapshotReadAt ?? Infinity)) {
+        const readAt = clock() + readDelay(kind, peer);
+        if (progress.complete >= 0 && readAt < (status.snapshotReadAt ?? Infinity)) {
             status.snapshotReadAt = readAt;
-            void readLater(kind, peer, told, readAt);
+            void readUnlessUpdated(kind, peer, progress, readAt);
         }
     };
 
-    function headStartOf(kind: SharedKind, peer: StatePeer): number {
+    function readDelay(kind: SharedKind, peer: StatePeer): number {
         return snapshotDelay({
             hasCopy: state.replica(kind).revision() !== undefined,
             alwaysFollowsStore: options.alwaysFollowsStore(),
@@ -68,18 +68,23 @@
         });
     }
 
-    /** Reads at the given time, unless the changes come before it or another read does. */
-    async function readLater(kind: SharedKind, peer: StatePeer, told: ReplicaProgress, readAt: number): Promise<void> {
+    /** Reads at `readAt`, unless the changes arrive or another read is scheduled before then. */
+    async function readUnlessUpdated(
+        kind: SharedKind,
+        peer: StatePeer,
+        progress: ReplicaProgress,
+        readAt: number,
+    ): Promise<void> {
         const status = statuses[kind];
         await sleep(readAt - clock(), signal);
         if (signal.aborted || status.snapshotReadAt !== readAt) {
             return;
         }
-        if ((state.replica(kind).revision() ?? -1) >= told.changed) {
+        if ((state.replica(kind).revision() ?? -1) >= progress.changed) {
             status.snapshotReadAt = undefined;
             return;
         }
-        // Another box may be read once this one is overdue: its answer may never come.
+        // The answer may never come: once this read is overdue, another box may be read.
         const overdueAt = clock() + readOverdueAfter;
         status.snapshotReadAt = overdueAt;
         await read(kind, peer);
@@ -90,10 +95,10 @@
 
     async function read<Kind extends SharedKind>(kind: Kind, peer: StatePeer): Promise<void> {
         try {
-            const told = await options.readState(peer, kind, state.replica(kind).revision());
-            if (apply(kind, told)) {
+            const result = await options.readState(peer, kind, state.replica(kind).revision());
+            if (apply(kind, result)) {
                 const revision = describePosition(state.replica(kind).revision() ?? 0);
-                log.info("state.fromPeer", { kind, peer: peer.peerAddress, as: told.kind, revision });
+                log.info("state.fromPeer", { kind, peer: peer.peerAddress, as: result.kind, revision });
                 statuses[kind].watch?.abort();
                 if (peer.region !== options.region) {
                     options.sendDigestToRegion();
@@ -105,16 +110,16 @@
         }
     }
 
-    /** True if the copy is newer than before. */
-    function apply<Kind extends SharedKind>(kind: Kind, told: StateReadResult<Kind>): boolean {
+    /** Returns true if the replica is newer than before. */
+    function apply<Kind extends SharedKind>(kind: Kind, result: StateReadResult<Kind>): boolean {
         const replica = state.replica(kind);
-        switch (told.kind) {
+        switch (result.kind) {
             case "snapshot":
-                return replica.applySnapshot(told.snapshot);
+                return replica.applySnapshot(result.snapshot);
             case "missing": {
-                const before = replica.revision();
-                const { changes, revision, since } = told.missing;
-                return replica.applyChanges(since, changes, revision) && replica.revision() !== before;
+                const revisionBefore = replica.revision();
+                const { changes, revision, since } = result.missing;
+                return replica.applyChanges(since, changes, revision) && replica.revision() !== revisionBefore;
             }
         }
     }
--- a/packages/box/src/state/state-messages.ts
+++ b/packages/box/src/state/state-messages.ts
@@ -1,6 +1,6 @@
 /**
- * What boxes say to each other about their copies of shared state, and the check
- * of what arrives. Field names are those of the messages.
+ * Messages between boxes about their replicas of shared state, and the validation of received ones. Field names are those of
+ * the messages.
  */
 
 import {
@@ -16,45 +16,45 @@
     sharedKinds,
 } from "@chalkdale/decisions";
 
-/** How far one copy reaches. */
+/** How far one replica reaches. */
 export interface ReplicaProgress {
-    /** Revision of the last change that it holds. */
+    /** Revision of the last change that the replica holds. */
     readonly changed: number;
-    /** It is complete up to this revision. */
+    /** The replica is complete up to this revision. */
     readonly complete: number;
-    /** Milliseconds since the store confirmed that; a box that has just started may count its first list. */
+    /** Milliseconds since the store confirmed that. On a box that has just started, a first list, which may be stale, counts in part. */
     readonly age: number;
-    /** The same without that list. Told of the configuration and of roll-outs; earlier releases do not tell it. */
+    /** The same without that first list. Sent for the configuration and for roll-outs; earlier releases don't send it. */
     readonly provenAge?: number;
 }
 
-/** The copies of one box, by kind. Earlier releases, and boxes without roll-outs, tell only of the kinds that all copy. */
+/** The replicas of one box, by kind. Earlier releases, and boxes without roll-outs, send only the kinds that all boxes replicate. */
 export type StateDigest =
     & Readonly<Record<(typeof requiredKinds)[number], ReplicaProgress>>
     & Readonly<Partial<Record<SharedKind, ReplicaProgress>>>
     & {
-        /** The store turns the box away, or does not answer it; earlier releases do not tell it. */
+        /** The store rejects the box's calls or doesn't answer them; earlier releases don't send this. */
         readonly turnedAway?: boolean;
     };
 
-/** Changes of one kind, as a relay passes them on. */
+/** Changes of one kind that a relay sends to its region. */
 export interface StateUpdate<Kind extends SharedKind = SharedKind> {
     readonly kind: Kind;
-    /** The changes are all those after this revision and up to `complete`. */
+    /** `changes` has every change after this revision, up to `complete`. */
     readonly since: number;
     readonly complete: number;
     readonly changes: readonly ItemChange<SharedItems[Kind]>[];
 }
 
-/** True for a digest as boxes send it. */
+/** Returns true for a valid digest. */
 export function isStateDigest(value: unknown): value is StateDigest {
     const digest = value as Partial<StateDigest> | undefined;
-    return typeof digest === "object" && digest !== null && requiredKinds.every(kind => isCopyState(digest[kind]))
-        && sharedKinds.every(kind => digest[kind] === undefined || isCopyState(digest[kind]))
+    return typeof digest === "object" && digest !== null && requiredKinds.every(kind => isReplicaProgress(digest[kind]))
+        && sharedKinds.every(kind => digest[kind] === undefined || isReplicaProgress(digest[kind]))
         && (digest.turnedAway === undefined || typeof digest.turnedAway === "boolean");
 }
 
-/** True for an update as boxes send it. */
+/** Returns true for a valid update. */
 export function isStateUpdate(value: unknown): value is StateUpdate {
     const update = value as Partial<StateUpdate> | undefined;
     return typeof update === "object" && update !== null
@@ -63,7 +63,7 @@
         && Array.isArray(update.changes) && update.changes.every(change => isItemChange(update.kind!, change));
 }
 
-/** True for the changes that a copy lacks, as boxes send them. */
+/** Returns true for valid changes that a replica lacks, as a box answers a read. */
 export function isMissingChanges<Kind extends SharedKind>(
     kind: Kind,
     value: unknown,
@@ -74,7 +74,7 @@
         && Array.isArray(missing.changes) && missing.changes.every(change => isItemChange(kind, change));
 }
 
-/** True for an item of a kind as boxes send it: what the box reads of it is there and of its type. */
+/** Returns true for a valid item of a kind: every field that a box reads is present and has its type. */
 export function isSharedItem(kind: SharedKind, item: unknown): boolean {
     switch (kind) {
         case "configuration":
@@ -98,7 +98,7 @@
     access: "object",
 };
 
-/** Earlier releases tell neither the version nor the creation, nor when a server was born. */
+/** Earlier releases send neither `version` nor `createdAt` nor `bornAt`. */
 const serverTypes: Readonly<
     Record<Exclude<keyof BackendServerRecord, "version" | "createdAt" | "bornAt">, TypeName>
 > = {
@@ -127,7 +127,7 @@
     return state === undefined || state === "running" || state === "completed" || state === "rolledBack";
 }
 
-/** A copy without it, as earlier releases have, or with another kind would let anyone in. */
+/** A configuration without `access`, as earlier releases send it, or with an unknown kind would admit every caller. */
 function isCallerAccess(access: CallerAccess): boolean {
     return access.kind === "anyone" || access.kind === "customers" && Array.isArray(access.customers);
 }
@@ -140,18 +140,18 @@
     return Object.entries(types).every(([name, type]) => typeof fields[name] === type && fields[name] !== null);
 }
 
-/** The same for fields that may be missing, in a value that is known to be a table. */
+/** The same for optional fields of a value that is known to be an object. */
 function hasOptionalTypes(value: unknown, types: Readonly<Record<string, TypeName>>): boolean {
     const fields = value as Readonly<Record<string, unknown>>;
     return Object.entries(types).every(([name, type]) => fields[name] === undefined || typeof fields[name] === type);
 }
 
-function isCopyState(state: ReplicaProgress | undefined): boolean {
-    return typeof state === "object" && state !== null
-        && [state.changed, state.complete, state.age, state.provenAge ?? 0].every(Number.isFinite);
+function isReplicaProgress(progress: ReplicaProgress | undefined): boolean {
+    return typeof progress === "object" && progress !== null
+        && [progress.changed, progress.complete, progress.age, progress.provenAge ?? 0].every(Number.isFinite);
 }
 
-/** True for one change of a kind, as boxes send it. */
+/** Returns true for a valid change of an item of a kind. */
 export function isItemChange(kind: SharedKind, value: unknown): boolean {
     const change = value as Partial<ItemChange<unknown>> & { readonly item?: unknown; } | undefined;
     if (typeof change !== "object" || change === null || typeof change.name !== "string") {
--- a/packages/box/src/state/state-reader.ts
+++ b/packages/box/src/state/state-reader.ts
@@ -1,6 +1,5 @@
 /**
- * What is read of another box's copies: the one term of those that want it and
- * of those that fetch it.
+ * Reads of other boxes' replicas: the contract between the replicator, which needs them, and the peers' HTTP client, which makes them.
  *
  * Owns nothing.
  */
@@ -16,12 +15,15 @@
     readonly zone: AvailabilityZoneId;
 }
 
-/** A whole copy, or what the reader's own lacks. */
+/** A snapshot of the peer's replica, or only the changes that the reader's replica lacks. */
 export type StateReadResult<Kind extends SharedKind> =
     | { readonly kind: "snapshot"; readonly snapshot: Snapshot<SharedItems[Kind]>; }
     | { readonly kind: "missing"; readonly missing: MissingChanges<SharedItems[Kind]>; };
 
-/** Reads what another box has of a kind. Rejects when the box doesn't answer. */
+/**
+ * Reads what another box has of a kind after revision `since`, or all of it if `since` is undefined. Rejects if the box doesn't
+ * answer or its answer is invalid.
+ */
 export type StateReader = <Kind extends SharedKind>(
     peer: StatePeer,
     kind: Kind,
--- a/packages/box/src/state/state-store.ts
+++ b/packages/box/src/state/state-store.ts
@@ -1,5 +1,5 @@
 /**
- * The store that keeps what must last, as a box sees it.
+ * The durable store of shared state, as a box uses it.
  *
  * Owns nothing; `platform/` implements it.
  */
@@ -15,13 +15,16 @@
 } from "@chalkdale/decisions";
 import type { Milliseconds, ServiceId } from "@chalkdale/kernel";
 
-/** What a watch brought. */
+/** Result of a watch. */
 export type WatchOutcome<Item> =
     | { readonly kind: "changes"; readonly changes: readonly ItemChange<Item>[]; readonly revision: number; }
-    /** The store no longer knows the changes after the revision: the whole list must be read. */
+    /** The store no longer has the changes after the revision: the whole list must be read. */
     | { readonly kind: "historyLost"; };
 
-/** Whether a list may be some seconds old, which the store gives for a tenth of the price and outside its rate. */
+/**
+ * Consistency of a list. One that may be some seconds old costs a tenth of the price and doesn't count towards the store's rate
+ * limit.
+ */
 export type ListConsistency = "newest" | "mayBeOld";
 
 /** Reads, watches and writes of the store. Every call rejects with a `StoreError` when it fails. */
@@ -31,18 +34,22 @@
         age: ListConsistency,
         signal: AbortSignal,
     ) => Promise<Snapshot<SharedItems[Kind]>>;
-    /** Resolves as soon as there is a change after `since`, or when nothing changed for `wait` or the store's own time. */
+    /**
+     * Waits for changes after `since`. Resolves as soon as there is one; otherwise, without changes, after `wait` (by default the
+     * store's own limit).
+     */
     readonly watch: <Kind extends SharedKind>(
         kind: Kind,
         since: number,
         signal: AbortSignal,
         wait?: Milliseconds,
     ) => Promise<WatchOutcome<SharedItems[Kind]>>;
-    /** Records this box, in place of its record of an earlier life. */
+    /** Writes this box's record, replacing that of an earlier incarnation. */
     readonly registerBox: (record: MemberRecord, signal: AbortSignal) => Promise<void>;
     /**
-     * Writes the state of an order, if it has not changed since `order` was read. Returns it as the store has it then, whoever
-     * wrote it; undefined if it is gone. After an error the write may be done, or be done later while its condition holds.
+     * Writes the state of a roll-out order if the order hasn't changed since `order` was read. Returns the order as the store has it
+     * afterwards, whichever box wrote it; undefined if it no longer exists. After an error the write may have been applied, or may
+     * still be applied later if its condition holds then.
      */
     readonly writeRolloutState: (
         order: RolloutOrder,
@@ -51,13 +58,14 @@
     ) => Promise<RolloutOrder | undefined>;
     /** Returns the newest order of a service; undefined if there is none. */
     readonly readRollout: (service: ServiceId, signal: AbortSignal) => Promise<RolloutOrder | undefined>;
+    /** Returns the records of all registered boxes. */
     readonly listBoxes: (age: ListConsistency, signal: AbortSignal) => Promise<readonly MemberRecord[]>;
 }
 
-/** Why a call of the store failed. */
+/** Why a call of the store failed: no connection, no answer in time, an error answer, or an answer that can't be used. */
 export type StoreFailure = "unreachable" | "silent" | "refused" | "unreadable";
 
-/** A failed call of the store. */
+/** Thrown when a call of the store fails. */
 export class StoreError extends Error {
     constructor(readonly failure: StoreFailure, detail: string) {
         super(`store ${failure}: ${detail}`);
--- a/packages/box/src/state/store-follower.ts
+++ b/packages/box/src/state/store-follower.ts
@@ -1,14 +1,13 @@
 /**
- * Follows the store, kind by kind, while that is this box's part: reads a list
- * that may be old at the start, then waits for one batch of changes after the
- * other. While the store does not answer, only the kind that found out goes on
- * to call it.
+ * Follows the store, kind by kind, while the relay role asks this box to: first reads a list, which may be stale, then watches
+ * for one batch of changes after another. While the store doesn't answer, only the kind whose call failed keeps calling it.
  *
- * A watch that is not answered says nothing of the store: its connection may have fallen silent. Once the copy is older than it
- * can be while somebody hears of the store, the watch is given up and the store asked anew on another connection.
+ * A watch that isn't answered doesn't show that nothing changed: its connection may have stopped working without being closed.
+ * Once the replica is older than it can be while some box gets answers from the store, the watch is aborted and repeated on
+ * another connection.
  *
- * Owns the calls of the store and whether it answers; relies on the relay role
- * for when to call, and on the copies to refuse what is older.
+ * Owns the calls of the store and the state of its availability; relies on the relay role for when to call, and on the replicas
+ * to reject what is older than they are.
  */
 
 import {
@@ -34,11 +33,12 @@
 import { type ListConsistency, type StateStore, StoreError } from "./state-store.js";
 import { createWatchTimeouts } from "./watch-timeouts.js";
 
-/** Wait in milliseconds of the first watch after a list that may be old: it comes back at once with what has changed since. */
-const noWait = milliseconds(1);
-/** Milliseconds between two looks whether the store answers another kind's calls again. */
-const lostPollInterval = milliseconds(150);
+/** Wait in milliseconds of an urgent watch, as of the first one after a list that may be stale: it returns the changes since then at once. */
+const urgentWait = milliseconds(1);
+/** Interval in milliseconds at which a kind checks whether the store answers another kind's calls again. */
+const unavailablePollInterval = milliseconds(150);
 
+/** What the store follower depends on. */
 export interface StoreFollowerOptions {
     readonly clock: Clock;
     readonly random: () => number;
@@ -47,33 +47,35 @@
     readonly statuses: Readonly<Record<SharedKind, ReplicaStatus>>;
     readonly store: StateStore;
     readonly relayRole: RelayRole;
+    /** Boxes that the store doesn't serve, as far as this box knows. */
     readonly turnedAway: UnservedBoxes;
-    /** Kinds that the box copies. */
+    /** Kinds that the box replicates. */
     readonly kinds: readonly SharedKind[];
-    /** Passes changes on to the boxes of the region. */
+    /** Relays changes to the boxes of the region. */
     readonly publish: (update: StateUpdate) => void;
-    /** Tells the boxes of the region how far the copies reach, and whether this box is turned away. */
+    /** Sends this box's digest, which also says whether the store serves it, to the boxes of its region at once. */
     readonly sendDigestToRegion: () => void;
     readonly signal: AbortSignal;
 }
 
-/** The follower of one box. */
+/** The store follower of one box. */
 export interface StoreFollower {
     /** Milliseconds since the store stopped answering; 0 while it answers. */
     readonly storeUnavailableFor: () => number;
+    /** True while the store doesn't answer this box. */
     readonly isStoreUnavailable: () => boolean;
-    /** Looks anew whether this box has to follow the store: a box of the region was turned away, or no longer is. */
+    /** Checks at once whether this box has to follow the store: the store has stopped or resumed serving a box of the region. */
     readonly wake: () => void;
 }
 
-/** Starts a loop for each kind; they end when the signal aborts. */
+/** Starts a loop for each kind; the loops end when the signal aborts. */
 export function startStoreFollower(options: StoreFollowerOptions): StoreFollower {
-    const { clock, log, relayRole, signal, state, statuses, store, turnedAway } = options;
-    let storeLostAt: Milliseconds | undefined;
-    let lostBy: SharedKind | undefined;
-    /** Kinds whose copy a watch has confirmed since the list that may have been old. */
-    const isConfirmed = new Set<SharedKind>();
-    const patience = createWatchTimeouts({
+    const { clock, log, relayRole, signal, state, statuses, store, turnedAway: unservedBoxes } = options;
+    let unavailableSince: Milliseconds | undefined;
+    let lastFailedKind: SharedKind | undefined;
+    /** Kinds whose replica a watch has confirmed since the list that may have been stale. */
+    const confirmedKinds = new Set<SharedKind>();
+    const watchTimeouts = createWatchTimeouts({
         ageOf,
         reconnectAfterAge: relayRole.reconnectAfterAge,
         onTimeout: logOverdue,
@@ -86,8 +88,8 @@
     }
 
     return {
-        storeUnavailableFor: () => storeLostAt === undefined ? 0 : Math.round(clock() - storeLostAt),
-        isStoreUnavailable: () => storeLostAt !== undefined,
+        storeUnavailableFor: () => unavailableSince === undefined ? 0 : Math.round(clock() - unavailableSince),
+        isStoreUnavailable: () => unavailableSince !== undefined,
         wake,
     };
 
@@ -95,13 +97,13 @@
         let backoff = initialBackoff;
         let isListNeeded = state.replica(kind).revision() === undefined;
         while (!signal.aborted) {
-            const wait = notDueFor(kind);
+            const wait = timeUntilDue(kind);
             if (wait > 0) {
                 await sleepUntilWoken(wait);
                 continue;
             }
-            if (isLeftToAnother(kind)) {
-                await sleep(lostPollInterval, signal);
+            if (isAnotherKindCalling(kind)) {
+                await sleep(unavailablePollInterval, signal);
                 continue;
             }
             try {
@@ -113,8 +115,8 @@
                 if (signal.aborted) {
                     return;
                 }
-                isListNeeded = onFailed(kind, error, isListNeeded);
-                isConfirmed.delete(kind);
+                isListNeeded = onCallFailed(kind, error, isListNeeded);
+                confirmedKinds.delete(kind);
                 await sleep(jitteredBackoff(backoff, options.random()), signal);
                 backoff = nextBackoff(backoff, relayRole.alwaysFollowsStore());
             }
@@ -122,10 +124,10 @@
     }
 
     /**
-     * Returns whether the list is asked next. A store whose answer makes no sense is not lost for the other kinds; its list is
-     * asked for in place of a watch and the other way round, since what can't be read may stand in one of them only.
+     * Returns whether the list is needed next. An unreadable answer doesn't make the store unavailable to the other kinds; after
+     * one, the list is read instead of a watch and vice versa, since the unreadable part may be in only one of them.
      */
-    function onFailed(kind: SharedKind, error: unknown, wasListNeeded: boolean): boolean {
+    function onCallFailed(kind: SharedKind, error: unknown, wasListNeeded: boolean): boolean {
         if (error instanceof StoreError && error.failure === "unreadable") {
             log.warn("store.unreadable", { kind, reason: error.message });
             return !wasListNeeded || state.replica(kind).revision() === undefined;
@@ -145,55 +147,73 @@
         sleepers.forEach(sleeper => sleeper.abort());
     }
 
-    /** Milliseconds until this box has to follow the store itself for a kind. */
-    function notDueFor(kind: SharedKind): number {
+    /** Returns the milliseconds until this box has to follow the store itself for a kind; 0 or less if it has to now. */
+    function timeUntilDue(kind: SharedKind): number {
         return relayRole.alwaysFollowsStore() ? 0 : relayRole.followStoreAfterAge(kind) - ageOf(kind);
     }
 
     /**
-     * True while the store does not answer and the kind that found out goes on to call it. That one calls no more once its copy
-     * is confirmed by others; then the next kind that is due does.
+     * Returns true while the store doesn't answer and the kind whose call failed keeps calling it. That kind stops once other boxes
+     * confirm its replica; the next kind that is due then takes over.
      */
-    function isLeftToAnother(kind: SharedKind): boolean {
-        if (storeLostAt === undefined || lostBy === undefined || state.replica(kind).revision() === undefined) {
+    function isAnotherKindCalling(kind: SharedKind): boolean {
+        if (
+            unavailableSince === undefined || lastFailedKind === undefined
+            || state.replica(kind).revision() === undefined
+        ) {
             return false;
         }
-        return lostBy !== kind && notDueFor(lostBy) <= 0;
+        return lastFailedKind !== kind && timeUntilDue(lastFailedKind) <= 0;
     }
 
-    /** Reads the whole list; false, as no other is needed after it. The first one may be old: changes since come by a watch, or from others. */
+    /**
+     * Reads the whole list; returns false, as no further list is needed. The first one may be stale: later changes come by a watch
+     * or from other boxes.
+     */
     async function readList(kind: SharedKind): Promise<boolean> {
-        const askedAt = clock();
-        const known = state.replica(kind).revision();
-        const isFirst = known === undefined;
-        const listed = isFirst ? await readFirst(kind) : await listNow(kind, "newest");
-        if (listed.revision < (known ?? 0)) {
-            throw new StoreError("unreadable", `list of ${kind} goes back to ${describePosition(listed.revision)}`);
+        const requestedAt = clock();
+        const knownRevision = state.replica(kind).revision();
+        const isFirst = knownRevision === undefined;
+        const listed = isFirst ? await readFirst(kind) : await listWithOverdueCheck(kind, "newest");
+        if (listed.revision < (knownRevision ?? 0)) {
+            throw new StoreError(
+                "unreadable",
+                `list of ${kind} is older than the replica, at revision ${describePosition(listed.revision)}`,
+            );
         }
         state.replica(kind).applySnapshot(listed);
         if (!isFirst) {
-            statuses[kind].confirmedAt = askedAt;
-            statuses[kind].provenAt = askedAt;
+            statuses[kind].confirmedAt = requestedAt;
+            statuses[kind].provenAt = requestedAt;
             options.sendDigestToRegion();
             return false;
         }
-        const dueAt = askedAt + relayRole.settleTime;
-        statuses[kind].confirmedAt = Math.max(statuses[kind].confirmedAt, dueAt - relayRole.followStoreAfterAge(kind));
-        isConfirmed.delete(kind);
+        const followFrom = requestedAt + relayRole.settleTime;
+        statuses[kind].confirmedAt = Math.max(
+            statuses[kind].confirmedAt,
+            followFrom - relayRole.followStoreAfterAge(kind),
+        );
+        confirmedKinds.delete(kind);
         return false;
     }
 
-    /** A list that may be old may hold what a store has lost that came back older: of such a store only the newest one counts. */
+    /**
+     * A stale list of a store that was restored from an older copy may have entries that the store has lost, so once its epoch is
+     * above 0 the newest list is read.
+     */
     async function readFirst<Kind extends SharedKind>(kind: Kind): Promise<Snapshot<SharedItems[Kind]>> {
-        const listed = await listNow(kind, "mayBeOld");
-        return epochOf(listed.revision) === 0 ? listed : listNow(kind, "newest");
+        const listed = await listWithOverdueCheck(kind, "mayBeOld");
+        return epochOf(listed.revision) === 0 ? listed : listWithOverdueCheck(kind, "newest");
     }
 
-    function listNow<Kind extends SharedKind>(kind: Kind, age: ListConsistency): Promise<Snapshot<SharedItems[Kind]>> {
-        return timed(kind, store.list(kind, age, signal), listOverdueAfter);
+    function listWithOverdueCheck<Kind extends SharedKind>(
+        kind: Kind,
+        age: ListConsistency,
+    ): Promise<Snapshot<SharedItems[Kind]>> {
+        return withOverdueCheck(kind, store.list(kind, age, signal), listOverdueAfter);
     }
 
-    /** Waits for one batch of changes; false if the whole list must be read. */
+    /** Waits for one batch of changes; returns false if the whole list must be read. */
     async function watchOnce<Kind extends SharedKind>(kind: Kind): Promise<boolean> {
         const since = state.replica(kind).revision();
         if (since === undefined) {
@@ -201,20 +221,20 @@
         }
         const controller = new AbortController();
         statuses[kind].watch = controller;
-        const isUrgent = isProofUrgent(kind);
-        const stopChecking = patience.limit(kind, controller, isUrgent);
+        const isUrgent = isConfirmationUrgent(kind);
+        const cancelTimeout = watchTimeouts.limit(kind, controller, isUrgent);
         try {
             return await applyWatch(kind, since, isUrgent, AbortSignal.any([signal, controller.signal]));
         }
         catch (error) {
-            // A snapshot of another box came meanwhile, so the watch goes on from there; or it was given up.
+            // Either another box's snapshot was applied and the next watch starts from its revision, or the watch timed out.
             if (controller.signal.aborted) {
                 return true;
             }
             throw error;
         }
         finally {
-            stopChecking();
+            cancelTimeout();
             statuses[kind].watch = undefined;
         }
     }
@@ -226,57 +246,63 @@
         watchSignal: AbortSignal,
     ): Promise<boolean> {
         const replica = state.replica(kind);
-        const wait = isUrgent ? noWait : relayRole.watchWait(kind);
-        const outcome = await timed(
+        const wait = isUrgent ? urgentWait : relayRole.watchWait(kind);
+        const outcome = await withOverdueCheck(
             kind,
             store.watch(kind, since, watchSignal, wait),
             (wait ?? Infinity) + watchOverdueAfter,
         );
-        isConfirmed.add(kind);
-        patience.onAnswered(kind);
+        confirmedKinds.add(kind);
+        watchTimeouts.onAnswered(kind);
         if (outcome.kind === "historyLost") {
             log.info("store.historyLost", { kind, since: describePosition(since) });
             return false;
         }
-        const changedBefore = replica.lastChangeRevision();
+        const lastChangeBefore = replica.lastChangeRevision();
         replica.applyChanges(since, outcome.changes, outcome.revision);
         statuses[kind].confirmedAt = clock();
         statuses[kind].provenAt = clock();
         onStoreAnswered();
-        const isNews = outcome.changes.length > 0;
-        if (isNews) {
-            publish({ kind, since: changedBefore, complete: outcome.revision, changes: outcome.changes });
+        const hasChanges = outcome.changes.length > 0;
+        if (hasChanges) {
+            publish({ kind, since: lastChangeBefore, complete: outcome.revision, changes: outcome.changes });
         }
-        if (isAwaitedByRegion(isUrgent, isNews)) {
+        if (isDigestNeeded(isUrgent, hasChanges)) {
             options.sendDigestToRegion();
         }
-        if (isNews) {
+        if (hasChanges) {
             await sleep(watchPauseAfterChange[kind], signal);
         }
         return true;
     }
 
-    /** True if the boxes of the region wait to hear what the store has just told this one. What is published tells them too. */
-    function isAwaitedByRegion(isUrgent: boolean, isNews: boolean): boolean {
+    /** Returns true if other boxes of the region rely on what the store has just confirmed. An update that is published says so too. */
+    function isDigestNeeded(isUrgent: boolean, hasChanges: boolean): boolean {
         return relayRole.hasRelay()
-            ? !isNews && relayRole.isAnyUnserved()
+            ? !hasChanges && relayRole.isAnyUnserved()
             : isUrgent || relayRole.confirmsForRegion();
     }
 
-    /** True for a first watch, and for one that somebody waits for since the copies are overdue. */
-    function isProofUrgent(kind: SharedKind): boolean {
+    /** Returns true for the first watch after a list, and once the replica is older than it should be. */
+    function isConfirmationUrgent(kind: SharedKind): boolean {
         const age = ageOf(kind);
-        return !isConfirmed.has(kind) || relayRole.isStale(kind, age) || age >= relayRole.reconnectAfterAge(kind);
+        return !confirmedKinds.has(kind) || relayRole.isStale(kind, age) || age >= relayRole.reconnectAfterAge(kind);
     }
 
-    /** Time since the store confirmed the copy, to this box or through another. */
+    /** Returns the milliseconds since the store confirmed the replica, to this box or to another one. */
     function ageOf(kind: SharedKind): number {
         return clock() - statuses[kind].confirmedAt;
     }
 
-    /** Takes this box as turned away once a call is overdue, without an end of the call. */
-    async function timed<Answer>(kind: SharedKind, call: Promise<Answer>, after: number): Promise<Answer> {
-        const timer = Number.isFinite(after) ? setTimeout(() => onOverdue(kind, after), after) : undefined;
+    /** Marks this box as unserved once a call is overdue; the call itself goes on. */
+    async function withOverdueCheck<Answer>(
+        kind: SharedKind,
+        call: Promise<Answer>,
+        overdueAfter: number,
+    ): Promise<Answer> {
+        const timer = Number.isFinite(overdueAfter)
+            ? setTimeout(() => onOverdue(kind, overdueAfter), overdueAfter)
+            : undefined;
         try {
             return await call;
         }
@@ -291,40 +317,40 @@
         }
     }
 
-    function onOverdue(kind: SharedKind, after: number): void {
-        logOverdue(kind, after);
-        onTurnedAway();
+    function onOverdue(kind: SharedKind, overdueAfter: number): void {
+        logOverdue(kind, overdueAfter);
+        markUnserved();
     }
 
-    function logOverdue(kind: SharedKind, after: number): void {
+    function logOverdue(kind: SharedKind, overdueAfter: number): void {
         const revision = state.replica(kind).revision();
         log.info("store.overdue", {
             kind,
-            after: Math.round(after),
+            after: Math.round(overdueAfter),
             revision: revision === undefined ? undefined : describePosition(revision),
         });
     }
 
-    /** The first of a region tell the others at once, so that the next ones call. */
-    function onTurnedAway(): void {
-        if (turnedAway.onUnserved(clock()) && relayRole.shouldBroadcastUnserved()) {
+    /** The first few unserved boxes of a region send a digest at once, so that the boxes that rank next call the store. */
+    function markUnserved(): void {
+        if (unservedBoxes.onUnserved(clock()) && relayRole.shouldBroadcastUnserved()) {
             options.sendDigestToRegion();
         }
     }
 
     function onStoreAnswered(): void {
-        turnedAway.onServed();
-        if (storeLostAt !== undefined) {
-            log.info("store.regained", { after: Math.round(clock() - storeLostAt) });
-            storeLostAt = undefined;
+        unservedBoxes.onServed();
+        if (unavailableSince !== undefined) {
+            log.info("store.regained", { after: Math.round(clock() - unavailableSince) });
+            unavailableSince = undefined;
         }
     }
 
     function onStoreFailed(kind: SharedKind, error: unknown): void {
-        lostBy = kind;
-        onTurnedAway();
-        if (storeLostAt === undefined) {
-            storeLostAt = clock();
+        lastFailedKind = kind;
+        markUnserved();
+        if (unavailableSince === undefined) {
+            unavailableSince = clock();
             const failure = error instanceof StoreError ? error.failure : "unreachable";
             log.warn("store.lost", { kind, failure, reason: String(error) });
         }
--- a/packages/box/src/state/watch-timeouts.ts
+++ b/packages/box/src/state/watch-timeouts.ts
@@ -1,68 +1,69 @@
 /**
- * How long a watch of the store may go without an answer: one that somebody waits for is given
- * up soon, another one once nobody has confirmed the copy in time.
+ * Timeouts of watches of the store. A watch that other boxes wait for times out early; any other one times out once nobody
+ * has confirmed the replica in time. The connection of an unanswered watch may no longer work.
  *
- * Owns how many urgent watches in a row were given up, by kind; relies on the age of
- * the copy, and on the owner of the watch to ask anew.
+ * Owns the number of consecutive urgent watches that timed out, by kind; relies on the age of the replica, and on the owner
+ * of the watch to start another one.
  */
 
 import { type SharedKind, watchOverdueAfter } from "@chalkdale/decisions";
 
 /**
- * Milliseconds after which urgent watches in a row are given up for another connection; later ones have the call's own time, for
- * a store that is slow. A second silence then costs a change 0.3 s more, and not the 1.5 s of a call.
+ * Timeouts in milliseconds of consecutive urgent watches; after each, the next watch takes another connection. Later ones have only
+ * the timeout of the call itself, as the store may just be slow. A second connection that stops working thus delays a change by
+ * 0.3 s more instead of by the 1.5 s of a call.
  */
-const urgentLimits: readonly number[] = [watchOverdueAfter, 2 * watchOverdueAfter];
+const urgentTimeouts: readonly number[] = [watchOverdueAfter, 2 * watchOverdueAfter];
 
+/** What the timeouts depend on. */
 export interface WatchTimeoutsOptions {
-    /** Time since the store confirmed the copy, to this box or through another. */
+    /** Milliseconds since the store confirmed the replica, to this box or to another one. */
     readonly ageOf: (kind: SharedKind) => number;
-    /** Age of the copy from which a watch is given up. */
+    /** Age of the replica, in milliseconds, at which a watch that isn't urgent times out. */
     readonly reconnectAfterAge: (kind: SharedKind) => number;
-    /** A watch is given up, since the copy is as old as that. */
+    /** Called when a watch that isn't urgent times out, with the age of the replica. */
     readonly onTimeout: (kind: SharedKind, age: number) => void;
 }
 
-/** The patience of one box. */
+/** The timeouts of one box's watches. */
 export interface WatchTimeouts {
-    /** Aborts a watch once its time is over; returns the function that keeps it. */
+    /** Starts the timeout of a watch, which aborts the controller; returns the function that cancels the timeout. */
     readonly limit: (kind: SharedKind, controller: AbortController, isUrgent: boolean) => () => void;
-    /** The store has answered a watch of the kind. */
+    /** To be called when the store has answered a watch of the kind. */
     readonly onAnswered: (kind: SharedKind) => void;
 }
 
-/** Creates it; no watch was given up. */
+/** Creates the timeouts of one box, without timed-out watches. */
 export function createWatchTimeouts(options: WatchTimeoutsOptions): WatchTimeouts {
-    const givenUp = new Map<SharedKind, number>();
+    const timedOutCounts = new Map<SharedKind, number>();
 
     return {
-        limit: (kind, controller, isUrgent) =>
-            isUrgent ? limitUrgent(kind, controller) : limitUnconfirmed(kind, controller),
-        onAnswered: kind => givenUp.delete(kind),
+        limit: (kind, controller, isUrgent) => isUrgent ? startUrgent(kind, controller) : startByAge(kind, controller),
+        onAnswered: kind => timedOutCounts.delete(kind),
     };
 
-    function limitUrgent(kind: SharedKind, controller: AbortController): () => void {
-        const before = givenUp.get(kind) ?? 0;
-        if (before >= urgentLimits.length) {
+    function startUrgent(kind: SharedKind, controller: AbortController): () => void {
+        const timedOutBefore = timedOutCounts.get(kind) ?? 0;
+        if (timedOutBefore >= urgentTimeouts.length) {
             return () => undefined;
         }
         const timer = setTimeout(() => {
-            givenUp.set(kind, before + 1);
+            timedOutCounts.set(kind, timedOutBefore + 1);
             controller.abort();
-        }, urgentLimits[before]);
+        }, urgentTimeouts[timedOutBefore]);
         return () => clearTimeout(timer);
     }
 
-    /** Unless others confirm the copy before. */
-    function limitUnconfirmed(kind: SharedKind, controller: AbortController): () => void {
+    /** The timeout starts anew whenever the replica is confirmed, also to another box. */
+    function startByAge(kind: SharedKind, controller: AbortController): () => void {
         let timer: NodeJS.Timeout;
         check();
         return () => clearTimeout(timer);
 
         function check(): void {
-            const left = options.reconnectAfterAge(kind) - options.ageOf(kind);
-            if (left > 0) {
-                timer = setTimeout(check, left);
+            const remaining = options.reconnectAfterAge(kind) - options.ageOf(kind);
+            if (remaining > 0) {
+                timer = setTimeout(check, remaining);
                 return;
             }
             options.onTimeout(kind, options.ageOf(kind));
