--- a/packages/box/src/peers/outlier-gossip.ts
+++ b/packages/box/src/peers/outlier-gossip.ts
@@ -1,55 +1,58 @@
 /**
- * Reports about servers as boxes send them: what the own answers show, and what
- * others said, with the age in place of a time since clocks differ.
+ * Reports about outlier servers as boxes send them: those from this box's own results and those of other boxes, with an age
+ * instead of a time, since the boxes' clocks differ.
  *
- * Owns nothing; relies on the catalog for the own view and on the shared
- * evidence for the others'.
+ * Owns nothing; relies on the catalog for this box's results and on the outlier reports for those of other boxes.
  */
 
 import type { OutlierReport, OutlierReports, ServerCatalog } from "@chalkdale/decisions";
 import { backendServerId, type BoxId, boxId, type Clock, milliseconds } from "@chalkdale/kernel";
 
-/** One report in a datagram, short since there may be many: server, box that saw it, severity, age in milliseconds. */
+/** One report in a datagram, kept short as there may be many. `origin` is the box that observed it; `age` is in milliseconds. */
 export type OutlierReportMessage = readonly [server: string, origin: string, severity: number, age: number];
 
-/** Reports of one box. */
+/** Sends and receives the outlier reports of one box. */
 export interface OutlierGossip {
-    /** What this box says of servers now, the worst first; empty while none does badly. */
+    /** The reports to send now, highest severity first; empty while no server is an outlier. */
     readonly current: () => readonly OutlierReportMessage[];
-    /** Takes what another box of the region said. */
+    /** Takes the reports of another box of the region. */
     readonly onReports: (reports: readonly OutlierReportMessage[]) => void;
 }
 
 /**
- * Reports in one datagram at most: some 60 bytes each, so that with the heartbeats they stay far below its 8 KB however many
- * servers fail; a datagram that is too large would lose the heartbeats too.
+ * Maximum number of reports in one datagram, about 60 bytes each. However many servers fail, reports and heartbeats together stay
+ * far below the 8 KB limit; a larger datagram is rejected, and its heartbeats are lost too.
  */
-const mostReports = 30;
+const maxReports = 30;
 
+/** What the gossip of outlier reports depends on. */
 export interface OutlierGossipOptions {
     readonly clock: Clock;
     readonly self: BoxId;
     readonly catalog: ServerCatalog;
+    /** Reports of the other boxes. */
     readonly evidence: OutlierReports;
 }
 
-/** Creates the reports of one box. */
+/** Creates the gossip of one box's outlier reports. */
 export function createOutlierGossip(options: OutlierGossipOptions): OutlierGossip {
-    const { catalog, clock, evidence, self } = options;
+    const { catalog, clock, evidence: otherReports, self } = options;
 
     return {
         current() {
             const now = clock();
-            return [...ownReports(), ...evidence.reports(now)]
+            return [...ownReports(), ...otherReports.reports(now)]
                 .sort((a, b) => b.severity - a.severity)
-                .slice(0, mostReports)
-                .map(({ at, origin, server, severity }) => [server, origin, round(severity), Math.round(now - at)]);
+                .slice(0, maxReports)
+                .map((
+                    { at, origin, server, severity },
+                ) => [server, origin, roundSeverity(severity), Math.round(now - at)]);
         },
         onReports(reports) {
             const now = clock();
             for (const [server, origin, severity, age] of reports) {
                 const at = milliseconds(now - Math.max(0, age));
-                evidence.onReport({ server: backendServerId(server), origin: boxId(origin), severity, at }, now);
+                otherReports.onReport({ server: backendServerId(server), origin: boxId(origin), severity, at }, now);
             }
         },
     };
@@ -62,13 +65,13 @@
     }
 }
 
-/** True for a report as boxes send it. */
+/** Returns true for a valid report. */
 export function isOutlierReportMessage(value: unknown): value is OutlierReportMessage {
     return Array.isArray(value) && typeof value[0] === "string" && typeof value[1] === "string"
         && Number.isFinite(value[2]) && Number.isFinite(value[3]);
 }
 
-/** Two digits after the point are enough, and short. */
-function round(severity: number): number {
+/** Two decimal places are precise enough, and keep the datagram short. */
+function roundSeverity(severity: number): number {
     return Math.round(severity * 100) / 100;
 }
--- a/packages/box/src/peers/peer-link.ts
+++ b/packages/box/src/peers/peer-link.ts
@@ -1,14 +1,12 @@
 /**
  * Gossip between boxes by datagrams.
  *
- * Every round a box asks one box of its region, and at times one of another, for
- * a sign of life, and tells it the news of members and how far its own copies
- * reach; one of its region also hears which servers do badly. The answer has the
- * same parts. A box that follows the store tells its whole region how far its
- * copies reach.
+ * In every round a box probes one box of its region, and at times one of another region. The probe carries updates about
+ * members and the digest of the sender's replicas; within the region also reports about outlier servers. The answer has the
+ * same content except for these reports. A box that follows the store also sends its digest to its whole region.
  *
- * Owns the socket and the listener for reads; relies on the membership for who
- * there is. What arrives is taken by `peer-receiver`.
+ * Owns the socket and the listener for reads; relies on the membership for which boxes there are. Received datagrams are
+ * handled by `peer-receiver`.
  */
 
 import {
@@ -38,13 +36,14 @@
 import { createPeerReceiver } from "./peer-receiver.js";
 
 /**
- * Members in one datagram at most, of some 65 bytes each: three fragments of a local network while half of a fleet is lost, few
- * members at other times.
+ * Maximum number of members in one datagram, about 65 bytes each: three fragments of a local network while half of a fleet is
+ * failing; usually there are few members to report.
  */
-const mostBeats = 40;
-/** Boxes that hear at once from a box that others suspect. */
+const maxHeartbeats = 40;
+/** Number of boxes to which a suspected box sends a message at once to refute the suspicion. */
 const refutationTargets = 4;
 
+/** What the link depends on, and the handlers of received messages. */
 export interface PeerLinkOptions {
     readonly clock: Clock;
     readonly random: () => number;
@@ -55,64 +54,66 @@
     readonly digest: () => StateDigest;
     readonly onDigest: (peer: StatePeer, digest: StateDigest) => void;
     readonly onUpdate: (update: StateUpdate) => void;
-    /** True for a box that callers are named. */
+    /** True for a box whose address look-ups return to callers. */
     readonly isAdvertised: (box: BoxId) => boolean;
-    /** True while the boxes of the region depend on what this one says of its copies. */
+    /** True while this box follows the store: the boxes of the region then rely on its digests. */
     readonly isFollowingStore: () => boolean;
-    /** Rounds between two messages that say so to the whole region. */
+    /** Rounds of gossip between two digests to the whole region, while this box follows the store. */
     readonly roundsBetweenDigests: number;
-    /** What this box and others of its region say of servers that do badly. */
+    /** Outlier reports of this box and of others of its region. */
     readonly serverReports: OutlierGossip;
+    /** Snapshot of this box's replica of a kind; undefined before the first. */
     readonly snapshot: (kind: SharedKind) => Snapshot<unknown> | undefined;
+    /** The changes after a revision; undefined if the replica no longer keeps all of them. */
     readonly changesSince: (kind: SharedKind, since: number) => MissingChanges<unknown> | undefined;
-    /** Reads all members that another box knows. */
+    /** Reads all members that another box knows of. */
     readonly readMembers: (peer: StatePeer) => Promise<readonly MemberStatus[]>;
     readonly countTraffic: (purpose: TrafficPurpose, place: TrafficLocality, bytes: number) => void;
-    /** Another box told of requests that end servers. */
+    /** Another box reported poison requests. */
     readonly onPoisonRequestReports: (reports: readonly PoisonRequestReport[]) => void;
-    /** Such requests that all boxes have to know; undefined while there are none. */
+    /** Poison requests that gossip sends to all boxes; undefined if there are none. */
     readonly poisonRequestReports: () => readonly PoisonRequestReport[] | undefined;
-    /** Another box told of limits that servers name. */
+    /** Another box reported rate limits that servers announce. */
     readonly onLimits: (reports: readonly LimitReport[]) => void;
-    /** Limits that all boxes have to know; undefined while there are none. */
+    /** Server rate limits that gossip sends to all boxes; undefined if there are none. */
     readonly limits: () => readonly LimitReport[] | undefined;
-    /** Another box told of customers' quotas. */
+    /** Another box sent a message about customers' quotas. */
     readonly onQuota: (from: MemberRecord, message: QuotaMessage) => void;
-    /** Another box told of roll-outs. */
+    /** Another box sent a message about roll-outs. */
     readonly onRollout: (from: MemberRecord, message: RolloutMessage) => void;
-    /** Decisions on roll-outs that gossip repeats now. */
+    /** Decisions on roll-outs that gossip repeats; undefined if there are none. */
     readonly rolloutUpdate: () => RolloutMessage | undefined;
     readonly signal: AbortSignal;
 }
 
-/** Where a datagram goes; the place of a seed is not known, and the few datagrams to seeds are not counted. */
+/** Destination of a datagram. The locality of a seed address isn't known, so the few datagrams to seeds aren't counted as traffic. */
 type PeerTarget = Pick<MemberRecord, "peerAddress"> & Partial<TrafficLocality>;
 
-/** The link of one box to the others. */
+/** The link of one box to the other boxes. */
 export interface PeerLink {
-    /** Sends what this box knows of all boxes to the one at an address. */
+    /** Sends updates about members, and the rest of a gossip message, to the box at an address. */
     readonly sendGossip: (peer: PeerTarget) => void;
-    /** The same to all known boxes at once, for instance that this one is leaving. */
+    /** Sends the same to all known boxes at once, for instance when this box is leaving. */
     readonly gossipToAll: () => void;
-    /** Passes changes on to the boxes of the region; they are told of those that are too large for a datagram, and read them. */
+    /** Relays changes to the boxes of the region. If they don't fit into a datagram, sends a digest; the boxes then read the changes. */
     readonly publish: (update: StateUpdate) => void;
-    /** Tells the boxes of the region how far the copies reach, at once. */
+    /** Sends this box's digest to the boxes of its region at once. */
     readonly sendDigestToRegion: () => void;
-    /** Sends what is known of requests that end servers. */
+    /** Sends reports of poison requests to a box. */
     readonly sendPoisonRequestReports: (box: MemberRecord, reports: readonly PoisonRequestReport[]) => void;
-    /** Sends limits that servers name. */
+    /** Sends rate limits that servers announce to a box. */
     readonly sendLimits: (box: MemberRecord, limits: readonly LimitReport[]) => void;
-    /** Sends a part about customers' quotas. */
+    /** Sends a message about customers' quotas to a box. */
     readonly sendQuota: (box: MemberRecord, message: QuotaMessage) => void;
-    /** Sends a part about roll-outs. */
+    /** Sends a message about roll-outs to a box. */
     readonly sendRollout: (box: MemberRecord, message: RolloutMessage) => void;
 }
 
-/** Listens and gossips until the signal aborts. */
+/** Starts the link: it listens and gossips until the signal aborts. */
 export function startPeerLink(options: PeerLinkOptions): PeerLink {
     const { clock, log, membership, random, signal } = options;
     const probing = createProbing({ membership, random, isAdvertised: options.isAdvertised });
-    let roundsSinceTold = 0;
+    let roundsSinceDigest = 0;
     const socket = createSocket("udp4");
     socket.on("error", error => log.warn("peer.socketFailed", { reason: error.message }));
     socket.on(
@@ -143,9 +144,9 @@
         sendGossip: peer => sendGossip(peer),
         gossipToAll,
         publish,
-        sendDigestToRegion: tellRegion,
-        sendPoisonRequestReports: (box, deadly) =>
-            send("deadly", JSON.stringify({ ...createMessage([]), deadly }), box),
+        sendDigestToRegion,
+        sendPoisonRequestReports: (box, poisonRequestReports) =>
+            send("deadly", JSON.stringify({ ...createMessage([]), deadly: poisonRequestReports }), box),
         sendLimits: (box, limits) => send("limits", JSON.stringify({ ...createMessage([]), limits }), box),
         sendQuota: (box, quota) => send("quota", JSON.stringify({ ...createMessage([]), quota }), box),
         sendRollout: (box, rollout) =>
@@ -160,20 +161,20 @@
         }
         if (membership.consumeOwnSuspicion()) {
             log.info("peer.suspected", { box: membership.ownRecord().box });
-            someMembers(refutationTargets).forEach(member => sendGossip(member));
+            pickRandomMembers(refutationTargets).forEach(member => sendGossip(member));
         }
-        roundsSinceTold += 1;
-        if (options.isFollowingStore() && roundsSinceTold >= options.roundsBetweenDigests) {
-            tellRegion();
+        roundsSinceDigest += 1;
+        if (options.isFollowingStore() && roundsSinceDigest >= options.roundsBetweenDigests) {
+            sendDigestToRegion();
         }
     }
 
     /**
-     * The boxes of the region learn of the copies at once, and again after as many rounds. Left to the next round, a whole
-     * configuration, too large for a datagram, reached them up to 600 ms later, or by chance if this box follows no more.
+     * Sends the digest at once and restarts the count of rounds to the next one. Without this, a whole configuration, which is too
+     * large for a datagram, reaches the region up to 600 ms later, or only by random gossip once this box no longer follows the store.
      */
-    function tellRegion(): void {
-        roundsSinceTold = 0;
+    function sendDigestToRegion(): void {
+        roundsSinceDigest = 0;
         sendToRegion("digest", JSON.stringify(createMessage([])));
     }
 
@@ -181,13 +182,13 @@
         const data = JSON.stringify(createMessage([], update));
         if (data.length > maxDatagramBytes) {
             log.info("peer.updateTooLarge", { bytes: data.length });
-            tellRegion();
+            sendDigestToRegion();
             return;
         }
         sendToRegion("update", data);
     }
 
-    function someMembers(count: number): readonly MemberRecord[] {
+    function pickRandomMembers(count: number): readonly MemberRecord[] {
         const members = [...membership.recentMembers(clock())];
         const chosen: MemberRecord[] = [];
         while (members.length > 0 && chosen.length < count) {
@@ -212,18 +213,22 @@
         const regions = Object.fromEntries(
             [...membership.regionAges(clock())].map(([region, age]) => [region, Math.round(age)]),
         );
-        const message = createMessage(membership.nextUpdates(mostBeats, clock()).map(encodeHeartbeat));
+        const message = createMessage(membership.nextUpdates(maxHeartbeats, clock()).map(encodeHeartbeat));
         const rollout = options.rolloutUpdate();
-        const deadly = options.poisonRequestReports();
+        const poisonRequestReports = options.poisonRequestReports();
         const limits = options.limits();
-        send("gossip", JSON.stringify({ ...message, regions, rollout, deadly, limits, ...parts }), peer);
+        send(
+            "gossip",
+            JSON.stringify({ ...message, regions, rollout, deadly: poisonRequestReports, limits, ...parts }),
+            peer,
+        );
     }
 
-    function createMessage(beats: readonly MemberHeartbeat[], update?: StateUpdate): PeerMessage {
-        return { from: membership.ownRecord(), beats, digest: options.digest(), update };
+    function createMessage(heartbeats: readonly MemberHeartbeat[], update?: StateUpdate): PeerMessage {
+        return { from: membership.ownRecord(), beats: heartbeats, digest: options.digest(), update };
     }
 
-    /** A datagram that could not be sent is as lost as one on the way: the next round says the same. */
+    /** A send error is only logged, as for a datagram that is lost on the way: the next round repeats the content. */
     function send(purpose: TrafficPurpose, data: string, { peerAddress, region, zone }: PeerTarget): void {
         const { host, port } = splitAddress(peerAddress);
         if (region !== undefined && zone !== undefined) {
--- a/packages/box/src/peers/peer-messages.ts
+++ b/packages/box/src/peers/peer-messages.ts
@@ -1,9 +1,8 @@
 /**
- * Datagrams between boxes: heartbeats, how far the sender's copies reach, and
- * changes that a relay passes on. The form is part of the protocol between
- * boxes of different releases.
+ * Datagrams between boxes: heartbeats, the digest of the sender's replicas, changes that a relay sends, and other parts. Their
+ * format is a protocol between boxes of different releases.
  *
- * Owns nothing. What arrives is checked in full before it is used.
+ * Owns nothing. Received datagrams are validated in full before use.
  */
 
 import type { MemberRecord, MemberStatus } from "@chalkdale/decisions";
@@ -16,10 +15,13 @@
 import { isStateDigest, isStateUpdate, type StateDigest, type StateUpdate } from "../state/state-messages.js";
 import { isOutlierReportMessage, type OutlierReportMessage } from "./outlier-gossip.js";
 
-/** Largest datagram that is sent to a region and that is read, in bytes: a few fragments of a local network. */
+/** Size limit, in bytes, of updates sent to a region and of datagrams that are read: a few fragments of a local network. */
 export const maxDatagramBytes = 8192;
 
-/** What is told of one member, short since a datagram has many. Ages in milliseconds, see `MemberStatus`; the last is left out. */
+/**
+ * Heartbeat and state of one member, kept short as a datagram has many. Ages are in milliseconds, see `MemberStatus`;
+ * `suspectedFor` is left out for a member that isn't suspected.
+ */
 export type MemberHeartbeat = readonly [
     box: string,
     incarnation: string,
@@ -33,45 +35,46 @@
 
 /** One datagram. */
 export interface PeerMessage {
-    /** The sender, in full. */
+    /** The sender's whole record. */
     readonly from: MemberRecord;
-    /** Other members that the sender knows. */
+    /** Heartbeats of other members that the sender knows of. */
     readonly beats: readonly MemberHeartbeat[];
-    /** Missing in messages about roll-outs, of which there are several a second. */
+    /** How far the sender's replicas reach. Left out of messages about roll-outs, of which there are several a second. */
     readonly digest?: StateDigest;
-    /** True if the sender wants an answer, as a sign of life. */
+    /** True for a probe: the sender expects an answer. */
     readonly asks?: boolean;
-    /** Milliseconds since anyone heard from a box of each region. */
+    /** Milliseconds since any box last heard from a box of each region. */
     readonly regions?: Readonly<Record<RegionId, number>>;
+    /** Changes of shared state that a relay sends. */
     readonly update?: StateUpdate;
     /** Reports and leases of customers' quotas. */
     readonly quota?: QuotaMessage;
-    /** Reports, grants and news of roll-outs; earlier releases, and deployments without them, have none. */
+    /** Reports, grants and decisions of roll-outs; not sent by earlier releases and by deployments without roll-outs. */
     readonly rollout?: RolloutMessage;
-    /** Requests that end servers; earlier releases have none. */
+    /** Reports of poison requests; earlier releases send none. */
     readonly deadly?: readonly PoisonRequestReport[];
-    /** Limits that servers name; earlier releases have none. */
+    /** Rate limits that servers announce; earlier releases send none. */
     readonly limits?: readonly LimitReport[];
-    /** Servers that do badly, for boxes of the sender's region; earlier releases have none. */
+    /** Reports about outlier servers, to boxes of the sender's region only; earlier releases send none. */
     readonly reports?: readonly OutlierReportMessage[];
 }
 
-/** Shortens what is known of a member. */
+/** Encodes the status of a member. */
 export function encodeHeartbeat({ heardAgo, record, suspectedFor }: MemberStatus): MemberHeartbeat {
     const { box, heartbeat, incarnation, leaving, load, ready } = record;
-    const beat = [box, incarnation, heartbeat, ready ? 1 : 0, leaving ? 1 : 0, load, Math.round(heardAgo)] as const;
-    return suspectedFor === undefined ? beat : [...beat, Math.round(suspectedFor)];
+    const encoded = [box, incarnation, heartbeat, ready ? 1 : 0, leaving ? 1 : 0, load, Math.round(heardAgo)] as const;
+    return suspectedFor === undefined ? encoded : [...encoded, Math.round(suspectedFor)];
 }
 
-/** Returns what a beat tells of a member that is known in full. */
-export function decodeHeartbeat(member: MemberRecord, beat: MemberHeartbeat): MemberStatus {
-    const [, incarnation, heartbeat, ready, leaving, load, heardAgo = 0, suspectedFor] = beat;
+/** Decodes the heartbeat of a member whose record is known. */
+export function decodeHeartbeat(member: MemberRecord, encoded: MemberHeartbeat): MemberStatus {
+    const [, incarnation, heartbeat, ready, leaving, load, heardAgo = 0, suspectedFor] = encoded;
     const state = { ready: ready === 1, leaving: leaving === 1, load };
     const record = { ...member, incarnation: incarnationId(incarnation), heartbeat, ...state };
     return { record, heardAgo, suspectedFor };
 }
 
-/** Reads a datagram, or says why it is none of this protocol. */
+/** Decodes and validates a datagram; returns the reason if it is invalid. */
 export function readMessage(data: Buffer): PeerMessage | MessageFault {
     if (data.length > maxDatagramBytes) {
         return { fault: "too large" };
@@ -83,43 +86,43 @@
     catch (error) {
         return { fault: String(error) };
     }
-    return isWhole(message) ? message : { fault: "parts are missing or of another type" };
+    return isValidMessage(message) ? message : { fault: "a part is missing or has the wrong type" };
 }
 
-/** Why a datagram can't be used. */
+/** Why a datagram is invalid. */
 export interface MessageFault {
     readonly fault: string;
 }
 
-function isWhole(message: PeerMessage): boolean {
+function isValidMessage(message: PeerMessage): boolean {
     return typeof message === "object" && message !== null
-        && isMember(message.from) && Array.isArray(message.beats) && message.beats.every(isBeat)
+        && isMemberRecord(message.from) && Array.isArray(message.beats) && message.beats.every(isHeartbeat)
         && (message.digest === undefined ? message.rollout !== undefined : isStateDigest(message.digest))
         && (message.update === undefined || isStateUpdate(message.update))
-        && (message.reports === undefined || areReports(message.reports))
+        && (message.reports === undefined || areOutlierReports(message.reports))
         && (message.deadly === undefined || arePoisonRequestReports(message.deadly))
         && (message.limits === undefined || areLimitReports(message.limits))
         && (message.quota === undefined || isQuotaMessage(message.quota))
         && (message.rollout === undefined || isRolloutMessage(message.rollout))
-        && (message.regions === undefined || areAges(message.regions));
+        && (message.regions === undefined || areRegionAges(message.regions));
 }
 
-function areAges(ages: unknown): boolean {
+function areRegionAges(ages: unknown): boolean {
     return typeof ages === "object" && ages !== null && Object.values(ages).every(Number.isFinite);
 }
 
-function isMember(record: MemberRecord | undefined): record is MemberRecord {
+function isMemberRecord(record: MemberRecord | undefined): record is MemberRecord {
     return typeof record?.box === "string" && typeof record.incarnation === "string"
         && typeof record.region === "string" && typeof record.zone === "string"
         && typeof record.peerAddress === "string" && typeof record.callerAddress === "string"
         && [record.heartbeat, record.capacity, record.load].every(Number.isFinite);
 }
 
-function areReports(reports: unknown): boolean {
+function areOutlierReports(reports: unknown): boolean {
     return Array.isArray(reports) && reports.every(isOutlierReportMessage);
 }
 
-function isBeat(beat: unknown): boolean {
-    return Array.isArray(beat) && typeof beat[0] === "string" && typeof beat[1] === "string"
-        && beat.slice(2).every(Number.isFinite);
+function isHeartbeat(encoded: unknown): boolean {
+    return Array.isArray(encoded) && typeof encoded[0] === "string" && typeof encoded[1] === "string"
+        && encoded.slice(2).every(Number.isFinite);
 }
--- a/packages/box/src/peers/peer-reads.ts
+++ b/packages/box/src/peers/peer-reads.ts
@@ -1,9 +1,9 @@
 /**
- * Reads over HTTP between boxes: the members that a box knows, a whole copy of
- * one kind of shared state, or only what is missing of it. Both ends stand here.
+ * Reads between boxes over HTTP, client and server: the members that a box knows of, a whole snapshot of one kind of shared
+ * state, or only the changes that the reader's replica lacks.
  *
- * Answers are compressed where the reader takes that: they repeat the same few
- * names in each item, and bytes between regions are dear.
+ * Answers are compressed if the reader accepts that: their items repeat the same few names, and traffic between regions is
+ * expensive.
  *
  * Owns no connection beyond one read.
  */
@@ -25,41 +25,42 @@
 
 const membersPath = "/members";
 const statePath = "/state/";
-/** Names the revision up to which the reader's copy is complete. */
+/** Query parameter: the revision up to which the reader's replica is complete. */
 const sinceParameter = "since";
-/** Largest answer that is read, in bytes before and after it is unpacked: sixteen times the largest value of the store. */
-const largestAnswer = 16 * 1024 * 1024;
-/** Milliseconds without a byte after which a read fails, as for calls of the store. */
+/** Size limit of an answer in bytes, compressed and decompressed: sixteen times the largest value of the store. */
+const maxAnswerBytes = 16 * 1024 * 1024;
+/** Milliseconds without received data after which a read fails, the same as for calls of the store. */
 const readTimeout = 1500;
-/** Bytes from which an answer is compressed: a smaller one fits into a packet or two. */
-const leastCompressed = 2048;
-/** Effort of the compression, from 1 to 9: more takes twice the time for little less. */
+/** Size in bytes from which an answer is compressed: a smaller one fits into one or two packets. */
+const minCompressedBytes = 2048;
+/** Compression level of gzip, from 1 to 9: higher ones take twice the time and save little more. */
 const compressionLevel = 1;
 
-/** What a box has for others to read. */
+/** The data that other boxes read. */
 export interface PeerListenerOptions {
+    /** All members that this box knows of, itself included. */
     readonly members: () => readonly MemberStatus[];
-    /** The own copy of a kind, if there is one. */
+    /** Snapshot of this box's replica of a kind; undefined before the first. */
     readonly snapshot: (kind: SharedKind) => Snapshot<unknown> | undefined;
-    /** What a copy that is complete up to a revision lacks, as far as the changes are kept. */
+    /** The changes after a revision; undefined if the replica no longer keeps all of them. */
     readonly changesSince: (kind: SharedKind, since: number) => MissingChanges<unknown> | undefined;
 }
 
-/** Returns the listener that answers other boxes and the command line. */
+/** Creates the HTTP listener that answers other boxes and the command line. */
 export function createPeerListener(options: PeerListenerOptions): RequestListener {
     return (request: IncomingMessage, response: ServerResponse): void => {
-        const body = bodyFor(request.url ?? "/");
+        const body = findBody(request.url ?? "/");
         if (body === undefined) {
             response.writeHead(404).end();
             return;
         }
-        endWithJson(request, response, JSON.stringify(body));
+        sendJson(request, response, JSON.stringify(body));
     };
 
-    function bodyFor(url: string): unknown {
+    function findBody(url: string): unknown {
         const [path, query] = url.split("?", 2);
         if (path === membersPath) {
-            return options.members().map(writeMember);
+            return options.members().map(encodeMember);
         }
         const kind = sharedKinds.find(candidate => path === `${statePath}${candidate}`);
         if (kind === undefined) {
@@ -71,9 +72,9 @@
     }
 }
 
-function endWithJson(request: IncomingMessage, response: ServerResponse, text: string): void {
-    const takesGzip = String(request.headers["accept-encoding"] ?? "").includes("gzip");
-    const isCompressed = takesGzip && text.length >= leastCompressed;
+function sendJson(request: IncomingMessage, response: ServerResponse, text: string): void {
+    const acceptsGzip = String(request.headers["accept-encoding"] ?? "").includes("gzip");
+    const isCompressed = acceptsGzip && text.length >= minCompressedBytes;
     const body = isCompressed ? gzipSync(text, { level: compressionLevel }) : Buffer.from(text);
     response.writeHead(200, {
         "content-type": "application/json",
@@ -84,26 +85,28 @@
     response.end(body);
 }
 
-/** A member in an answer: its record, with what is known of it beside; an earlier release gives the record alone. */
+/** A member in an answer: its record together with its status; earlier releases send only the record. */
 type MemberInAnswer = MemberRecord & Partial<Omit<MemberStatus, "record">>;
 
-function writeMember({ heardAgo, record, suspectedFor }: MemberStatus): MemberInAnswer {
+function encodeMember({ heardAgo, record, suspectedFor }: MemberStatus): MemberInAnswer {
     return { ...record, heardAgo: Math.round(heardAgo), suspectedFor: suspectedFor && Math.round(suspectedFor) };
 }
 
-function readMember({ heardAgo = 0, suspectedFor, ...record }: MemberInAnswer): MemberStatus {
+function decodeMember({ heardAgo = 0, suspectedFor, ...record }: MemberInAnswer): MemberStatus {
     return { record, heardAgo, suspectedFor };
 }
 
-/** Reads from other boxes; each rejects when the box doesn't answer, or with something else. */
+/** Reads from other boxes. Each rejects if the box doesn't answer, or if its answer is invalid. */
 export interface PeerReads {
-    /** The members that another box knows. */
+    /** Reads the members that another box knows of. */
     readonly readMembers: (peer: StatePeer) => Promise<readonly MemberStatus[]>;
-    /** What another box has of a kind beyond a copy that is complete up to `since`; all of it if there is none. */
+    /** Reads what another box's replica has after revision `since`, or all of it; see `StateReader`. */
     readonly readState: StateReader;
 }
 
+/** What the reads depend on. */
 export interface PeerReadsOptions {
+    /** Counts the received bytes of an answer, as transferred. */
     readonly countTraffic: (purpose: TrafficPurpose, place: TrafficLocality, bytes: number) => void;
     readonly signal: AbortSignal;
 }
@@ -113,22 +116,22 @@
     return {
         async readMembers(peer) {
             const members = JSON.parse(await readText(peer, "members", membersPath)) as MemberInAnswer[];
-            return members.map(readMember);
+            return members.map(decodeMember);
         },
         async readState<Kind extends SharedKind>(peer: StatePeer, kind: Kind, since: number | undefined) {
             const query = since === undefined ? "" : `?${sinceParameter}=${since}`;
-            return readStateFrom(kind, await readText(peer, "snapshot", `${statePath}${kind}${query}`));
+            return decodeState(kind, await readText(peer, "snapshot", `${statePath}${kind}${query}`));
         },
     };
 
     async function readText(peer: StatePeer, purpose: TrafficPurpose, path: string): Promise<string> {
-        const { bytes, text } = await read(`http://${peer.peerAddress}${path}`, signal);
+        const { bytes, text } = await readFromUrl(`http://${peer.peerAddress}${path}`, signal);
         countTraffic(purpose, peer, bytes);
         return text;
     }
 }
 
-function readStateFrom<Kind extends SharedKind>(kind: Kind, text: string): StateReadResult<Kind> {
+function decodeState<Kind extends SharedKind>(kind: Kind, text: string): StateReadResult<Kind> {
     const body = JSON.parse(text) as Partial<Snapshot<SharedItems[Kind]>>;
     if (isMissingChanges(kind, body)) {
         return { kind: "missing", missing: body };
@@ -138,18 +141,18 @@
         && Array.isArray(items) && items.every(item => isSharedItem(kind, item))
         && Array.isArray(held) && held.every(change => isItemChange(kind, change));
     if (!isSnapshot) {
-        throw new Error("not a snapshot");
+        throw new Error("answer is neither a snapshot nor missing changes");
     }
     return { kind: "snapshot", snapshot: body as Snapshot<SharedItems[Kind]> };
 }
 
-interface ReadText {
+interface ReceivedText {
     readonly text: string;
-    /** Bytes as they came. */
+    /** Size as transferred, before decompression. */
     readonly bytes: number;
 }
 
-function read(url: string, signal: AbortSignal): Promise<ReadText> {
+function readFromUrl(url: string, signal: AbortSignal): Promise<ReceivedText> {
     return new Promise((resolve, reject) => {
         const headers = { "accept-encoding": "gzip" };
         const request = get(url, { agent: false, signal, timeout: readTimeout, headers }, response => {
@@ -158,7 +161,7 @@
             response.on("data", (chunk: Buffer) => {
                 size += chunk.length;
                 chunks.push(chunk);
-                if (size > largestAnswer) {
+                if (size > maxAnswerBytes) {
                     request.destroy(new Error("answer too large"));
                 }
             });
@@ -169,7 +172,7 @@
                     return;
                 }
                 try {
-                    resolve({ text: unpack(response, Buffer.concat(chunks)), bytes: size });
+                    resolve({ text: decompress(response, Buffer.concat(chunks)), bytes: size });
                 }
                 catch (error) {
                     reject(error instanceof Error ? error : new Error(String(error)));
@@ -181,7 +184,7 @@
     });
 }
 
-function unpack(response: IncomingMessage, data: Buffer): string {
+function decompress(response: IncomingMessage, data: Buffer): string {
     const isCompressed = response.headers["content-encoding"] === "gzip";
-    return (isCompressed ? gunzipSync(data, { maxOutputLength: largestAnswer }) : data).toString("utf8");
+    return (isCompressed ? gunzipSync(data, { maxOutputLength: maxAnswerBytes }) : data).toString("utf8");
 }
--- a/packages/box/src/peers/peer-receiver.ts
+++ b/packages/box/src/peers/peer-receiver.ts
@@ -1,9 +1,9 @@
 /**
- * Takes what other boxes send: heartbeats, digests, changes, and reports about
- * servers. What can't be read is logged and left out.
+ * Handles datagrams of other boxes: heartbeats, digests, updates, and reports about servers and requests. Invalid ones are
+ * logged and dropped.
  *
- * Owns nothing that lasts; relies on the membership for who there is, and hands
- * everything else on to those who asked for it.
+ * Owns only the state of its reads of members; relies on the membership for which boxes there are, and passes everything else
+ * to its handlers.
  */
 
 import type { MemberRecord, Membership, MemberStatus } from "@chalkdale/decisions";
@@ -18,6 +18,7 @@
 import type { OutlierReportMessage } from "./outlier-gossip.js";
 import { decodeHeartbeat, type MemberHeartbeat, type PeerMessage, readMessage } from "./peer-messages.js";
 
+/** What the receiver depends on, and the handlers of the parts of a message. */
 export interface PeerReceiverOptions {
     readonly clock: Clock;
     readonly log: Log;
@@ -31,21 +32,21 @@
     readonly onLimits: (reports: readonly LimitReport[]) => void;
     readonly onQuota: (from: MemberRecord, message: QuotaMessage) => void;
     readonly onRollout: (from: MemberRecord, message: RolloutMessage) => void;
-    /** Answers a box that asks, or that was not known before. */
+    /** Answers a probe, or a box that wasn't known before. */
     readonly replyTo: (peer: MemberRecord) => void;
-    /** Reads all members that another box knows. */
+    /** Reads all members that another box knows of. */
     readonly readMembers: (peer: StatePeer) => Promise<readonly MemberStatus[]>;
 }
 
 /**
- * Milliseconds after a read of members before the next one from a box of the own region: a round of gossip, in which others'
- * news spreads by itself. Without a pause each box of a fleet that starts would read them again and again.
+ * Minimum pause in milliseconds after a read of members before the next one from a box of the same region: a round of gossip, in
+ * which updates spread anyway. Without a pause, each box of a fleet that is starting would read the members over and over.
  */
-const membersPause = 300;
-/** The same from another region, whose bytes are dear. */
-const farMembersPause = 2000;
+const membersReadPause = 300;
+/** The same for a box of another region: traffic between regions is expensive. */
+const otherRegionMembersReadPause = 2000;
 
-/** Returns the listener for datagrams. Never throws. */
+/** Creates the handler of received datagrams, which never throws. */
 export function createPeerReceiver(options: PeerReceiverOptions): (data: Buffer) => void {
     const { clock, log, membership } = options;
     let membersReadAt = -Infinity;
@@ -68,11 +69,11 @@
     function onMessage(message: PeerMessage): void {
         const { from } = message;
         const isUnknown = membership.onHeard(from, clock());
-        if (mergeBeats(message.beats)) {
+        if (mergeHeartbeats(message.beats)) {
             void readMembersIfDue(from);
         }
         if (message.regions !== undefined) {
-            membership.mergeRegionAges(new Map(Object.entries(message.regions).map(readAge)), clock());
+            membership.mergeRegionAges(new Map(Object.entries(message.regions).map(decodeRegionAge)), clock());
         }
         if (isUnknown) {
             log.info("peer.joined", { box: from.box, zone: from.zone, incarnation: from.incarnation });
@@ -103,22 +104,22 @@
         }
     }
 
-    /** Merges what is told of members that are known in full; true if some are not. */
-    function mergeBeats(beats: readonly MemberHeartbeat[]): boolean {
-        const sightings: MemberStatus[] = [];
-        for (const beat of beats) {
-            const member = membership.find(boxId(beat[0]));
+    /** Merges the heartbeats of members whose records are known; returns true if some records aren't. */
+    function mergeHeartbeats(heartbeats: readonly MemberHeartbeat[]): boolean {
+        const statuses: MemberStatus[] = [];
+        for (const heartbeat of heartbeats) {
+            const member = membership.find(boxId(heartbeat[0]));
             if (member !== undefined) {
-                sightings.push(decodeHeartbeat(member, beat));
+                statuses.push(decodeHeartbeat(member, heartbeat));
             }
         }
-        membership.merge(sightings, clock());
-        return sightings.length < beats.length;
+        membership.merge(statuses, clock());
+        return statuses.length < heartbeats.length;
     }
 
-    /** One read at a time: what one box tells, the next would tell again. */
+    /** Only one read at a time, as another box would return the same members. */
     async function readMembersIfDue(peer: StatePeer): Promise<void> {
-        const pause = peer.region === options.region ? membersPause : farMembersPause;
+        const pause = peer.region === options.region ? membersReadPause : otherRegionMembersReadPause;
         if (isReadingMembers || clock() - membersReadAt < pause) {
             return;
         }
@@ -136,6 +137,6 @@
     }
 }
 
-function readAge([region, age]: [string, number]): [RegionId, number] {
+function decodeRegionAge([region, age]: [string, number]): [RegionId, number] {
     return [regionId(region), age];
 }
--- a/packages/box/test/peer-reads.test.ts
+++ b/packages/box/test/peer-reads.test.ts
@@ -55,7 +55,7 @@
         for (const held of [7, [{ kind: "put", name: "north-3", item: 7 }], [{ name: "north-3" }]]) {
             snapshot = { revision: 9, items: [], held } as Snapshot<unknown>;
             const error = await reads.readState(peer, "closedZones", undefined).catch((reason: unknown) => reason);
-            expect(String(error)).to.include("not a snapshot");
+            expect(String(error)).to.include("answer is neither a snapshot nor missing changes");
         }
     });
 
@@ -75,7 +75,7 @@
         snapshot = { revision: 9, items: [5] };
         for (const since of [undefined, 7]) {
             const error = await reads.readState(peer, "closedZones", since).catch((reason: unknown) => reason);
-            expect(String(error)).to.include("not a snapshot");
+            expect(String(error)).to.include("answer is neither a snapshot nor missing changes");
         }
         const error = await reads.readState(peer, "servers", undefined).catch((reason: unknown) => reason);
         expect(String(error)).to.include("404");
