--- a/packages/box/src/peers/outlier-gossip.ts
+++ b/packages/box/src/peers/outlier-gossip.ts
@@ -1,6 +1,6 @@
 /**
- * Reports about outlier servers as boxes send them: those from this box's own results and those of other boxes, with an age
- * instead of a time, since the boxes' clocks differ.
+ * Reports about outlier servers as boxes send them: those from this box's own results and those of other boxes, with an
+ * age instead of a time, since the boxes' clocks differ.
  *
  * Owns nothing; relies on the catalog for this box's results and on the outlier reports for those of other boxes.
  */
@@ -8,7 +8,10 @@
 import type { OutlierReport, OutlierReports, ServerCatalog } from "@chalkdale/decisions";
 import { backendServerId, type BoxId, boxId, type Clock, milliseconds } from "@chalkdale/kernel";
 
-/** One report in a datagram, kept short as there may be many. `origin` is the box that observed it; `age` is in milliseconds. */
+/**
+ * One report in a datagram, kept short as there may be many. `origin` is the box that observed it; `age` is in
+ * milliseconds.
+ */
 export type OutlierReportMessage = readonly [server: string, origin: string, severity: number, age: number];
 
 /** Sends and receives the outlier reports of one box. */
@@ -20,8 +23,8 @@
 }
 
 /**
- * Maximum number of reports in one datagram, about 60 bytes each. However many servers fail, reports and heartbeats together stay
- * far below the 8 KB limit; a larger datagram is rejected, and its heartbeats are lost too.
+ * Maximum number of reports in one datagram, about 60 bytes each. However many servers fail, reports and heartbeats
+ * together stay far below the 8 KB limit; a larger datagram is rejected, and its heartbeats are lost too.
  */
 const maxReports = 30;
 
--- a/packages/box/src/peers/peer-link.ts
+++ b/packages/box/src/peers/peer-link.ts
@@ -1,12 +1,13 @@
 /**
  * Gossip between boxes by datagrams.
  *
- * In every round a box probes one box of its region, and at times one of another region. The probe carries updates about
- * members and the digest of the sender's replicas; within the region also reports about outlier servers. The answer has the
- * same content except for these reports. A box that follows the store also sends its digest to its whole region.
+ * In every round a box probes one box of its region, and at times one of another region. The probe carries updates
+ * about members and the digest of the sender's replicas; within the region also reports about outlier servers. The
+ * answer has the same content except for these reports. A box that follows the store also sends its digest to its whole
+ * region.
  *
- * Owns the socket and the listener for reads; relies on the membership for which boxes there are. Received datagrams are
- * handled by `peer-receiver`.
+ * Owns the socket and the listener for reads; relies on the membership for which boxes there are. Received datagrams
+ * are handled by `peer-receiver`.
  */
 
 import {
@@ -36,8 +37,8 @@
 import { createPeerReceiver } from "./peer-receiver.js";
 
 /**
- * Maximum number of members in one datagram, about 65 bytes each: three fragments of a local network while half of a fleet is
- * failing; usually there are few members to report.
+ * Maximum number of members in one datagram, about 65 bytes each: three fragments of a local network while half of a
+ * fleet is failing; usually there are few members to report.
  */
 const maxHeartbeats = 40;
 /** Number of boxes to which a suspected box sends a message at once to refute the suspicion. */
@@ -86,7 +87,10 @@
     readonly signal: AbortSignal;
 }
 
-/** Destination of a datagram. The locality of a seed address isn't known, so the few datagrams to seeds aren't counted as traffic. */
+/**
+ * Destination of a datagram. The locality of a seed address isn't known, so the few datagrams to seeds aren't counted
+ * as traffic.
+ */
 type PeerTarget = Pick<MemberRecord, "peerAddress"> & Partial<TrafficLocality>;
 
 /** The link of one box to the other boxes. */
@@ -95,7 +99,10 @@
     readonly sendGossip: (peer: PeerTarget) => void;
     /** Sends the same to all known boxes at once, for instance when this box is leaving. */
     readonly gossipToAll: () => void;
-    /** Relays changes to the boxes of the region. If they don't fit into a datagram, sends a digest; the boxes then read the changes. */
+    /**
+     * Relays changes to the boxes of the region. If they don't fit into a datagram, sends a digest; the boxes then read
+     * the changes.
+     */
     readonly publish: (update: StateUpdate) => void;
     /** Sends this box's digest to the boxes of its region at once. */
     readonly sendDigestToRegion: () => void;
@@ -170,8 +177,9 @@
     }
 
     /**
-     * Sends the digest at once and restarts the count of rounds to the next one. Without this, a whole configuration, which is too
-     * large for a datagram, reaches the region up to 600 ms later, or only by random gossip once this box no longer follows the store.
+     * Sends the digest at once and restarts the count of rounds to the next one. Without this, a whole configuration,
+     * which is too large for a datagram, reaches the region up to 600 ms later, or only by random gossip once this box
+     * no longer follows the store.
      */
     function sendDigestToRegion(): void {
         roundsSinceDigest = 0;
--- a/packages/box/src/peers/peer-messages.ts
+++ b/packages/box/src/peers/peer-messages.ts
@@ -1,6 +1,6 @@
 /**
- * Datagrams between boxes: heartbeats, the digest of the sender's replicas, changes that a relay sends, and other parts. Their
- * format is a protocol between boxes of different releases.
+ * Datagrams between boxes: heartbeats, the digest of the sender's replicas, changes that a relay sends, and other
+ * parts. Their format is a protocol between boxes of different releases.
  *
  * Owns nothing. Received datagrams are validated in full before use.
  */
@@ -15,7 +15,9 @@
 import { isStateDigest, isStateUpdate, type StateDigest, type StateUpdate } from "../state/state-messages.js";
 import { isOutlierReportMessage, type OutlierReportMessage } from "./outlier-gossip.js";
 
-/** Size limit, in bytes, of updates sent to a region and of datagrams that are read: a few fragments of a local network. */
+/**
+ * Size limit, in bytes, of updates sent to a region and of datagrams that are read: a few fragments of a local network.
+ */
 export const maxDatagramBytes = 8192;
 
 /**
@@ -39,7 +41,9 @@
     readonly from: MemberRecord;
     /** Heartbeats of other members that the sender knows of. */
     readonly beats: readonly MemberHeartbeat[];
-    /** How far the sender's replicas reach. Left out of messages about roll-outs, of which there are several a second. */
+    /**
+     * How far the sender's replicas reach. Left out of messages about roll-outs, of which there are several a second.
+     */
     readonly digest?: StateDigest;
     /** True for a probe: the sender expects an answer. */
     readonly asks?: boolean;
@@ -49,7 +53,9 @@
     readonly update?: StateUpdate;
     /** Reports and leases of customers' quotas. */
     readonly quota?: QuotaMessage;
-    /** Reports, grants and decisions of roll-outs; not sent by earlier releases and by deployments without roll-outs. */
+    /**
+     * Reports, grants and decisions of roll-outs; not sent by earlier releases and by deployments without roll-outs.
+     */
     readonly rollout?: RolloutMessage;
     /** Reports of poison requests; earlier releases send none. */
     readonly deadly?: readonly PoisonRequestReport[];
--- a/packages/box/src/peers/peer-reads.ts
+++ b/packages/box/src/peers/peer-reads.ts
@@ -1,9 +1,9 @@
 /**
- * Reads between boxes over HTTP, client and server: the members that a box knows of, a whole snapshot of one kind of shared
- * state, or only the changes that the reader's replica lacks.
+ * Reads between boxes over HTTP, client and server: the members that a box knows of, a whole snapshot of one kind of
+ * shared state, or only the changes that the reader's replica lacks.
  *
- * Answers are compressed if the reader accepts that: their items repeat the same few names, and traffic between regions is
- * expensive.
+ * Answers are compressed if the reader accepts that: their items repeat the same few names, and traffic between regions
+ * is expensive.
  *
  * Owns no connection beyond one read.
  */
--- a/packages/box/src/peers/peer-receiver.ts
+++ b/packages/box/src/peers/peer-receiver.ts
@@ -1,9 +1,9 @@
 /**
- * Handles datagrams of other boxes: heartbeats, digests, updates, and reports about servers and requests. Invalid ones are
- * logged and dropped.
+ * Handles datagrams of other boxes: heartbeats, digests, updates, and reports about servers and requests. Invalid ones
+ * are logged and dropped.
  *
- * Owns only the state of its reads of members; relies on the membership for which boxes there are, and passes everything else
- * to its handlers.
+ * Owns only the state of its reads of members; relies on the membership for which boxes there are, and passes
+ * everything else to its handlers.
  */
 
 import type { MemberRecord, Membership, MemberStatus } from "@chalkdale/decisions";
@@ -39,8 +39,9 @@
 }
 
 /**
- * Minimum pause in milliseconds after a read of members before the next one from a box of the same region: a round of gossip, in
- * which updates spread anyway. Without a pause, each box of a fleet that is starting would read the members over and over.
+ * Minimum pause in milliseconds after a read of members before the next one from a box of the same region: a round of
+ * gossip, in which updates spread anyway. Without a pause, each box of a fleet that is starting would read the members
+ * over and over.
  */
 const membersReadPause = 300;
 /** The same for a box of another region: traffic between regions is expensive. */
--- a/packages/box/src/state/replica-status.ts
+++ b/packages/box/src/state/replica-status.ts
@@ -11,11 +11,14 @@
     /** When the store last confirmed, to this box or to another one, that the replica is complete. */
     confirmedAt: number;
     /**
-     * The same, but a first list, which may be stale, doesn't count. (It advances `confirmedAt`, so that a box that has just
-     * started waits for its region's relay.) Only this time justifies rejecting a request for an entry that the replica lacks.
+     * The same, but a first list, which may be stale, doesn't count. (It advances `confirmedAt`, so that a box that has
+     * just started waits for its region's relay.) Only this time justifies rejecting a request for an entry that the
+     * replica lacks.
      */
     provenAt: number;
-    /** When a snapshot will be read from a box whose replica holds more; once that read runs, when it becomes overdue. */
+    /**
+     * When a snapshot will be read from a box whose replica holds more; once that read runs, when it becomes overdue.
+     */
     snapshotReadAt: number | undefined;
     /** Aborts the watch of the store that is pending. */
     watch: AbortController | undefined;
--- a/packages/box/src/state/replicator.ts
+++ b/packages/box/src/state/replicator.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the replicas of shared state up to date: from the store while this box follows it, and from updates, digests and
- * snapshots of other boxes. Any one source suffices.
+ * Keeps the replicas of shared state up to date: from the store while this box follows it, and from updates, digests
+ * and snapshots of other boxes. Any one source suffices.
  *
  * Owns the age of each replica; the replicas themselves belong to the shared state.
  */
@@ -52,9 +52,13 @@
     readonly storeUnavailableFor: () => number;
     /** Time since the store confirmed the configuration, to this box or to another one. */
     readonly configurationAge: () => Milliseconds;
-    /** Time since the store confirmed the replica of a kind, to this box or to another one; undefined if it never did. */
+    /**
+     * Time since the store confirmed the replica of a kind, to this box or to another one; undefined if it never did.
+     */
     readonly provenAge: (kind: SharedKind) => Milliseconds | undefined;
-    /** The same, but a first list, which may be stale, counts in part; `unconfirmedAge` if there was no confirmation. */
+    /**
+     * The same, but a first list, which may be stale, counts in part; `unconfirmedAge` if there was no confirmation.
+     */
     readonly confirmedAge: (kind: SharedKind) => Milliseconds;
     /** True while this box follows the store: other boxes then rely on its digests. */
     readonly isFollowingStore: () => boolean;
--- a/packages/box/src/state/shared-state.ts
+++ b/packages/box/src/state/shared-state.ts
@@ -41,8 +41,8 @@
     /** The newest epoch of the store that a replica has reached; undefined before the first snapshot. */
     readonly storeEpoch: () => number | undefined;
     /**
-     * Drops entries whose retention is over: replicas keep them although a store that was restored from an older copy no
-     * longer has them. To be called a few times a second.
+     * Drops entries whose retention is over: replicas keep them although a store that was restored from an older copy
+     * no longer has them. To be called a few times a second.
      */
     readonly expireHeldEntries: () => void;
     readonly configuration: () => Configuration | undefined;
@@ -63,7 +63,9 @@
     readonly log: Log;
     readonly catalog: ServerCatalog;
     readonly regionOfZone: ReadonlyMap<AvailabilityZoneId, RegionId>;
-    /** Time since the store confirmed the replica of a kind. While a change is applied: since the previous confirmation. */
+    /**
+     * Time since the store confirmed the replica of a kind. While a change is applied: since the previous confirmation.
+     */
     readonly confirmedAge: (kind: SharedKind) => Milliseconds;
     /** Describes the latest requests to a server, for the log line written when it leaves. */
     readonly describeRecentSends: (server: BackendServerId) => string | undefined;
--- a/packages/box/src/state/snapshot-catch-up.ts
+++ b/packages/box/src/state/snapshot-catch-up.ts
@@ -1,6 +1,6 @@
 /**
- * Brings replicas up to date from other boxes: takes their confirmations of what this box's replica already holds, and reads
- * what it lacks from a box that has more, unless the changes arrive from the store or the relay first.
+ * Brings replicas up to date from other boxes: takes their confirmations of what this box's replica already holds, and
+ * reads what it lacks from a box that has more, unless the changes arrive from the store or the relay first.
  *
  * Owns the delayed reads; relies on the replicas to reject what is older than they are.
  */
@@ -14,8 +14,9 @@
 import type { StatePeer, StateReader, StateReadResult } from "./state-reader.js";
 
 /**
- * Milliseconds after which a read no longer prevents another one, from a different box. A read times out only after 1.5 s, most of
- * a bound on changes of 2 s, while a snapshot of 796 servers, 17 KB compressed, takes a few one-way delays of 35 ms between regions.
+ * Milliseconds after which a read no longer prevents another one, from a different box. A read times out only after 1.5
+ * s, most of a bound on changes of 2 s, while a snapshot of 796 servers, 17 KB compressed, takes a few one-way delays
+ * of 35 ms between regions.
  */
 const readOverdueAfter = 400;
 
--- a/packages/box/src/state/state-messages.ts
+++ b/packages/box/src/state/state-messages.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between boxes about their replicas of shared state, and the validation of received ones. Field names are those of
- * the messages.
+ * Messages between boxes about their replicas of shared state, and the validation of received ones. Field names are
+ * those of the messages.
  */
 
 import {
@@ -22,13 +22,21 @@
     readonly changed: number;
     /** The replica is complete up to this revision. */
     readonly complete: number;
-    /** Milliseconds since the store confirmed that. On a box that has just started, a first list, which may be stale, counts in part. */
+    /**
+     * Milliseconds since the store confirmed that. On a box that has just started, a first list, which may be stale,
+     * counts in part.
+     */
     readonly age: number;
-    /** The same without that first list. Sent for the configuration and for roll-outs; earlier releases don't send it. */
+    /**
+     * The same without that first list. Sent for the configuration and for roll-outs; earlier releases don't send it.
+     */
     readonly provenAge?: number;
 }
 
-/** The replicas of one box, by kind. Earlier releases, and boxes without roll-outs, send only the kinds that all boxes replicate. */
+/**
+ * The replicas of one box, by kind. Earlier releases, and boxes without roll-outs, send only the kinds that all boxes
+ * replicate.
+ */
 export type StateDigest =
     & Readonly<Record<(typeof requiredKinds)[number], ReplicaProgress>>
     & Readonly<Partial<Record<SharedKind, ReplicaProgress>>>
--- a/packages/box/src/state/state-reader.ts
+++ b/packages/box/src/state/state-reader.ts
@@ -1,5 +1,6 @@
 /**
- * Reads of other boxes' replicas: the contract between the replicator, which needs them, and the peers' HTTP client, which makes them.
+ * Reads of other boxes' replicas: the contract between the replicator, which needs them, and the peers' HTTP client,
+ * which makes them.
  *
  * Owns nothing.
  */
@@ -21,8 +22,8 @@
     | { readonly kind: "missing"; readonly missing: MissingChanges<SharedItems[Kind]>; };
 
 /**
- * Reads what another box has of a kind after revision `since`, or all of it if `since` is undefined. Rejects if the box doesn't
- * answer or its answer is invalid.
+ * Reads what another box has of a kind after revision `since`, or all of it if `since` is undefined. Rejects if the box
+ * doesn't answer or its answer is invalid.
  */
 export type StateReader = <Kind extends SharedKind>(
     peer: StatePeer,
--- a/packages/box/src/state/state-store.ts
+++ b/packages/box/src/state/state-store.ts
@@ -22,8 +22,8 @@
     | { readonly kind: "historyLost"; };
 
 /**
- * Consistency of a list. One that may be some seconds old costs a tenth of the price and doesn't count towards the store's rate
- * limit.
+ * Consistency of a list. One that may be some seconds old costs a tenth of the price and doesn't count towards the
+ * store's rate limit.
  */
 export type ListConsistency = "newest" | "mayBeOld";
 
@@ -35,8 +35,8 @@
         signal: AbortSignal,
     ) => Promise<Snapshot<SharedItems[Kind]>>;
     /**
-     * Waits for changes after `since`. Resolves as soon as there is one; otherwise, without changes, after `wait` (by default the
-     * store's own limit).
+     * Waits for changes after `since`. Resolves as soon as there is one; otherwise, without changes, after `wait` (by
+     * default the store's own limit).
      */
     readonly watch: <Kind extends SharedKind>(
         kind: Kind,
@@ -47,9 +47,9 @@
     /** Writes this box's record, replacing that of an earlier incarnation. */
     readonly registerBox: (record: MemberRecord, signal: AbortSignal) => Promise<void>;
     /**
-     * Writes the state of a roll-out order if the order hasn't changed since `order` was read. Returns the order as the store has it
-     * afterwards, whichever box wrote it; undefined if it no longer exists. After an error the write may have been applied, or may
-     * still be applied later if its condition holds then.
+     * Writes the state of a roll-out order if the order hasn't changed since `order` was read. Returns the order as the
+     * store has it afterwards, whichever box wrote it; undefined if it no longer exists. After an error the write may
+     * have been applied, or may still be applied later if its condition holds then.
      */
     readonly writeRolloutState: (
         order: RolloutOrder,
@@ -62,7 +62,10 @@
     readonly listBoxes: (age: ListConsistency, signal: AbortSignal) => Promise<readonly MemberRecord[]>;
 }
 
-/** Why a call of the store failed: no connection, no answer in time, an error answer, or an answer that can't be used. */
+/**
+ * Why a call of the store failed: the connection failed, no answer came in time, the answer had an error status or came
+ * from another epoch, or it couldn't be read.
+ */
 export type StoreFailure = "unreachable" | "silent" | "refused" | "unreadable";
 
 /** Thrown when a call of the store fails. */
--- a/packages/box/src/state/store-follower.ts
+++ b/packages/box/src/state/store-follower.ts
@@ -1,13 +1,14 @@
 /**
- * Follows the store, kind by kind, while the relay role asks this box to: first reads a list, which may be stale, then watches
- * for one batch of changes after another. While the store doesn't answer, only the kind whose call failed keeps calling it.
+ * Follows the store, kind by kind, while the relay role asks this box to: first reads a list, which may be stale, then
+ * watches for one batch of changes after another. While the store doesn't answer, only the kind whose call failed keeps
+ * calling it.
  *
- * A watch that isn't answered doesn't show that nothing changed: its connection may have stopped working without being closed.
- * Once the replica is older than it can be while some box gets answers from the store, the watch is aborted and repeated on
- * another connection.
+ * A watch that isn't answered doesn't show that nothing changed: its connection may have stopped working without being
+ * closed. Once the replica is older than it can be while some box gets answers from the store, the watch is aborted and
+ * repeated on another connection.
  *
- * Owns the calls of the store and the state of its availability; relies on the relay role for when to call, and on the replicas
- * to reject what is older than they are.
+ * Owns the calls of the store and the state of its availability; relies on the relay role for when to call, and on the
+ * replicas to reject what is older than they are.
  */
 
 import {
@@ -33,7 +34,10 @@
 import { type ListConsistency, type StateStore, StoreError } from "./state-store.js";
 import { createWatchTimeouts } from "./watch-timeouts.js";
 
-/** Wait in milliseconds of an urgent watch, as of the first one after a list that may be stale: it returns the changes since then at once. */
+/**
+ * Wait in milliseconds of an urgent watch, as of the first one after a list that may be stale: it returns the changes
+ * since then at once.
+ */
 const urgentWait = milliseconds(1);
 /** Interval in milliseconds at which a kind checks whether the store answers another kind's calls again. */
 const unavailablePollInterval = milliseconds(150);
@@ -64,7 +68,10 @@
     readonly storeUnavailableFor: () => number;
     /** True while the store doesn't answer this box. */
     readonly isStoreUnavailable: () => boolean;
-    /** Checks at once whether this box has to follow the store: the store has stopped or resumed serving a box of the region. */
+    /**
+     * Checks at once whether this box has to follow the store: the store has stopped or resumed serving a box of the
+     * region.
+     */
     readonly wake: () => void;
 }
 
@@ -124,8 +131,9 @@
     }
 
     /**
-     * Returns whether the list is needed next. An unreadable answer doesn't make the store unavailable to the other kinds; after
-     * one, the list is read instead of a watch and vice versa, since the unreadable part may be in only one of them.
+     * Returns whether the list is needed next. An unreadable answer doesn't make the store unavailable to the other
+     * kinds; after one, the list is read instead of a watch and vice versa, since the unreadable part may be in only
+     * one of them.
      */
     function onCallFailed(kind: SharedKind, error: unknown, wasListNeeded: boolean): boolean {
         if (error instanceof StoreError && error.failure === "unreadable") {
@@ -147,14 +155,16 @@
         sleepers.forEach(sleeper => sleeper.abort());
     }
 
-    /** Returns the milliseconds until this box has to follow the store itself for a kind; 0 or less if it has to now. */
+    /**
+     * Returns the milliseconds until this box has to follow the store itself for a kind; 0 or less if it has to now.
+     */
     function timeUntilDue(kind: SharedKind): number {
         return relayRole.alwaysFollowsStore() ? 0 : relayRole.followStoreAfterAge(kind) - ageOf(kind);
     }
 
     /**
-     * Returns true while the store doesn't answer and the kind whose call failed keeps calling it. That kind stops once other boxes
-     * confirm its replica; the next kind that is due then takes over.
+     * Returns true while the store doesn't answer and the kind whose call failed keeps calling it. That kind stops once
+     * other boxes confirm its replica; the next kind that is due then takes over.
      */
     function isAnotherKindCalling(kind: SharedKind): boolean {
         if (
@@ -167,8 +177,8 @@
     }
 
     /**
-     * Reads the whole list; returns false, as no further list is needed. The first one may be stale: later changes come by a watch
-     * or from other boxes.
+     * Reads the whole list; returns false, as no further list is needed. The first one may be stale: later changes come
+     * by a watch or from other boxes.
      */
     async function readList(kind: SharedKind): Promise<boolean> {
         const requestedAt = clock();
@@ -198,8 +208,8 @@
     }
 
     /**
-     * A stale list of a store that was restored from an older copy may have entries that the store has lost, so once its epoch is
-     * above 0 the newest list is read.
+     * A stale list of a store that was restored from an older copy may have entries that the store has lost, so once
+     * its epoch is above 0 the newest list is read.
      */
     async function readFirst<Kind extends SharedKind>(kind: Kind): Promise<Snapshot<SharedItems[Kind]>> {
         const listed = await listWithOverdueCheck(kind, "mayBeOld");
@@ -227,7 +237,8 @@
             return await applyWatch(kind, since, isUrgent, AbortSignal.any([signal, controller.signal]));
         }
         catch (error) {
-            // Either another box's snapshot was applied and the next watch starts from its revision, or the watch timed out.
+            // Either another box's snapshot was applied, and the next watch starts from its revision, or the watch timed
+            // out.
             if (controller.signal.aborted) {
                 return true;
             }
@@ -276,7 +287,10 @@
         return true;
     }
 
-    /** Returns true if other boxes of the region rely on what the store has just confirmed. An update that is published says so too. */
+    /**
+     * Returns true if other boxes of the region rely on what the store has just confirmed. An update that is published
+     * says so too.
+     */
     function isDigestNeeded(isUrgent: boolean, hasChanges: boolean): boolean {
         return relayRole.hasRelay()
             ? !hasChanges && relayRole.isAnyUnserved()
@@ -331,7 +345,9 @@
         });
     }
 
-    /** The first few unserved boxes of a region send a digest at once, so that the boxes that rank next call the store. */
+    /**
+     * The first few unserved boxes of a region send a digest at once, so that the boxes that rank next call the store.
+     */
     function markUnserved(): void {
         if (unservedBoxes.onUnserved(clock()) && relayRole.shouldBroadcastUnserved()) {
             options.sendDigestToRegion();
--- a/packages/box/src/state/watch-timeouts.ts
+++ b/packages/box/src/state/watch-timeouts.ts
@@ -1,17 +1,17 @@
 /**
- * Timeouts of watches of the store. A watch that other boxes wait for times out early; any other one times out once nobody
- * has confirmed the replica in time. The connection of an unanswered watch may no longer work.
+ * Timeouts of watches of the store. A watch that other boxes wait for times out early; any other one times out once
+ * nobody has confirmed the replica in time. The connection of an unanswered watch may no longer work.
  *
- * Owns the number of consecutive urgent watches that timed out, by kind; relies on the age of the replica, and on the owner
- * of the watch to start another one.
+ * Owns the number of consecutive urgent watches that timed out, by kind; relies on the age of the replica, and on the
+ * owner of the watch to start another one.
  */
 
 import { type SharedKind, watchOverdueAfter } from "@chalkdale/decisions";
 
 /**
- * Timeouts in milliseconds of consecutive urgent watches; after each, the next watch takes another connection. Later ones have only
- * the timeout of the call itself, as the store may just be slow. A second connection that stops working thus delays a change by
- * 0.3 s more instead of by the 1.5 s of a call.
+ * Timeouts in milliseconds of consecutive urgent watches; after each, the next watch takes another connection. Later
+ * ones have only the timeout of the call itself, as the store may just be slow. A second connection that stops working
+ * thus delays a change by 0.3 s more instead of by the 1.5 s of a call.
  */
 const urgentTimeouts: readonly number[] = [watchOverdueAfter, 2 * watchOverdueAfter];
 
