--- a/packages/box/test/emulated-clock.ts
+++ b/packages/box/test/emulated-clock.ts
@@ -1,6 +1,6 @@
 /**
- * A clock for tests that plays the timers of the code under test in order,
- * without waiting: `setTimeout` and `clearTimeout` are replaced while it runs.
+ * A clock for tests that runs the timers of the code under test in order, without waiting: `setTimeout` and
+ * `clearTimeout` are replaced until it is stopped.
  */
 
 import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
@@ -11,30 +11,32 @@
     readonly act: () => void;
 }
 
-/** A clock whose time passes only by `runUntil`. */
+/** A clock that advances only in `runUntil`. */
 export interface EmulatedClock {
     readonly now: () => Milliseconds;
-    /** Acts after so many milliseconds; returns the function that prevents it. */
-    readonly after: (delay: number, act: () => void) => () => void;
-    /** Plays all timers that are due by then, and what promises they settle. */
+    /** Calls `act` after `delay` milliseconds; returns the function that cancels the call. */
+    readonly schedule: (delay: number, act: () => void) => () => void;
+    /**
+     * Advances to the time `end`: runs all timers that are due by then, and the reactions of promises that they settle.
+     */
     readonly runUntil: (end: number) => Promise<void>;
-    /** Gives the timers of the process back. */
-    readonly end: () => void;
+    /** Restores the timers of the process. */
+    readonly stop: () => void;
 }
 
-/** Takes over the timers of the process. */
+/** Replaces the timers of the process and starts the clock at 0. */
 export function startEmulatedClock(): EmulatedClock {
     const { clearTimeout: realClear, setTimeout: realSet } = globalThis;
     const timers: Timer[] = [];
     let now = 0;
-    let count = 0;
+    let nextOrder = 0;
     globalThis.setTimeout =
-        ((act: () => void, delay = 0) => after(Math.max(1, delay), act)) as unknown as typeof setTimeout;
+        ((act: () => void, delay = 0) => schedule(Math.max(1, delay), act)) as unknown as typeof setTimeout;
     globalThis.clearTimeout = ((cancel?: () => void) => cancel?.()) as unknown as typeof clearTimeout;
 
     return {
         now: () => milliseconds(now),
-        after,
+        schedule,
         async runUntil(end) {
             await settle();
             while (timers.length > 0 && timers[0].at <= end) {
@@ -44,14 +46,14 @@
             }
             now = end;
         },
-        end() {
+        stop() {
             globalThis.setTimeout = realSet;
             globalThis.clearTimeout = realClear;
         },
     };
 
-    function after(delay: number, act: () => void): () => void {
-        const timer = { at: now + Math.max(0, delay), order: count++, act };
+    function schedule(delay: number, act: () => void): () => void {
+        const timer = { at: now + Math.max(0, delay), order: nextOrder++, act };
         let low = 0;
         let high = timers.length;
         while (low < high) {
@@ -72,7 +74,7 @@
         };
     }
 
-    /** Promises that are settled act before the next turn of the event loop. */
+    /** Waits for the reactions of settled promises, which run before the next turn of the event loop. */
     function settle(): Promise<void> {
         return new Promise(resolve => setImmediate(resolve));
     }
--- a/packages/box/test/emulated-fleet.ts
+++ b/packages/box/test/emulated-fleet.ts
@@ -1,7 +1,6 @@
 /**
- * The copies of all boxes of three regions on an emulated clock: each box has
- * the product's replicator, relay role, members and questions; the store, the
- * datagrams and the reads between boxes are fakes.
+ * The replicas of all boxes of three regions on an emulated clock. Each box has the product's replicator, relay role,
+ * membership and probing; the store, the datagrams and the reads between boxes are fakes.
  */
 
 import {
@@ -35,14 +34,16 @@
 import { type StateStore, StoreError, type WatchOutcome } from "../src/state/state-store.js";
 import { startEmulatedClock } from "./emulated-clock.js";
 
-/** How the store turns a box away. */
-export type TurnedAwayBy = "reset" | "refused" | "silence";
+/** How the store fails the calls of a box that it doesn't serve. */
+export type UnservedFault = "reset" | "refused" | "silence";
 
+/** Size and conditions of a fleet. */
 export interface EmulatedFleetOptions {
     readonly boxesOfRegion: number;
+    /** Milliseconds in which a change must reach all boxes. */
     readonly changeBound: number;
     readonly seed: number;
-    /** Part of the datagrams that are lost. */
+    /** Fraction of the datagrams that are lost. */
     readonly loss?: number;
 }
 
@@ -64,107 +65,115 @@
     readonly kind: SharedKind;
     readonly since: number;
     readonly end: (outcome: WatchOutcome<never> | StoreError) => void;
-    /** Its connection falls silent for good: it is never answered, and not ended either. */
-    readonly fallSilent: () => void;
+    /** Its connection stops working without being closed: the watch is never answered. */
+    readonly blackhole: () => void;
 }
 
 const regions = ["north", "east", "south"].map(regionId);
-/** The store stands here. */
+/** Region of the store. */
 const storeRegion = regions[0];
-/** Milliseconds of one way within a region, and between two. */
-const nearWay = 1;
-const farWay = 35;
-/** Time for an answer beyond the wait of a watch, as the platform's client has it. */
+/** One-way delay in milliseconds within a region. */
+const intraRegionDelay = 1;
+/** One-way delay in milliseconds between two regions. */
+const interRegionDelay = 35;
+/** Milliseconds beyond its wait after which a watch fails, as in the platform's client. */
 const callTimeout = 1500;
-/** Wait of a watch for which the box names none. */
+/** Wait in milliseconds of a watch for which the box sets none. */
 const defaultWait = 7000;
 const firstRevision = 5;
 
-/** Starts the boxes; four of each region are strong. */
+/** Starts the boxes; four of each region have a high capacity. */
 export function startEmulatedFleet({ boxesOfRegion, changeBound, loss = 0, seed }: EmulatedFleetOptions) {
     const clock = startEmulatedClock();
     const random = createSeededRandom(seed);
     const lifetime = new AbortController();
     setMaxListeners(0, lifetime.signal);
-    const pending = new Set<Watch>();
+    const pendingWatches = new Set<Watch>();
     let revision = firstRevision;
     let epoch = 0;
-    let isAway = false;
+    let isUnavailable = false;
     const changedAt = new Map<SharedKind, number>();
-    let turnedAway: (box: MemberRecord) => TurnedAwayBy | undefined = () => undefined;
-    let calls = 0;
+    let faultOf: (box: MemberRecord) => UnservedFault | undefined = () => undefined;
+    let storeCalls = 0;
     const records = regions.flatMap(region =>
         Array.from({ length: boxesOfRegion }, (_, index) => createRecord(region, index))
     );
-    const boxes = new Map(records.map(record => [record.box, startOne(record)]));
+    const boxes = new Map(records.map(record => [record.box, startBox(record)]));
 
     return {
         records,
         runUntil: clock.runUntil,
         now: clock.now,
-        calls: () => calls,
-        /** From now on the store turns boxes away; watches that wait at it end by that too. */
-        turnAway(by: (box: MemberRecord) => TurnedAwayBy | undefined) {
-            turnedAway = by;
-            for (const watch of pending) {
-                const fault = by(watch.box);
+        /** Number of lists and watches so far. */
+        storeCalls: () => storeCalls,
+        /**
+         * From now on the store fails the calls of the boxes for which `nextFaultOf` returns a fault, pending watches
+         * included.
+         */
+        failCalls(nextFaultOf: (box: MemberRecord) => UnservedFault | undefined) {
+            faultOf = nextFaultOf;
+            for (const watch of pendingWatches) {
+                const fault = nextFaultOf(watch.box);
                 if (fault === "reset" || fault === "refused") {
-                    clock.after(wayTo(watch.box), () => watch.end(new StoreError("unreachable", fault)));
+                    clock.schedule(delayToStore(watch.box), () => watch.end(new StoreError("unreachable", fault)));
                 }
             }
         },
-        /** Open connections to the store fall silent for good, without an end; new ones work. */
-        silence(isSilent: (box: MemberRecord) => boolean) {
-            [...pending].filter(watch => isSilent(watch.box)).forEach(watch => watch.fallSilent());
+        /** Open connections of some boxes to the store stop working without being closed; new ones work. */
+        blackholeOpenConnections(isAffected: (box: MemberRecord) => boolean) {
+            [...pendingWatches].filter(watch => isAffected(watch.box)).forEach(watch => watch.blackhole());
         },
-        /** The store goes away, and comes back from an older copy after so long: its revisions go back, in a new epoch. */
-        restore(after: number) {
-            isAway = true;
-            pending.forEach(watch => watch.end(new StoreError("unreachable", "reset")));
-            clock.after(after, () => {
-                isAway = false;
+        /**
+         * The store becomes unavailable, and is restored from an older copy after `outage` milliseconds: its revisions
+         * go back, in a new epoch.
+         */
+        restoreOlderCopy(outage: number) {
+            isUnavailable = true;
+            pendingWatches.forEach(watch => watch.end(new StoreError("unreachable", "reset")));
+            clock.schedule(outage, () => {
+                isUnavailable = false;
                 epoch += 1;
                 revision = storePosition(epoch, firstRevision)!;
             });
         },
-        /** A change is acknowledged now. */
+        /** The store acknowledges a change now; returns its revision. */
         change(kind: SharedKind = "configuration") {
             revision += 1;
             changedAt.set(kind, revision);
-            for (const watch of pending) {
-                if (turnedAway(watch.box) === undefined && watch.kind === kind) {
-                    clock.after(wayTo(watch.box), () => watch.end(changesSince(watch)));
+            for (const watch of pendingWatches) {
+                if (faultOf(watch.box) === undefined && watch.kind === kind) {
+                    clock.schedule(delayToStore(watch.box), () => watch.end(changesSince(watch)));
                 }
             }
             return revision;
         },
-        /** Boxes whose copy does not hold a revision yet. */
-        behind: (wanted: number, kind: SharedKind = "configuration") =>
-            records.filter(({ box }) => boxes.get(box)!.revision(kind) < wanted),
-        end() {
+        /** Returns the boxes whose replica doesn't reach a revision yet. */
+        boxesBehind: (minimum: number, kind: SharedKind = "configuration") =>
+            records.filter(({ box }) => boxes.get(box)!.revision(kind) < minimum),
+        stop() {
             lifetime.abort();
-            clock.end();
+            clock.stop();
         },
     };
 
-    function startOne(record: MemberRecord): EmulatedBox {
+    function startBox(record: MemberRecord): EmulatedBox {
         const membership = createMembership(record);
         records.forEach(other => membership.onHeard(other, milliseconds(0)));
-        const probing = createProbing({ membership, random, isAdvertised: box => isStrong(box) });
+        const probing = createProbing({ membership, random, isAdvertised: box => hasHighCapacity(box) });
         const replicas = {
             configuration: createReplica<never>(() => "main", () => undefined),
             servers: createReplica<never>(() => "s", () => undefined),
             closedZones: createReplica<never>(() => "z", () => undefined),
             rollouts: createReplica<never>(() => "r", () => undefined),
         };
-        let roundsSinceTold = 0;
-        const turnedAway = createUnservedBoxes(record.box, milliseconds(changeBound));
+        let roundsSinceDigest = 0;
+        const unservedBoxes = createUnservedBoxes(record.box, milliseconds(changeBound));
         const relayRole = createRelayRole({
             self: record.box,
             region: record.region,
             alive: () => membership.alive(clock.now()),
             maxPropagationDelay: milliseconds(changeBound),
-            turnedAway,
+            turnedAway: unservedBoxes,
             clock: clock.now,
             uptime: clock.now,
         });
@@ -179,12 +188,12 @@
             } as unknown as SharedState,
             store: createStore(record),
             relayRole,
-            turnedAway,
+            turnedAway: unservedBoxes,
             self: record.box,
             kinds: replicatedKinds(false),
             readState: (peer, kind, since) => readState(record, peer.peerAddress, kind, since ?? 0),
-            publish: tellRegion,
-            sendDigestToRegion: tellRegion,
+            publish: sendDigestToRegion,
+            sendDigestToRegion,
             signal: lifetime.signal,
         });
         const box: EmulatedBox = {
@@ -202,22 +211,22 @@
                 replicator.onDigest(from.record, message.digest);
             },
         };
-        clock.after(random() * gossipInterval, beginRound);
+        clock.schedule(random() * gossipInterval, beginRound);
         return box;
 
         function beginRound(): void {
-            clock.after(gossipInterval, beginRound);
+            clock.schedule(gossipInterval, beginRound);
             for (const member of probing.nextRound(clock.now())) {
                 send(box, boxes.get(member.box)!, { digest: replicator.digest(), asks: true });
             }
-            roundsSinceTold += 1;
-            if (replicator.isFollowingStore() && roundsSinceTold >= roundsBetweenDigests(milliseconds(changeBound))) {
-                tellRegion();
+            roundsSinceDigest += 1;
+            if (replicator.isFollowingStore() && roundsSinceDigest >= roundsBetweenDigests(milliseconds(changeBound))) {
+                sendDigestToRegion();
             }
         }
 
-        function tellRegion(): void {
-            roundsSinceTold = 0;
+        function sendDigestToRegion(): void {
+            roundsSinceDigest = 0;
             const digest = replicator.digest();
             boxes.forEach(other => {
                 if (other.record.region === record.region && other !== box) {
@@ -229,13 +238,13 @@
 
     function send(from: EmulatedBox, to: EmulatedBox, message: Message): void {
         if (random() >= loss) {
-            clock.after(wayBetween(from.record.region, to.record.region), () => to.onMessage(from, message));
+            clock.schedule(delayBetween(from.record.region, to.record.region), () => to.onMessage(from, message));
         }
     }
 
     function createStore(box: MemberRecord): StateStore {
         return {
-            list: () => answerAfter(2 * wayTo(box), undefined).then(list),
+            list: () => resolveAfter(2 * delayToStore(box), undefined).then(list),
             watch: (kind, since, signal, wait = milliseconds(defaultWait)) =>
                 watch(box, kind, since, signal, wait) as Promise<WatchOutcome<never>>,
             registerBox: () => new Promise(() => undefined),
@@ -252,44 +261,44 @@
         signal: AbortSignal,
         wait: number,
     ): Promise<WatchOutcome<never>> {
-        calls += 1;
+        storeCalls += 1;
         return new Promise((resolve, reject) => {
-            const ends: (() => void)[] = [];
+            const cancels: (() => void)[] = [];
             let cancelAnswer: () => void = () => undefined;
-            const entry: Watch = { box, kind, since, end, fallSilent };
+            const entry: Watch = { box, kind, since, end, blackhole };
             signal.addEventListener("abort", () => end(new StoreError("unreachable", "aborted")), { once: true });
-            ends.push(clock.after(wait + callTimeout, () => end(new StoreError("silent", "no answer"))));
-            ends.push(clock.after(wayTo(box), arrive));
+            cancels.push(clock.schedule(wait + callTimeout, () => end(new StoreError("silent", "no answer"))));
+            cancels.push(clock.schedule(delayToStore(box), arrive));
 
             function arrive(): void {
-                const fault = isAway ? "reset" : turnedAway(box);
+                const fault = isUnavailable ? "reset" : faultOf(box);
                 if (fault === "reset" || fault === "refused") {
-                    clock.after(wayTo(box), () => end(new StoreError("unreachable", fault)));
+                    clock.schedule(delayToStore(box), () => end(new StoreError("unreachable", fault)));
                     return;
                 }
                 if (epochOf(since) < epoch) {
-                    clock.after(wayTo(box), () => end({ kind: "historyLost" }));
+                    clock.schedule(delayToStore(box), () => end({ kind: "historyLost" }));
                     return;
                 }
-                pending.add(entry);
-                cancelAnswer = clock.after(isChangedSince(kind, since) ? 0 : wait, answer);
-                ends.push(cancelAnswer);
+                pendingWatches.add(entry);
+                cancelAnswer = clock.schedule(isChangedSince(kind, since) ? 0 : wait, answer);
+                cancels.push(cancelAnswer);
             }
 
-            function fallSilent(): void {
-                pending.delete(entry);
+            function blackhole(): void {
+                pendingWatches.delete(entry);
                 cancelAnswer();
             }
 
             function answer(): void {
-                if (turnedAway(box) === undefined) {
-                    clock.after(wayTo(box), () => end(changesSince(entry)));
+                if (faultOf(box) === undefined) {
+                    clock.schedule(delayToStore(box), () => end(changesSince(entry)));
                 }
             }
 
             function end(outcome: WatchOutcome<never> | StoreError): void {
-                pending.delete(entry);
-                ends.forEach(cancel => cancel());
+                pendingWatches.delete(entry);
+                cancels.forEach(cancel => cancel());
                 if (outcome instanceof StoreError) {
                     reject(outcome);
                     return;
@@ -300,14 +309,14 @@
     }
 
     function list() {
-        calls += 1;
-        if (isAway) {
+        storeCalls += 1;
+        if (isUnavailable) {
             throw new StoreError("unreachable", "reset");
         }
         return { revision: epoch === 0 ? firstRevision : revision, items: [] };
     }
 
-    /** A whole configuration is too large for a datagram. */
+    /** Returns the outcome of a watch. */
     function changesSince({ kind, since }: Watch): WatchOutcome<never> {
         return { kind: "changes", changes: isChangedSince(kind, since) ? [change] : [], revision };
     }
@@ -318,10 +327,10 @@
 
     async function readState(reader: MemberRecord, address: string, kind: SharedKind, since: number) {
         const peer = [...boxes.values()].find(box => box.record.peerAddress === address)!;
-        const roundTrip = 2 * wayBetween(reader.region, peer.record.region);
-        await answerAfter(roundTrip, undefined);
+        const roundTrip = 2 * delayBetween(reader.region, peer.record.region);
+        await resolveAfter(roundTrip, undefined);
         const known = peer.replicator.digest()[kind]!.complete;
-        await answerAfter(roundTrip, undefined);
+        await resolveAfter(roundTrip, undefined);
         if (epochOf(known) > epochOf(since)) {
             return { kind: "snapshot" as const, snapshot: { revision: known, items: [] } };
         }
@@ -331,22 +340,23 @@
         };
     }
 
-    function answerAfter<Answer>(delay: number, answer: Answer): Promise<Answer> {
-        return new Promise(resolve => clock.after(delay, () => resolve(answer)));
+    function resolveAfter<Answer>(delay: number, answer: Answer): Promise<Answer> {
+        return new Promise(resolve => clock.schedule(delay, () => resolve(answer)));
     }
 
-    function wayTo(box: MemberRecord): number {
-        return wayBetween(box.region, storeRegion);
+    function delayToStore(box: MemberRecord): number {
+        return delayBetween(box.region, storeRegion);
     }
 }
 
-const strongOfRegion = 4;
+/** Number of boxes with a high capacity in each region. */
+const highCapacityBoxes = 4;
 const change = { kind: "put", name: "main", item: undefined as never } as const;
 
 function createRecord(region: RegionId, index: number): MemberRecord {
-    const isFirst = index < strongOfRegion;
+    const isHighCapacity = index < highCapacityBoxes;
     return {
-        box: boxId(`${isFirst ? "strong" : "weak"}-${region}-${index}`),
+        box: boxId(`${isHighCapacity ? "strong" : "weak"}-${region}-${index}`),
         incarnation: incarnationId("1"),
         heartbeat: 1,
         leaving: false,
@@ -355,15 +365,15 @@
         zone: availabilityZoneId(`${region}-${index % 2}`),
         peerAddress: `${region}-${index}:1`,
         callerAddress: `${region}-${index}:2`,
-        capacity: isFirst ? 1.35 : 0.27,
+        capacity: isHighCapacity ? 1.35 : 0.27,
         load: 0,
     };
 }
 
-function isStrong(box: string): boolean {
+function hasHighCapacity(box: string): boolean {
     return box.startsWith("strong");
 }
 
-function wayBetween(from: RegionId, to: RegionId): number {
-    return from === to ? nearWay : farWay;
+function delayBetween(from: RegionId, to: RegionId): number {
+    return from === to ? intraRegionDelay : interRegionDelay;
 }
--- a/packages/box/test/outlier-gossip.test.ts
+++ b/packages/box/test/outlier-gossip.test.ts
@@ -7,7 +7,7 @@
 const servers = Array.from({ length: 200 }, (_, index) => backendServerId(`s-${index}`));
 const [server] = servers;
 
-/** A box that knows one server, with a clock that the test moves. */
+/** Creates a box that knows all servers, with a clock that the test advances. */
 function createBox(name: string) {
     let now = 1000;
     const clock = () => milliseconds(now);
@@ -36,12 +36,12 @@
     return catalog;
 }
 
-describe("reports about servers", () => {
-    it("are none while servers do well", () => {
+describe("outlier reports", () => {
+    it("are empty while no server fails", () => {
         expect(createBox("a").reports.current()).to.deep.equal([]);
     });
 
-    it("make a server an outlier for a box that has no answer of it, once two boxes agree [P7]", () => {
+    it("make a server an outlier for a box without results of its own, once two boxes agree [P7]", () => {
         const [a, b, c] = ["a", "b", "c"].map(createBox);
         a.fail(4);
         b.fail(4);
@@ -51,7 +51,7 @@
         expect(c.evidence.severity(server, 0, c.clock())).to.be.greaterThan(1);
     });
 
-    it("are passed on with their age and their first teller", () => {
+    it("are forwarded with their age and origin", () => {
         const [a, b] = ["a", "b"].map(createBox);
         a.fail(4);
         b.reports.onReports(a.reports.current());
@@ -59,19 +59,19 @@
         expect(b.reports.current().map(([, origin, , age]) => [origin, age])).to.deep.equal([["a", 500]]);
     });
 
-    it("stay few, the worst first, when all servers fail", () => {
+    it("are limited to the highest severities when all servers fail", () => {
         const [a, b] = ["a", "b"].map(createBox);
         a.fail(3, servers);
         a.fail(5, servers.slice(100, 110));
         b.reports.onReports(a.reports.current());
         b.fail(4, servers);
-        const told = a.reports.current().map(([name]) => name);
-        expect(told).to.have.length(30);
-        expect(told.slice(0, 10)).to.have.members(servers.slice(100, 110));
+        const reported = a.reports.current().map(([name]) => name);
+        expect(reported).to.have.length(30);
+        expect(reported.slice(0, 10)).to.have.members(servers.slice(100, 110));
         expect(b.reports.current()).to.have.length(30);
     });
 
-    it("end within seconds of the last one who saw it", () => {
+    it("expire within seconds of the last observation", () => {
         const [a, b] = ["a", "b"].map(createBox);
         a.fail(4);
         b.reports.onReports(a.reports.current());
@@ -79,7 +79,7 @@
         expect(b.reports.current()).to.deep.equal([]);
     });
 
-    it("are read only whole", () => {
+    it("are rejected if a part is missing or has the wrong type", () => {
         expect(isOutlierReportMessage(["s-1", "a", 2, 0])).to.equal(true);
         for (const faulty of [["s-1", "a", 2], ["s-1", "a", "2", 0], [1, "a", 2, 0], { server }, undefined]) {
             expect(isOutlierReportMessage(faulty)).to.equal(false);
--- a/packages/box/test/peer-link.test.ts
+++ b/packages/box/test/peer-link.test.ts
@@ -9,12 +9,12 @@
 import { type PeerMessage, readMessage } from "../src/peers/peer-messages.js";
 import type { StateUpdate } from "../src/state/state-messages.js";
 
-const copy = { changed: 7, complete: 7, age: 0 };
+const progress = { changed: 7, complete: 7, age: 0 };
 
 function createRecord(box: string, peerAddress: string): MemberRecord {
-    const place = { region: regionId("north"), zone: availabilityZoneId("north-a") };
+    const locality = { region: regionId("north"), zone: availabilityZoneId("north-a") };
     const state = { heartbeat: 1, leaving: false, ready: true, capacity: 1, load: 0 };
-    return { box: boxId(box), incarnation: incarnationId("1"), peerAddress, callerAddress: "", ...place, ...state };
+    return { box: boxId(box), incarnation: incarnationId("1"), peerAddress, callerAddress: "", ...locality, ...state };
 }
 
 function createUpdate(size: number): StateUpdate {
@@ -24,16 +24,16 @@
 
 describe("the link between boxes [P8]", () => {
     let lifetime: AbortController;
-    let other: Socket;
+    let peerSocket: Socket;
     let link: PeerLink;
 
     beforeEach(async () => {
         lifetime = new AbortController();
-        other = createSocket("udp4");
-        other.bind(0, "127.0.0.1");
-        await once(other, "listening");
+        peerSocket = createSocket("udp4");
+        peerSocket.bind(0, "127.0.0.1");
+        await once(peerSocket, "listening");
         const membership = createMembership(createRecord("box-1", "127.0.0.1:1"));
-        const address = other.address() as AddressInfo;
+        const address = peerSocket.address() as AddressInfo;
         membership.onHeard(createRecord("box-2", `127.0.0.1:${address.port}`), milliseconds(0));
         link = startPeerLink({
             clock: () => milliseconds(0),
@@ -42,7 +42,7 @@
             listen: { host: "127.0.0.1", port: 0 },
             region: regionId("north"),
             membership,
-            digest: () => ({ configuration: copy, servers: copy, closedZones: copy, turnedAway: true }),
+            digest: () => ({ configuration: progress, servers: progress, closedZones: progress, turnedAway: true }),
             onDigest: () => undefined,
             onUpdate: () => undefined,
             isAdvertised: () => true,
@@ -66,13 +66,13 @@
 
     afterEach(() => {
         lifetime.abort();
-        other.close();
+        peerSocket.close();
     });
 
-    /** The next message that is no question of a round. */
-    async function nextTold(): Promise<PeerMessage> {
+    /** Returns the next message that is not a probe. */
+    async function receiveNextMessage(): Promise<PeerMessage> {
         for (;;) {
-            const [data] = await once(other, "message") as [Buffer];
+            const [data] = await once(peerSocket, "message") as [Buffer];
             const message = readMessage(data) as PeerMessage;
             if (message.asks !== true) {
                 return message;
@@ -80,17 +80,17 @@
         }
     }
 
-    it("passes changes on to the boxes of the region", async () => {
-        const told = nextTold();
+    it("relays changes to the boxes of the region", async () => {
+        const nextMessage = receiveNextMessage();
         link.publish(createUpdate(10));
-        expect((await told).update).to.deep.equal(createUpdate(10));
+        expect((await nextMessage).update).to.deep.equal(createUpdate(10));
     });
 
-    it("tells them at once of changes that are too large for a datagram, and whether the store turns the box away", async () => {
-        const told = nextTold();
+    it("sends a digest at once for changes that are too large for a datagram, which also says that the store does not serve the box", async () => {
+        const nextMessage = receiveNextMessage();
         link.publish(createUpdate(9000));
-        const { digest, update } = await told;
+        const { digest, update } = await nextMessage;
         expect(update).to.equal(undefined);
-        expect(digest).to.deep.include({ closedZones: copy, turnedAway: true });
+        expect(digest).to.deep.include({ closedZones: progress, turnedAway: true });
     });
 });
--- a/packages/box/test/peer-reads.test.ts
+++ b/packages/box/test/peer-reads.test.ts
@@ -6,34 +6,34 @@
 import { createPeerListener, createPeerReads, type PeerReads } from "../src/peers/peer-reads.js";
 import type { StatePeer } from "../src/state/state-reader.js";
 
-/** A copy that is large enough to be compressed. */
+/** Items of a snapshot that is large enough to be compressed. */
 const zones = Array.from({ length: 300 }, (_, index) => availabilityZoneId(`north-${index}`));
-const place = { box: boxId("box-1"), region: regionId("north"), zone: availabilityZoneId("north-1") };
+const locality = { box: boxId("box-1"), region: regionId("north"), zone: availabilityZoneId("north-1") };
 
 describe("reads between boxes", () => {
     let server: Server;
     let peer: StatePeer;
     let reads: PeerReads;
-    let counted: { readonly purpose: string; readonly bytes: number; }[];
-    let kept: MissingChanges<unknown> | undefined;
+    let countedTraffic: { readonly purpose: string; readonly bytes: number; }[];
+    let keptChanges: MissingChanges<unknown> | undefined;
     let snapshot: Snapshot<unknown> | undefined;
     let members: readonly MemberStatus[];
 
     beforeEach(async () => {
-        counted = [];
-        kept = undefined;
+        countedTraffic = [];
+        keptChanges = undefined;
         snapshot = { revision: 9, items: zones };
         const record = { box: "a" } as unknown as MemberRecord;
         members = [{ record, heardAgo: 7, suspectedFor: undefined }];
         server = createServer(createPeerListener({
             members: () => members,
             snapshot: (kind: SharedKind) => kind === "closedZones" ? snapshot : undefined,
-            changesSince: (_kind, since) => kept?.since === since ? kept : undefined,
+            changesSince: (_kind, since) => keptChanges?.since === since ? keptChanges : undefined,
         }));
         await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
-        peer = { peerAddress: `127.0.0.1:${(server.address() as AddressInfo).port}`, ...place };
+        peer = { peerAddress: `127.0.0.1:${(server.address() as AddressInfo).port}`, ...locality };
         reads = createPeerReads({
-            countTraffic: (purpose, _place, bytes) => counted.push({ purpose, bytes }),
+            countTraffic: (purpose, _locality, bytes) => countedTraffic.push({ purpose, bytes }),
             signal: new AbortController().signal,
         });
     });
@@ -42,14 +42,14 @@
         server.close();
     });
 
-    it("bring a whole copy in a fraction of its bytes", async () => {
+    it("transfer a whole snapshot compressed to less than half its size", async () => {
         const read = await reads.readState(peer, "closedZones", undefined);
         expect(read).to.deep.equal({ kind: "snapshot", snapshot });
-        expect(counted).to.have.length(1);
-        expect(counted[0].bytes).to.be.lessThan(JSON.stringify(snapshot).length / 2);
+        expect(countedTraffic).to.have.length(1);
+        expect(countedTraffic[0].bytes).to.be.lessThan(JSON.stringify(snapshot).length / 2);
     });
 
-    it("bring what is held against the store's word beside what the store has, and refuse what makes no sense of it", async () => {
+    it("return entries that a replica retains although the store no longer has them, and reject invalid ones", async () => {
         snapshot = { revision: 9, items: ["north-1"], held: [{ kind: "gone", name: "north-2" }] };
         expect(await reads.readState(peer, "closedZones", undefined)).to.deep.equal({ kind: "snapshot", snapshot });
         for (const held of [7, [{ kind: "put", name: "north-3", item: 7 }], [{ name: "north-3" }]]) {
@@ -59,19 +59,19 @@
         }
     });
 
-    it("bring only what is missing, if the other box still has these changes", async () => {
-        kept = { since: 7, revision: 9, changes: [{ kind: "gone", name: "north-1" }] };
-        expect(await reads.readState(peer, "closedZones", 7)).to.deep.equal({ kind: "missing", missing: kept });
+    it("return only the missing changes if the other box still keeps them", async () => {
+        keptChanges = { since: 7, revision: 9, changes: [{ kind: "gone", name: "north-1" }] };
+        expect(await reads.readState(peer, "closedZones", 7)).to.deep.equal({ kind: "missing", missing: keptChanges });
         expect((await reads.readState(peer, "closedZones", 3)).kind).to.equal("snapshot");
     });
 
-    it("bring the members", async () => {
+    it("return the members", async () => {
         expect(await reads.readMembers(peer)).to.deep.equal(members);
-        expect(counted.map(({ purpose }) => purpose)).to.deep.equal(["members"]);
+        expect(countedTraffic.map(({ purpose }) => purpose)).to.deep.equal(["members"]);
     });
 
-    it("refuse what they can't use, and fail where there is no copy", async () => {
-        kept = { since: 7, revision: 9, changes: [{ kind: "put", name: "x", item: 5 }] };
+    it("reject an invalid answer, and fail if the other box has no replica", async () => {
+        keptChanges = { since: 7, revision: 9, changes: [{ kind: "put", name: "x", item: 5 }] };
         snapshot = { revision: 9, items: [5] };
         for (const since of [undefined, 7]) {
             const error = await reads.readState(peer, "closedZones", since).catch((reason: unknown) => reason);
--- a/packages/box/test/replicator.test.ts
+++ b/packages/box/test/replicator.test.ts
@@ -21,7 +21,7 @@
     region: regionId("north"),
     zone: availabilityZoneId("north-b"),
 };
-const relayed: RelayRole = {
+const relayedRole: RelayRole = {
     hasRelay: () => true,
     alwaysFollowsStore: () => false,
     confirmsForRegion: () => false,
@@ -33,7 +33,7 @@
     settleTime: milliseconds(0),
     watchWait: () => milliseconds(900),
 };
-const unrelayed: RelayRole = {
+const unrelayedRole: RelayRole = {
     hasRelay: () => false,
     alwaysFollowsStore: () => true,
     confirmsForRegion: () => true,
@@ -48,21 +48,21 @@
 
 describe("replicator [P8]", () => {
     let lifetime: AbortController;
-    let read: SharedKind[];
+    let readKinds: SharedKind[];
     let published: StateUpdate[];
-    /** Address of the box that does not answer reads. */
-    let silentPeer: string | undefined;
+    /** Address of a box that doesn't answer reads. */
+    let unresponsivePeer: string | undefined;
 
     beforeEach(() => {
         lifetime = new AbortController();
-        read = [];
+        readKinds = [];
         published = [];
-        silentPeer = undefined;
+        unresponsivePeer = undefined;
     });
 
     afterEach(() => lifetime.abort());
 
-    /** Starts a replicator whose copies are as of revision 5; its watches bring nothing unless told otherwise. */
+    /** Starts a replicator whose replicas are at revision 5. Its watches are never answered unless `watch` is given. */
     async function start(relayRole: RelayRole, watch: StateStore["watch"] = () => never, hasRollouts = false) {
         const zones: AvailabilityZoneId[][] = [];
         const replicas = {
@@ -90,8 +90,8 @@
             self: boxId("box-1"),
             kinds: replicatedKinds(hasRollouts),
             readState({ peerAddress }, kind, since) {
-                read.push(kind);
-                if (peerAddress === silentPeer) {
+                readKinds.push(kind);
+                if (peerAddress === unresponsivePeer) {
                     return never;
                 }
                 return Promise.resolve({ kind: "missing", missing: { since: since ?? 0, revision: 9, changes: [] } });
@@ -104,41 +104,41 @@
         return { replicator, replicas, zones };
     }
 
-    const digestOf = (state: ReplicaProgress): StateDigest => ({
+    const digestWithClosedZones = (state: ReplicaProgress): StateDigest => ({
         configuration: { changed: 5, complete: 5, age: 0 },
         servers: { changed: 5, complete: 5, age: 0 },
         closedZones: state,
     });
 
     for (
-        const [name, relayRole] of [["the own watch is silent", unrelayed], [
-            "a relay's datagram was lost",
-            relayed,
+        const [name, relayRole] of [["its own watch is not answered", unrelayedRole], [
+            "a relay's datagram is lost",
+            relayedRole,
         ]] as const
     ) {
-        it(`reads a snapshot after one message that tells of more, when ${name}`, async () => {
+        it(`reads a snapshot after one digest that has later changes, when ${name}`, async () => {
             const { replicator, replicas } = await start(relayRole);
-            replicator.onDigest(peer, digestOf({ changed: 7, complete: 8, age: 0 }));
+            replicator.onDigest(peer, digestWithClosedZones({ changed: 7, complete: 8, age: 0 }));
             await until(() => replicas.closedZones.revision() === 9);
-            expect(read).to.deep.equal(["closedZones"]);
+            expect(readKinds).to.deep.equal(["closedZones"]);
         });
     }
 
-    it("reads from another box while one that it reads from does not answer", async () => {
-        const { replicator, replicas } = await start(unrelayed);
-        const told = digestOf({ changed: 7, complete: 8, age: 0 });
-        silentPeer = peer.peerAddress;
-        replicator.onDigest(peer, told);
-        await until(() => read.length === 1);
+    it("reads from another box while a read is not answered", async () => {
+        const { replicator, replicas } = await start(unrelayedRole);
+        const digest = digestWithClosedZones({ changed: 7, complete: 8, age: 0 });
+        unresponsivePeer = peer.peerAddress;
+        replicator.onDigest(peer, digest);
+        await until(() => readKinds.length === 1);
         const other = { ...peer, box: boxId("box-8"), peerAddress: "192.0.2.8:1" };
         await until(() => {
-            replicator.onDigest(other, told);
+            replicator.onDigest(other, digest);
             return replicas.closedZones.revision() === 9;
         });
-        expect(read).to.have.length(2);
+        expect(readKinds).to.have.length(2);
     });
 
-    it("goes on with the other kinds while the answers about one make no sense, and asks for its list then", async () => {
+    it("continues with the other kinds while the answers about one are unreadable, and reads that one's list", async () => {
         const watched: SharedKind[] = [];
         const watch = (kind: SharedKind) => {
             watched.push(kind);
@@ -148,7 +148,7 @@
                     setTimeout(() => resolve({ kind: "changes", changes: [], revision: 5 }), 20)
                 );
         };
-        const { replicator } = await start(unrelayed, watch);
+        const { replicator } = await start(unrelayedRole, watch);
         const countOf = (kind: SharedKind) => watched.filter(other => other === kind).length;
         await until(() => countOf("servers") >= 3);
         expect(replicator.storeUnavailableFor()).to.equal(0);
@@ -156,93 +156,93 @@
         await until(() => countOf("closedZones") > before);
     });
 
-    it("takes what a relay passes on, and reads no snapshot then", async () => {
-        const { replicator, zones } = await start(relayed);
+    it("applies a relay's update, and reads no snapshot then", async () => {
+        const { replicator, zones } = await start(relayedRole);
         const change = { kind: "put", name: "north-a", item: availabilityZoneId("north-a") } as const;
         replicator.onUpdate({ kind: "closedZones", since: 5, complete: 7, changes: [change] });
-        replicator.onDigest(peer, digestOf({ changed: 7, complete: 8, age: 0 }));
+        replicator.onDigest(peer, digestWithClosedZones({ changed: 7, complete: 8, age: 0 }));
         expect(zones.at(-1)).to.deep.equal(["north-a"]);
         expect(replicator.digest().closedZones).to.include({ changed: 7, complete: 8 });
-        expect(read).to.deep.equal([]);
+        expect(readKinds).to.deep.equal([]);
     });
 
-    it("takes no age from a box that knows more, and the youngest from boxes that know the same", async () => {
-        const { replicator } = await start(relayed);
+    it("takes no age from a box that has later changes, and the lowest from boxes that have the same ones", async () => {
+        const { replicator } = await start(relayedRole);
         const ageOf = (of: Replicator) => of.digest().closedZones.age;
         const before = ageOf(replicator);
-        replicator.onDigest(peer, digestOf({ changed: 7, complete: 7, age: -10_000 }));
+        replicator.onDigest(peer, digestWithClosedZones({ changed: 7, complete: 7, age: -10_000 }));
         expect(ageOf(replicator)).to.be.at.least(before);
-        replicator.onDigest(peer, digestOf({ changed: 5, complete: 5, age: -10_000 }));
+        replicator.onDigest(peer, digestWithClosedZones({ changed: 5, complete: 5, age: -10_000 }));
         expect(ageOf(replicator)).to.be.lessThan(-5000);
     });
 
-    it("goes on to call a store that was out, though the kind that found out hears of its copy from others", async () => {
-        let isOut = true;
+    it("calls the store again after an outage although other boxes confirm the replica of the kind whose call failed", async () => {
+        let isUnavailable = true;
         const failed = new Set<SharedKind>();
         const watched = new Set<SharedKind>();
         const watch = (kind: SharedKind) => {
-            if (isOut) {
+            if (isUnavailable) {
                 failed.add(kind);
-                return Promise.reject(new StoreError("silent", "out"));
+                return Promise.reject(new StoreError("silent", "outage"));
             }
             watched.add(kind);
             return Promise.resolve({ kind: "changes" as const, changes: [], revision: 5 });
         };
-        const { replicator } = await start({ ...relayed, followStoreAfterAge: () => milliseconds(100) }, watch);
+        const { replicator } = await start({ ...relayedRole, followStoreAfterAge: () => milliseconds(100) }, watch);
         await until(() => failed.size > 0);
-        const [finder] = failed;
-        isOut = false;
+        const [failedKind] = failed;
+        isUnavailable = false;
         const fresh = { changed: 5, complete: 5, age: -60_000 };
         const { configuration, servers, closedZones } = replicator.digest();
-        replicator.onDigest(peer, { configuration, servers, closedZones, [finder]: fresh });
+        replicator.onDigest(peer, { configuration, servers, closedZones, [failedKind]: fresh });
         await until(() => watched.size === 2);
-        expect(watched.has(finder)).to.equal(false);
+        expect(watched.has(failedKind)).to.equal(false);
         expect(replicator.storeUnavailableFor()).to.equal(0);
     });
 
-    describe("of orders of roll-outs", () => {
-        const told = {
-            ...digestOf({ changed: 5, complete: 5, age: 0 }),
+    describe("with roll-out orders", () => {
+        const digest = {
+            ...digestWithClosedZones({ changed: 5, complete: 5, age: 0 }),
             rollouts: { changed: 7, complete: 8, age: 0 },
         };
 
-        it("neither calls the store nor tells or asks other boxes where there are none", async () => {
+        it("neither calls the store nor exchanges them with other boxes if the box replicates none", async () => {
             const watched = new Set<SharedKind>();
             const watch = (kind: SharedKind) => {
                 watched.add(kind);
                 return never;
             };
-            const { replicator, replicas } = await start({ ...relayed, alwaysFollowsStore: () => true }, watch);
-            replicator.onDigest(peer, told);
+            const { replicator, replicas } = await start({ ...relayedRole, alwaysFollowsStore: () => true }, watch);
+            replicator.onDigest(peer, digest);
             await until(() => watched.size === 3);
             expect(watched).not.to.include("rollouts");
             expect(replicator.digest()).not.to.have.property("rollouts");
-            expect([read, replicas.rollouts.revision()]).to.deep.equal([[], undefined]);
+            expect([readKinds, replicas.rollouts.revision()]).to.deep.equal([[], undefined]);
         });
 
-        it("reads what it lacks, and knows when the store has confirmed it", async () => {
-            const { replicator, replicas } = await start(relayed, undefined, true);
+        it("reads the ones that it lacks, and returns their age only once the store has confirmed them", async () => {
+            const { replicator, replicas } = await start(relayedRole, undefined, true);
             expect(replicator.provenAge("rollouts")).to.equal(undefined);
-            replicator.onDigest(peer, told);
+            replicator.onDigest(peer, digest);
             await until(() => replicas.rollouts.revision() === 9);
-            replicator.onDigest(peer, { ...told, rollouts: { changed: 7, complete: 9, age: 0 } });
-            expect(replicator.provenAge("rollouts"), "told by an old list").to.equal(undefined);
-            replicator.onDigest(peer, { ...told, rollouts: { changed: 7, complete: 9, age: 0, provenAge: 40 } });
+            replicator.onDigest(peer, { ...digest, rollouts: { changed: 7, complete: 9, age: 0 } });
+            expect(replicator.provenAge("rollouts"), "confirmed by a stale list only").to.equal(undefined);
+            replicator.onDigest(peer, { ...digest, rollouts: { changed: 7, complete: 9, age: 0, provenAge: 40 } });
             expect(replicator.provenAge("rollouts")).to.be.within(40, 10_000);
         });
     });
 
-    it("passes on what its own watch brings, as following the last change before it", async () => {
-        let told = false;
+    it("relays the changes of its own watch, as those since the last change before them", async () => {
+        let isSent = false;
         const change = { kind: "put", name: "north-a", item: availabilityZoneId("north-a") } as const;
         const watch = (kind: SharedKind) => {
-            if (kind !== "closedZones" || told) {
+            if (kind !== "closedZones" || isSent) {
                 return never;
             }
-            told = true;
+            isSent = true;
             return Promise.resolve({ kind: "changes", changes: [change], revision: 12 });
         };
-        await start({ ...relayed, alwaysFollowsStore: () => true }, watch as unknown as StateStore["watch"]);
+        await start({ ...relayedRole, alwaysFollowsStore: () => true }, watch as unknown as StateStore["watch"]);
         await until(() => published.length > 0);
         expect(published).to.deep.equal([{ kind: "closedZones", since: 5, complete: 12, changes: [change] }]);
     });
--- a/packages/box/test/sample-member.ts
+++ b/packages/box/test/sample-member.ts
@@ -1,11 +1,11 @@
 /**
- * A box as tests of quotas know it.
+ * Sample records of boxes for tests.
  */
 
 import type { MemberRecord } from "@chalkdale/decisions";
 import { availabilityZoneId, boxId, incarnationId, regionId } from "@chalkdale/kernel";
 
-/** Returns the record of a box that is in service. */
+/** Returns the record of a box that is ready and not leaving. */
 export function sampleMember(name: string): MemberRecord {
     return {
         box: boxId(name),
--- a/packages/box/test/sample-server.ts
+++ b/packages/box/test/sample-server.ts
@@ -1,5 +1,5 @@
 /**
- * A backend server as tests of the box know it.
+ * Sample backend servers for tests of the box.
  */
 
 import { type BackendServerRecord, createServerState, createSlowStart, type ServerState } from "@chalkdale/decisions";
@@ -16,7 +16,7 @@
 /** The service of all sample servers. */
 export const sampleService = serviceId("profiles");
 
-/** Slots of each sample server. */
+/** Number of slots of each sample server. */
 export const sampleSlots = 4;
 
 /** Returns the record of a server that is neither draining nor cold. */
@@ -34,7 +34,7 @@
     };
 }
 
-/** Creates the state of a server for a box that is no sender in its slow start. */
+/** Creates the state of a server for a box to which the server's slow start assigns no requests. */
 export function createSampleState(record: BackendServerRecord, at: Milliseconds): ServerState {
     const slowStart = createSlowStart({ self: boxId("a"), server: record.id, boxes: () => [], rate: () => 1 });
     return createServerState(record, at, {
--- a/packages/box/test/silent-watches.test.ts
+++ b/packages/box/test/silent-watches.test.ts
@@ -1,14 +1,11 @@
 /**
- * Requests reached backend servers that had said they were leaving, by as much as
- * ten seconds. The connections on which boxes waited for news of the store had
- * fallen silent without an end, and a watch that is not answered counted as "nothing
- * has changed" until its own time was over: 7 to 10 s, and 1.5 s more, where a region
- * has fewer than six boxes and so no relay. All boxes waited so, so no box knew more
- * than another and none could tell the others. What settled it were the lines of a run
- * in which the store fell silent for 0.9 s: `store.lost kind=configuration
- * failure=silent` at 44.229, whose watches wait 1.6 s, and `store.lost kind=servers
- * failure=silent … wait_ms=8282` at 50.784, followed by `servers.changed removed=…
- * revision=37`, while the list had been at revision 19 for ten seconds.
+ * Guards against changes that reach boxes late because connections to the store stopped working without being closed.
+ *
+ * Boxes learn of changes by watches, and took an unanswered watch for "nothing has changed" until the watch timed out.
+ * In regions with fewer than six boxes, which have no relay, that took 7 to 10 s, and 1.5 s more. When all boxes of a
+ * region waited like this, none could inform the others, and requests reached backend servers up to ten seconds after
+ * these had announced that they were leaving. In one case the store had stopped answering for only 0.9 s, while the
+ * servers' list stayed at its old revision for ten.
  */
 
 import type { SharedKind } from "@chalkdale/decisions";
@@ -16,51 +13,58 @@
 import { expect } from "chai";
 import { type EmulatedFleetOptions, startEmulatedFleet } from "./emulated-fleet.js";
 
-/** Time until all boxes follow the store in calm. */
-const calmAfter = 4000;
+/** Milliseconds until the fleet is in a steady state. */
+const steadyAfter = 4000;
 const seeds = [1, 2, 3, 4, 5, 6];
 
-interface Silence extends EmulatedFleetOptions {
+interface BlackholeCase extends EmulatedFleetOptions {
     readonly kind: SharedKind;
-    /** Part of the boxes whose open connections fall silent. */
-    readonly share: number;
-    /** Milliseconds from the silence to the change. */
+    /** Fraction of the boxes whose open connections stop working. */
+    readonly affectedFraction: number;
+    /** Milliseconds from then to the change. */
     readonly changeAfter: number;
-    /** Milliseconds after the change at which the connections that were opened since fall silent too. */
-    readonly silentAgainAfter?: number;
+    /**
+     * Milliseconds after the change at which the connections opened since stop working too; undefined if they don't.
+     */
+    readonly blackholedAgainAfter?: number;
 }
 
-/** Milliseconds from the acknowledgement of a change to the last box, after open connections to the store have fallen silent. */
-async function timeToLastBox({ changeAfter, kind, share, silentAgainAfter, ...options }: Silence): Promise<number> {
+/**
+ * Returns the milliseconds from the acknowledgement of a change until all boxes have it, after open connections to the
+ * store stopped working.
+ */
+async function propagationTime(
+    { changeAfter, kind, affectedFraction, blackholedAgainAfter, ...options }: BlackholeCase,
+): Promise<number> {
     const fleet = startEmulatedFleet(options);
     const random = createSeededRandom(options.seed);
     try {
-        const silentAt = calmAfter + random() * 2 * options.changeBound;
-        await fleet.runUntil(silentAt);
-        const silent = new Set(fleet.records.filter(() => random() < share).map(({ box }) => box));
-        fleet.silence(({ box }) => silent.has(box));
-        await fleet.runUntil(silentAt + changeAfter);
-        const changed = fleet.change(kind);
+        const blackholedAt = steadyAfter + random() * 2 * options.changeBound;
+        await fleet.runUntil(blackholedAt);
+        const affected = new Set(fleet.records.filter(() => random() < affectedFraction).map(({ box }) => box));
+        fleet.blackholeOpenConnections(({ box }) => affected.has(box));
+        await fleet.runUntil(blackholedAt + changeAfter);
+        const revision = fleet.change(kind);
         const changedAt = fleet.now();
-        if (silentAgainAfter !== undefined) {
-            await fleet.runUntil(changedAt + silentAgainAfter);
-            fleet.silence(({ box }) => silent.has(box));
+        if (blackholedAgainAfter !== undefined) {
+            await fleet.runUntil(changedAt + blackholedAgainAfter);
+            fleet.blackholeOpenConnections(({ box }) => affected.has(box));
         }
-        while (fleet.behind(changed, kind).length > 0 && fleet.now() < changedAt + 10 * options.changeBound) {
+        while (fleet.boxesBehind(revision, kind).length > 0 && fleet.now() < changedAt + 10 * options.changeBound) {
             await fleet.runUntil(fleet.now() + 20);
         }
         return fleet.now() - changedAt;
     }
     finally {
-        fleet.end();
+        fleet.stop();
     }
 }
 
-describe("connections to the store that fall silent for good [P8]", () => {
+describe("connections to the store that stop working without being closed [P8]", () => {
     const kinds = ["servers", "configuration", "closedZones"] as const;
 
-    /** Each kind of change under each seed, for regions of one size. */
-    const casesOf = (boxesOfRegion: number, more: Partial<Silence>): Silence[] =>
+    /** Returns a case for each bound, kind of change and seed, for regions of one size. */
+    const casesOf = (boxesOfRegion: number, overrides: Partial<BlackholeCase>): BlackholeCase[] =>
         [2000, 3000].flatMap(changeBound =>
             kinds.flatMap(kind =>
                 seeds.map(seed => ({
@@ -68,37 +72,37 @@
                     changeBound,
                     kind,
                     seed,
-                    share: seed % 2 === 0 ? 1 : 0.6,
+                    affectedFraction: seed % 2 === 0 ? 1 : 0.6,
                     changeAfter: [0, 40, 900][seed % 3],
-                    ...more,
+                    ...overrides,
                 }))
             )
         );
 
-    /** Fails with each case that takes longer than its bound. */
+    /** Fails with a list of the cases that take longer than their bound. */
     async function expectWithinBound(
         boxesOfRegions: readonly number[],
-        more: Partial<Silence> = {},
+        overrides: Partial<BlackholeCase> = {},
     ): Promise<void> {
-        const late: string[] = [];
-        for (const options of boxesOfRegions.flatMap(boxesOfRegion => casesOf(boxesOfRegion, more))) {
-            const time = await timeToLastBox(options);
+        const lateCases: string[] = [];
+        for (const options of boxesOfRegions.flatMap(boxesOfRegion => casesOf(boxesOfRegion, overrides))) {
+            const time = await propagationTime(options);
             if (time > options.changeBound) {
-                late.push(`${JSON.stringify(options)} took ${Math.round(time)} ms`);
+                lateCases.push(`${JSON.stringify(options)} took ${Math.round(time)} ms`);
             }
         }
-        expect(late, late.join("\n")).to.deep.equal([]);
+        expect(lateCases, lateCases.join("\n")).to.deep.equal([]);
     }
 
-    it("hide no change beyond its bound from regions without a relay", async () => {
+    it("delay no change beyond the bound in regions without a relay", async () => {
         await expectWithinBound([1, 2, 3, 5]);
         await expectWithinBound([3], { loss: 0.05 });
-        for (const silentAgainAfter of [300, 900, 1300, 1500]) {
-            await expectWithinBound([3], { silentAgainAfter });
+        for (const blackholedAgainAfter of [300, 900, 1300, 1500]) {
+            await expectWithinBound([3], { blackholedAgainAfter });
         }
     });
 
-    it("hide no change beyond its bound from regions with a relay", async () => {
+    it("delay no change beyond the bound in regions with a relay", async () => {
         await expectWithinBound([6, 24]);
     });
 });
--- a/packages/box/test/state-messages.test.ts
+++ b/packages/box/test/state-messages.test.ts
@@ -2,8 +2,8 @@
 import fc from "fast-check";
 import { isStateDigest, isStateUpdate } from "../src/state/state-messages.js";
 
-const copy = { changed: 1, complete: 2, age: 3 };
-const digest = { configuration: copy, servers: copy, closedZones: copy };
+const progress = { changed: 1, complete: 2, age: 3 };
+const digest = { configuration: progress, servers: progress, closedZones: progress };
 const server = {
     id: "s-1",
     service: "profiles",
@@ -22,18 +22,18 @@
     changes: [{ kind: "put", name: "s-1", item: server }, { kind: "gone", name: "s-2" }],
 };
 
-/** Returns the value as another box would get it. */
-const sent = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
+/** Returns the value as another box receives it. */
+const overWire = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 
-describe("messages about copies", () => {
-    it("are taken as boxes send them", () => {
-        expect(isStateDigest(sent(digest))).to.equal(true);
-        expect(isStateUpdate(sent(update))).to.equal(true);
+describe("messages about shared state", () => {
+    it("are accepted as boxes send them", () => {
+        expect(isStateDigest(overWire(digest))).to.equal(true);
+        expect(isStateUpdate(overWire(update))).to.equal(true);
     });
 
-    it("are refused with a part missing or of another kind", () => {
+    it("are rejected with a part that is missing or of the wrong type", () => {
         expect(isStateDigest({ ...digest, servers: undefined })).to.equal(false);
-        expect(isStateDigest({ ...digest, servers: { ...copy, age: "1" } })).to.equal(false);
+        expect(isStateDigest({ ...digest, servers: { ...progress, age: "1" } })).to.equal(false);
         expect(isStateUpdate({ ...update, kind: "boxes" })).to.equal(false);
         expect(isStateUpdate({ ...update, since: undefined })).to.equal(false);
         expect(isStateUpdate({ ...update, changes: [{ kind: "put", name: "s-1" }] })).to.equal(false);
@@ -41,7 +41,7 @@
         expect(isStateUpdate({ ...update, changes: {} })).to.equal(false);
     });
 
-    it("are refused with an item that the box could not use", () => {
+    it("are rejected with an item that the box can't use", () => {
         const withItem = (kind: string, item: unknown) => ({
             ...update,
             kind,
@@ -54,8 +54,8 @@
         expect(isStateUpdate(withItem("closedZones", "north-a"))).to.equal(true);
     });
 
-    it("are taken with and without what earlier releases lack", () => {
-        expect(isStateDigest({ ...digest, rollouts: { ...copy, provenAge: 4 } })).to.equal(true);
+    it("are accepted with and without the fields that earlier releases don't send", () => {
+        expect(isStateDigest({ ...digest, rollouts: { ...progress, provenAge: 4 } })).to.equal(true);
         expect(isStateDigest({ ...digest, rollouts: { changed: 1 } })).to.equal(false);
         const withServer = (fields: object) => ({
             ...update,
@@ -66,7 +66,7 @@
         expect(isStateUpdate(withServer({ createdAt: "5" }))).to.equal(false);
     });
 
-    it("are refused with an order that could not be carried out", () => {
+    it("are rejected with a roll-out order that can't be executed", () => {
         const order = { service: "profiles", targetVersion: "v2", duration: 40_000, createdAt: 7, revision: 9 };
         const withOrder = (fields: object) =>
             isStateUpdate({
@@ -79,7 +79,7 @@
             .to.deep.equal([false, false, false]);
     });
 
-    it("are refused with a configuration that does not say who may ask, or says it in another way [P21]", () => {
+    it("are rejected with a configuration whose access rules are missing or unknown [P21]", () => {
         const configurationWith = (access: unknown) => ({
             ...update,
             kind: "configuration",
@@ -96,14 +96,14 @@
         }
     });
 
-    it("never throw, whatever they hold", () => {
+    it("are rejected without an exception when they are any JSON value", () => {
         fc.assert(fc.property(fc.jsonValue(), value => {
             expect(isStateDigest(value)).to.equal(false);
             expect(isStateUpdate(value)).to.equal(false);
         }));
     });
 
-    it("never throw when one part is replaced", () => {
+    it("cause no exception when one part is replaced by any JSON value", () => {
         fc.assert(fc.property(fc.constantFrom(...Object.keys(update)), fc.jsonValue(), (part, value) => {
             isStateUpdate({ ...update, [part]: value });
             isStateDigest({ ...digest, [part]: value });
