--- a/packages/box/src/state/state-store.ts
+++ b/packages/box/src/state/state-store.ts
@@ -63,8 +63,8 @@
 }
 
 /**
- * Why a call of the store failed: the connection failed, no answer came in time, the answer had an error status or came
- * from another epoch, or it couldn't be read.
+ * Why a call of the store failed, in this order: the connection failed; no answer came in time; the answer had an error
+ * status, or the store was restored meanwhile; the answer couldn't be read.
  */
 export type StoreFailure = "unreachable" | "silent" | "refused" | "unreadable";
 
