--- a/packages/box/src/callers/backpressure.ts
+++ b/packages/box/src/callers/backpressure.ts
@@ -1,30 +1,30 @@
 /**
- * Stops the reading of a caller's connection, so that the caller's own sending
- * stops, and goes on with it.
+ * Backpressure on a caller: pauses reading from its connection, which in turn
+ * blocks the caller's sending, and resumes it.
  *
- * Owns nothing; relies on Node resuming a socket by its `resume` only. A
- * connection that isn't read carries a `resume` of its own.
+ * Owns nothing; relies on Node resuming a socket only through its `resume`
+ * method. A paused socket has an own property `resume` that does nothing.
  */
 
 import type { Socket } from "node:net";
 
-/** Stops the reading, if it is not stopped yet. */
+/** Pauses reading from a socket, unless it is paused already. */
 export function pauseReading(socket: Socket): void {
-    if (!isStopped(socket)) {
-        // Node's HTTP server resumes a socket by itself after each request that it has parsed.
+    if (!isPaused(socket)) {
+        // Node's HTTP server resumes a socket on its own after each request that it has parsed.
         socket.resume = () => socket;
         socket.pause();
     }
 }
 
-/** Reads on, if the reading was stopped. */
+/** Resumes reading from a socket that {@link pauseReading} paused. */
 export function resumeReading(socket: Socket): void {
-    if (isStopped(socket)) {
+    if (isPaused(socket)) {
         Reflect.deleteProperty(socket, "resume");
         socket.resume();
     }
 }
 
-function isStopped(socket: Socket): boolean {
+function isPaused(socket: Socket): boolean {
     return Object.hasOwn(socket, "resume");
 }
--- a/packages/box/src/callers/caller-connections.ts
+++ b/packages/box/src/callers/caller-connections.ts
@@ -1,11 +1,11 @@
 /**
- * The connections of callers, and which of them rest.
+ * Tracks the connections of callers and closes the idle ones.
  *
- * Node's own `closeIdleConnections` takes a connection as idle once its answer
- * was written, also while the caller still reads it; here it is idle only once
- * all its answers have left the process.
+ * Node's `closeIdleConnections` treats a connection as idle once its answer was
+ * written, even while the caller is still reading it. Here a connection is idle
+ * only once all its answers have left the process.
  *
- * Owns the pipeline of each connection; relies on the server's events.
+ * Owns the pipeline of each connection; relies on the events of Node's HTTP server.
  */
 
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
@@ -14,40 +14,41 @@
 import { type CallerPipelinesOptions, createCallerPipelines } from "./caller-pipeline.js";
 import { statusOfParseError } from "./invalid-requests.js";
 
-/** Connections of one server. */
+/** The caller connections of one HTTP server. */
 export interface CallerConnections {
-    /** Requests whose answers have not left yet. */
+    /** Returns the number of started requests whose answers have not left the process yet. */
     readonly inFlight: () => number;
-    /** Ends the connections that rest, in order. */
+    /** Closes the idle connections gracefully. */
     readonly closeIdle: () => void;
+    /** Returns the number of open connections. */
     readonly count: () => number;
 }
 
-/** Status for a method that no server can serve, and for a request without a host. */
+/** Status for a CONNECT request and for a request without a Host header. */
 const badRequest = 400;
-/** The caller ended its side within a request. */
-const endWithinRequest = "HPE_INVALID_EOF_STATE";
+/** Code of Node's parser error when the caller ends its side within a request. */
+const eofWithinRequest = "HPE_INVALID_EOF_STATE";
 
-/** Serves the requests of a server's connections from now on. */
+/** Attaches to an HTTP server and serves the requests of all its connections. */
 export function serveCallers(server: Server, options: CallerPipelinesOptions): CallerConnections {
     const pipelines = createCallerPipelines(options);
-    const open = new Map<Duplex, CallerPipeline>();
+    const openPipelines = new Map<Duplex, CallerPipeline>();
 
     server.on("connection", socket => {
-        open.set(socket, pipelines.open(socket));
+        openPipelines.set(socket, pipelines.open(socket));
         socket.once("close", () => {
             withPipeline(socket, pipelines.onClosed);
-            open.delete(socket);
+            openPipelines.delete(socket);
         });
     });
     server.on("request", (request, response) => onRequest(request, response, false));
-    // Node would tell a caller to send its body before anyone has looked at the head.
+    // Without this listener Node would send 100 Continue before the head has been checked.
     server.on("checkContinue", (request, response) => onRequest(request, response, true));
-    // Node would answer without the pipeline's knowledge.
+    // Without this listener Node would answer the request itself, bypassing the pipeline.
     server.on("checkExpectation", (request, response) => onRequest(request, response, false));
-    // Without this listener Node ends the connection at once, whatever is in progress on it.
+    // Without this listener Node closes the connection at once, even with requests in progress on it.
     server.on("connect", (_request, socket) => {
-        follow(socket);
+        attachTunnelListeners(socket);
         withPipeline(socket, pipeline => pipelines.onInvalidRequest(pipeline, badRequest));
     });
     server.on("clientError", (error: NodeJS.ErrnoException, socket) => {
@@ -57,15 +58,15 @@
             return;
         }
         withPipeline(socket, pipeline => pipelines.onInvalidRequest(pipeline, status));
-        if (error.code === endWithinRequest) {
+        if (error.code === eofWithinRequest) {
             socket.end();
         }
     });
 
     return {
-        inFlight: () => [...open.values()].reduce((sum, pipeline) => sum + pipeline.startedCount, 0),
-        closeIdle: () => open.forEach(pipelines.closeIfIdle),
-        count: () => open.size,
+        inFlight: () => [...openPipelines.values()].reduce((sum, pipeline) => sum + pipeline.startedCount, 0),
+        closeIdle: () => openPipelines.forEach(pipelines.closeIfIdle),
+        count: () => openPipelines.size,
     };
 
     function onRequest(request: IncomingMessage, response: ServerResponse, awaitsContinue: boolean): void {
@@ -79,21 +80,24 @@
         });
     }
 
-    function withPipeline(socket: Duplex, act: (pipeline: CallerPipeline) => void): void {
-        const pipeline = open.get(socket);
+    function withPipeline(socket: Duplex, action: (pipeline: CallerPipeline) => void): void {
+        const pipeline = openPipelines.get(socket);
         if (pipeline !== undefined) {
-            act(pipeline);
+            action(pipeline);
         }
     }
 }
 
-/** Node would answer such a request by itself, and end the connection without the pipeline's knowledge. */
+/** True for a request that Node would otherwise answer itself, closing the connection behind the pipeline's back. */
 function lacksHost({ headers, httpVersion }: IncomingMessage): boolean {
     return httpVersion === "1.1" && headers.host === undefined;
 }
 
-/** Node takes its own listeners off a socket that asks for a tunnel: a reset would end the process, and no end be seen. */
-function follow(socket: Duplex): void {
+/**
+ * Attaches listeners to the socket of a CONNECT request, from which Node removes its own: without them a reset would
+ * crash the process, and the caller's end of the connection would go unnoticed.
+ */
+function attachTunnelListeners(socket: Duplex): void {
     socket.on("error", () => socket.destroy());
     socket.on("end", () => socket.end());
     socket.resume();
--- a/packages/box/src/callers/caller-exchange.ts
+++ b/packages/box/src/callers/caller-exchange.ts
@@ -1,62 +1,65 @@
 /**
- * A request of a caller with the place of its answer, and what is kept of the
- * connection on which it came.
+ * Types of a caller's request with its pending answer, and of the state of the
+ * connection that it came on.
  *
- * Owns nothing; the pipeline changes what is kept, who serves a request sees its turn.
+ * Owns nothing; `caller-pipeline` changes the state, the code that serves a
+ * request sees only its `CallerExchange`.
  */
 
 import type { Milliseconds } from "@chalkdale/kernel";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 
-/** An answer that can wait for its turn. */
+/** An answer that can be held until all earlier ones of its connection are written. */
 export interface CallerAnswer {
     /** Bytes of its body. */
     readonly bytes: number;
-    /** The connection must end with it. */
+    /** True if the connection must close after it. */
     readonly closesConnection: boolean;
-    /** Called once, in its turn. `isLast`: the connection ends with it. Never throws. */
+    /** Called once, when all earlier answers have left. `isLast`: the connection closes after it. Never throws. */
     readonly write: (response: ServerResponse, isLast: boolean) => void;
 }
 
-/** One request, and the place of its answer among those of its connection. */
+/** One request, and the means to answer it. */
 export interface CallerExchange {
     readonly request: IncomingMessage;
-    /** When its head was read. */
+    /** When its head was read, by the box's clock. */
     readonly arrivedAt: Milliseconds;
-    /** Aborted when the connection ends; who serves the request may abort it as well. */
+    /** Aborted when the connection closes; the code that serves the request may abort it as well. */
     readonly controller: AbortController;
-    /** Tells a caller that asked first to send its body. */
+    /** Sends 100 Continue to a caller that waits for it before it sends its body. */
     readonly sendContinue: () => void;
-    /** True if requests behind it were begun: an answer to it that ends the connection would lose theirs. */
+    /** True if later requests were started: an answer to this one that closes the connection would lose theirs. */
     readonly hasStartedSuccessors: () => boolean;
-    /** Takes the answer; only the first counts. */
+    /** Queues the answer; calls after the first have no effect. */
     readonly respond: (answer: CallerAnswer) => void;
 }
 
-/** The requests of one connection. */
+/** The state of one connection and its requests. */
 export interface CallerPipeline {
     readonly socket: Socket;
-    /** Read and not answered, in order; the first of them, as many as were begun, are in progress. */
+    /** Requests that were read and not answered, in order; the first `startedCount` of them are in progress. */
     exchanges: QueuedExchange[];
     startedCount: number;
-    /** The latest request as long as it is not whole, or not answered. */
+    /** The latest request, until it is both read completely and answered. */
     latest: QueuedExchange | undefined;
+    /** True while an answer is being written. */
     isWriting: boolean;
-    /** The last answer of what is in progress ends the connection. */
+    /** True if the connection closes after the last answer in progress. */
     isClosing: boolean;
-    /** The last answer was written, or the connection has ended: nothing more is served. */
+    /** True once the last answer is being written or the connection has closed: no further request is served. */
     isFinished: boolean;
-    /** What goes out once all requests that could be read are answered. */
+    /** Raw bytes to send once all requests that could be parsed are answered. */
     pendingErrorResponse: string | undefined;
 }
 
-/** A request that was read. */
+/** A request that was read, with the state that only the pipeline uses. */
 export interface QueuedExchange extends CallerExchange {
     readonly response: ServerResponse;
-    /** Undefined until it matters. */
+    /** Computed on first use; undefined until then. */
     isIdempotent: boolean | undefined;
+    /** The answer, once there is one. */
     ready: CallerAnswer | undefined;
-    /** Its caller asked to be told to send its body and was not: Node ends the connection with the answer. */
+    /** The caller waits for a 100 Continue that was not sent: Node closes the connection with the answer. */
     expectsContinue: boolean;
 }
--- a/packages/box/src/callers/caller-pipeline.ts
+++ b/packages/box/src/callers/caller-pipeline.ts
@@ -1,12 +1,12 @@
 /**
- * The requests of one connection: begun as the rule on pipelining allows, answered
- * in the order in which they came, ended when the connection ends.
+ * The pipelined requests of one connection: started as the rules on pipelining
+ * allow, answered in the order in which they came, aborted when the connection closes.
  *
- * Owns the order of the answers, the count of what is in progress, and which
- * answer ends the connection: plain state a connection, since closures for each
- * cost 2 KB of a connection that rests. Relies on Node for parsing; what is in progress
- * follows the socket, since Node tells only the first response of a connection
- * that it was closed.
+ * Owns the order of the answers, the number of requests in progress, and the
+ * choice of the answer that closes the connection. Keeps this as plain state per
+ * connection, since closures would cost 2 KB for each idle connection. Relies on
+ * Node for parsing. Requests are aborted by the socket's "close" event, since Node
+ * reports a closed connection only to the first response of that connection.
  */
 
 import { mayStartNext, shouldPauseReading } from "@chalkdale/decisions";
@@ -18,39 +18,42 @@
 import { closeGracefully } from "./graceful-close.js";
 import { errorAnswer, rawErrorResponse } from "./invalid-requests.js";
 
+/** What the pipelines need from the box. */
 export interface CallerPipelinesOptions {
     readonly clock: Clock;
-    /** True if a request may run more than once. */
+    /** Returns true if a request may run more than once. */
     readonly isIdempotent: (request: IncomingMessage) => boolean;
-    /** True once callers should use other boxes. */
+    /** Returns true once callers should use other boxes. */
     readonly isLeaving: () => boolean;
-    readonly serve: (turn: CallerExchange) => void;
+    /** Starts to serve a request, which is answered through the exchange. */
+    readonly serve: (exchange: CallerExchange) => void;
 }
 
-/** What happens on connections. */
+/** Handles the events of all connections of one server. */
 export interface CallerPipelines {
+    /** Returns the state of a new connection. */
     readonly open: (socket: Socket) => CallerPipeline;
-    /** `awaitsContinue`: the caller asks to be told to send its body. */
+    /** Queues a request. `awaitsContinue`: the caller waits for 100 Continue before it sends the body. */
     readonly onRequest: (
         pipeline: CallerPipeline,
         request: IncomingMessage,
         response: ServerResponse,
         awaitsContinue: boolean,
     ) => void;
-    /** What came can't be read; the status is given behind all answers, and ends the connection. */
+    /** Handles bytes that can't be parsed: the status is sent after all other answers and closes the connection. */
     readonly onInvalidRequest: (pipeline: CallerPipeline, status: number) => void;
-    /** The connection has ended, and with it all that is in progress. */
+    /** Aborts all unanswered requests of a connection that has closed. */
     readonly onClosed: (pipeline: CallerPipeline) => void;
-    /** Ends the connection if no request waits for its answer. */
+    /** Closes the connection if no request waits for its answer. */
     readonly closeIfIdle: (pipeline: CallerPipeline) => void;
 }
 
-/** Creates what happens on the connections of one server. */
+/** Creates the handlers for the connections of one server. */
 export function createCallerPipelines(options: CallerPipelinesOptions): CallerPipelines {
     return {
         open(socket) {
-            // Node calls it once the last answer was written.
-            socket.destroySoon = endThisInOrder;
+            // Node calls `destroySoon` once the last answer was written.
+            socket.destroySoon = closeThisGracefully;
             return {
                 socket,
                 exchanges: [],
@@ -67,13 +70,13 @@
                 request.resume();
                 return;
             }
-            const turn = createTurn(pipeline, request, response, awaitsContinue);
-            pipeline.latest = turn;
-            pipeline.exchanges.push(turn);
+            const exchange = createExchange(pipeline, request, response, awaitsContinue);
+            pipeline.latest = exchange;
+            pipeline.exchanges.push(exchange);
             if (shouldPauseReading(pipeline.exchanges.length)) {
                 pauseReading(pipeline.socket);
             }
-            goOn(pipeline);
+            advance(pipeline);
         },
         onInvalidRequest(pipeline, status) {
             const { latest } = pipeline;
@@ -81,31 +84,31 @@
                 pipeline.pendingErrorResponse ??= rawErrorResponse(status);
             }
             else {
-                cutOff(pipeline, latest, status);
+                rejectIncomplete(pipeline, latest, status);
             }
-            goOn(pipeline);
+            advance(pipeline);
         },
         onClosed(pipeline) {
-            const { exchanges: turns } = pipeline;
+            const { exchanges } = pipeline;
             pipeline.isFinished = true;
             pipeline.exchanges = [];
             pipeline.startedCount = 0;
-            turns.forEach(turn => turn.controller.abort());
+            exchanges.forEach(exchange => exchange.controller.abort());
         },
         closeIfIdle(pipeline) {
             if (pipeline.exchanges.length === 0) {
-                end(pipeline);
+                close(pipeline);
             }
         },
     };
 
-    function createTurn(
+    function createExchange(
         pipeline: CallerPipeline,
         request: IncomingMessage,
         response: ServerResponse,
         awaitsContinue: boolean,
     ): QueuedExchange {
-        const turn: QueuedExchange = {
+        const exchange: QueuedExchange = {
             request,
             response,
             arrivedAt: options.clock(),
@@ -114,139 +117,145 @@
             ready: undefined,
             expectsContinue: awaitsContinue,
             sendContinue() {
-                turn.expectsContinue = false;
+                exchange.expectsContinue = false;
                 response.writeContinue();
-                goOn(pipeline);
+                advance(pipeline);
             },
-            hasStartedSuccessors: () => pipeline.exchanges.indexOf(turn) < pipeline.startedCount - 1,
+            hasStartedSuccessors: () => pipeline.exchanges.indexOf(exchange) < pipeline.startedCount - 1,
             respond(answer) {
-                if (turn.ready === undefined) {
-                    turn.ready = answer;
+                if (exchange.ready === undefined) {
+                    exchange.ready = answer;
                     pipeline.isClosing ||= answer.closesConnection;
-                    goOn(pipeline);
+                    advance(pipeline);
                 }
             },
         };
-        return turn;
+        return exchange;
     }
 
-    /** The body of the latest request can't be read to its end, so it reached no server. */
-    function cutOff(pipeline: CallerPipeline, turn: QueuedExchange, status: number): void {
-        if (pipeline.exchanges.indexOf(turn) >= pipeline.startedCount) {
+    /** Rejects the latest request, whose body can't be read to its end; it has not reached any server. */
+    function rejectIncomplete(pipeline: CallerPipeline, exchange: QueuedExchange, status: number): void {
+        if (pipeline.exchanges.indexOf(exchange) >= pipeline.startedCount) {
             pipeline.exchanges.pop();
             pipeline.pendingErrorResponse ??= rawErrorResponse(status);
             return;
         }
         pipeline.isClosing = true;
-        turn.respond(errorAnswer(status));
-        // Whoever waits for the rest of the body would hold its memory until the request's time is over.
-        turn.controller.abort();
+        exchange.respond(errorAnswer(status));
+        // Code that waits for the rest of the body would otherwise hold its memory until the request's deadline.
+        exchange.controller.abort();
     }
 
-    /** Begins what may be begun and writes what is due. */
-    function goOn(pipeline: CallerPipeline): void {
-        while (!pipeline.isFinished && mayBeginNext(pipeline)) {
-            begin(pipeline, pipeline.exchanges[pipeline.startedCount]);
+    /** Starts the requests that may be started, and writes the next answer if it is ready. */
+    function advance(pipeline: CallerPipeline): void {
+        while (!pipeline.isFinished && canStartNext(pipeline)) {
+            start(pipeline, pipeline.exchanges[pipeline.startedCount]);
         }
         if (!pipeline.isFinished && !pipeline.isWriting) {
             writeNext(pipeline);
         }
     }
 
-    function mayBeginNext(pipeline: CallerPipeline): boolean {
-        const { startedCount: begun, exchanges: turns } = pipeline;
-        if (begun === turns.length) {
+    function canStartNext(pipeline: CallerPipeline): boolean {
+        const { startedCount, exchanges } = pipeline;
+        if (startedCount === exchanges.length) {
             return false;
         }
-        return begun === 0 || mayStartNext({
-            inProgress: begun,
-            isIdempotent: turns.slice(0, begun + 1).every(isIdempotent),
-            bufferedBytes: turns.reduce((bytes, { ready }) => bytes + (ready?.bytes ?? 0), 0),
-            isClosing: endsWithBegun(pipeline),
+        return startedCount === 0 || mayStartNext({
+            inProgress: startedCount,
+            isIdempotent: exchanges.slice(0, startedCount + 1).every(isIdempotent),
+            bufferedBytes: exchanges.reduce((bytes, { ready }) => bytes + (ready?.bytes ?? 0), 0),
+            isClosing: closesAfterStarted(pipeline),
         });
     }
 
-    /** True if the last answer of what is in progress ends the connection. */
-    function endsWithBegun({ startedCount: begun, isClosing: isEnding, exchanges: turns }: CallerPipeline): boolean {
-        return isEnding || options.isLeaving() || (begun > 0 && turns[begun - 1].expectsContinue);
+    /** True if the connection closes after the last answer in progress. */
+    function closesAfterStarted({ startedCount, isClosing, exchanges }: CallerPipeline): boolean {
+        return isClosing || options.isLeaving() || (startedCount > 0 && exchanges[startedCount - 1].expectsContinue);
     }
 
-    function isIdempotent(turn: QueuedExchange): boolean {
-        return turn.isIdempotent ??= options.isIdempotent(turn.request);
+    function isIdempotent(exchange: QueuedExchange): boolean {
+        return exchange.isIdempotent ??= options.isIdempotent(exchange.request);
     }
 
-    function begin(pipeline: CallerPipeline, turn: QueuedExchange): void {
+    function start(pipeline: CallerPipeline, exchange: QueuedExchange): void {
         pipeline.startedCount += 1;
-        // Its caller says that it sends no other.
-        pipeline.isClosing ||= !turn.response.shouldKeepAlive || asksForUpgrade(turn.request);
-        options.serve(turn);
+        // The caller states that this is its last request on the connection.
+        pipeline.isClosing ||= !exchange.response.shouldKeepAlive || asksForUpgrade(exchange.request);
+        options.serve(exchange);
     }
 
     function writeNext(pipeline: CallerPipeline): void {
-        const { startedCount: begun, exchanges: turns } = pipeline;
-        if (turns.length === 0) {
-            endIfDue(pipeline);
+        const { startedCount, exchanges } = pipeline;
+        if (exchanges.length === 0) {
+            closeIfDue(pipeline);
             return;
         }
-        const [turn] = turns;
-        if (turn.ready === undefined) {
+        const [exchange] = exchanges;
+        if (exchange.ready === undefined) {
             return;
         }
         pipeline.isWriting = true;
-        pipeline.isFinished = begun === 1 && endsWithBegun(pipeline);
-        turn.response.once("close", () => onLeft(pipeline, turn));
-        turn.ready.write(turn.response, pipeline.isFinished);
+        pipeline.isFinished = startedCount === 1 && closesAfterStarted(pipeline);
+        exchange.response.once("close", () => onResponseClosed(pipeline, exchange));
+        exchange.ready.write(exchange.response, pipeline.isFinished);
     }
 
-    function onLeft(pipeline: CallerPipeline, turn: QueuedExchange): void {
-        if (pipeline.exchanges[0] !== turn) {
+    function onResponseClosed(pipeline: CallerPipeline, exchange: QueuedExchange): void {
+        if (pipeline.exchanges[0] !== exchange) {
             return;
         }
         pipeline.isWriting = false;
         pipeline.exchanges.shift();
         pipeline.startedCount -= 1;
-        if (pipeline.latest === turn && turn.request.complete) {
-            // A connection that rests must not keep its last answer.
+        if (pipeline.latest === exchange && exchange.request.complete) {
+            // An idle connection must not keep its last answer in memory.
             pipeline.latest = undefined;
         }
         if (pipeline.isFinished) {
-            dropUnread(pipeline);
+            discardUnstarted(pipeline);
             return;
         }
         if (!shouldPauseReading(pipeline.exchanges.length)) {
             resumeReading(pipeline.socket);
         }
-        goOn(pipeline);
+        advance(pipeline);
     }
 }
 
-/** Node's parser drops what it has read behind such a request, so the caller must know that it was not read. */
+/**
+ * True if a request asks for an upgrade. Node's parser discards what it has read after such a request, so the
+ * connection must close for the caller to know that later requests were not read.
+ */
 function asksForUpgrade({ headers }: IncomingMessage): boolean {
     return headers.upgrade !== undefined && /\bupgrade\b/i.test(headers.connection ?? "");
 }
 
-function endIfDue(pipeline: CallerPipeline): void {
+function closeIfDue(pipeline: CallerPipeline): void {
     if (pipeline.pendingErrorResponse !== undefined) {
         pipeline.socket.write(pipeline.pendingErrorResponse);
-        end(pipeline);
+        close(pipeline);
     }
     else if (pipeline.isClosing) {
-        end(pipeline);
+        close(pipeline);
     }
 }
 
-function end(pipeline: CallerPipeline): void {
+function close(pipeline: CallerPipeline): void {
     pipeline.isFinished = true;
     closeGracefully(pipeline.socket);
 }
 
-/** What was read behind the last answer counts as unread; reading on lets that answer arrive. */
-function dropUnread(pipeline: CallerPipeline): void {
-    pipeline.exchanges.forEach(turn => turn.request.resume());
+/**
+ * Discards requests that were read but not started when the connection closes. Reading goes on, since a close with
+ * unread bytes would reset the connection and lose the last answer.
+ */
+function discardUnstarted(pipeline: CallerPipeline): void {
+    pipeline.exchanges.forEach(exchange => exchange.request.resume());
     pipeline.exchanges = [];
     resumeReading(pipeline.socket);
 }
 
-function endThisInOrder(this: Socket): void {
+function closeThisGracefully(this: Socket): void {
     closeGracefully(this);
 }
--- a/packages/box/src/callers/caller-protocol.ts
+++ b/packages/box/src/callers/caller-protocol.ts
@@ -1,6 +1,6 @@
 /**
- * How callers and backend servers spell what a box means. The deployment
- * supplies it; the box itself knows no header by name.
+ * The header names, paths and formats of the protocol between a box, its callers
+ * and backend servers. The deployment supplies them; the box hard-codes no header name.
  *
  * Owns nothing; `platform/` implements it.
  */
@@ -11,60 +11,62 @@
 /** Header names, in lower case. */
 export interface HeaderNames {
     readonly requestId: string;
-    /** Milliseconds that the sender will wait. */
+    /** Milliseconds for which the sender will wait for an answer. */
     readonly deadline: string;
     readonly affinityKey: string;
-    /** The caller's key. Never passed on to a server. */
+    /** The caller's key. Never forwarded to a server. */
     readonly customerKey: string;
-    /** Name of the customer whose request it is, as the box tells it to a server. */
+    /** Name of the customer that sent the request; set by the box for the server. */
     readonly customer: string;
-    /** The one server that may run the request. */
+    /** Id of the only server that may run the request. */
     readonly expectedServer: string;
-    /** Proof that an answer is the server's own. */
+    /** Proof that an answer comes from the server itself. */
     readonly serverStamp: string;
-    /** The request did not run. */
+    /** Set on an answer to state that the request did not run. */
     readonly notRun: string;
     readonly backendServerId: string;
 }
 
-/** The first part of an answer of a server. */
+/** Status and headers of a server's answer. */
 export interface AnswerHead {
     readonly status: number;
     readonly headers: NodeJS.Dict<string | string[]>;
 }
 
-/** What an answer of a server says of the rate that the server takes. */
+/** The rate limit that a server reports in an answer. */
 export type ParsedRateLimit =
     /** Requests a second, from all boxes together. */
     | { readonly kind: "named"; readonly rate: number; }
     | { readonly kind: "none"; }
-    /** Something stands there that is no rate. */
+    /** The header is there but holds no valid rate. */
     | { readonly kind: "unreadable"; readonly text: string; };
 
-/** What an answer of a server says of the time for which the server wants nothing from this box. */
+/** The back-off that a server asks for in an answer: for how long this box should send it no requests. */
 export type ParsedBackoff =
     | { readonly kind: "asked"; readonly duration: Milliseconds; }
     | { readonly kind: "none"; }
-    /** Something stands there that is no time. */
+    /** The header is there but holds no valid time. */
     | { readonly kind: "unreadable"; readonly text: string; };
 
-/** Header names as they are written, and how values and paths are read. */
+/** Header names, paths, and the functions that read and write their values. */
 export interface CallerProtocol {
     readonly headers: HeaderNames;
     readonly readinessPath: string;
     readonly lookupPath: string;
-    /** Reads where a caller of the directory is from the query. */
+    /** Reads a caller's region and zone from the query of a directory look-up. */
     readonly readCallerLocality: (query: URLSearchParams) => CallerLocality;
+    /** Writes the body of a look-up's answer; `lifetime` is how long callers may cache it. */
     readonly writeLookup: (addresses: readonly string[], lifetime: Milliseconds) => string;
-    /** Reads the load that a server reports, if it does. */
+    /** Reads the load that a server reports; undefined if it reports none. */
     readonly readLoad: (headers: NodeJS.Dict<string | string[]>) => LoadReport | undefined;
-    /** Reads how much longer a server says that it is cold. */
+    /** Reads for how much longer a server reports to be cold; undefined if it reports nothing. */
     readonly readColdFor: (headers: NodeJS.Dict<string | string[]>) => Milliseconds | undefined;
-    /** True if a server says that it is leaving. */
+    /** Returns true if a server announces that it is leaving. */
     readonly readLeaving: (headers: NodeJS.Dict<string | string[]>) => boolean;
-    /** Reads for how long a server that turns a request away wants nothing from this box. */
+    /** Reads the back-off that a server asks for when it rejects a request. */
     readonly readBackoff: (answer: AnswerHead) => ParsedBackoff;
-    /** Reads the rate that a server names. */
+    /** Reads the rate limit that a server reports. */
     readonly readRateLimit: (headers: NodeJS.Dict<string | string[]>) => ParsedRateLimit;
+    /** Reads the id of the server that sent the answer; undefined without one. */
     readonly readServerId: (headers: NodeJS.Dict<string | string[]>) => BackendServerId | undefined;
 }
--- a/packages/box/src/callers/caller-server.ts
+++ b/packages/box/src/callers/caller-server.ts
@@ -1,8 +1,8 @@
 /**
- * The listeners of a box that callers and the deployment reach: requests,
- * readiness, the directory, and the box's metrics.
+ * Starts the HTTP listeners of a box: requests of callers, readiness, the
+ * directory, and the box's metrics.
  *
- * Owns the sockets; what they answer is handed in.
+ * Owns the listening sockets; the handlers are passed in.
  */
 
 import type { MemberRecord } from "@chalkdale/decisions";
@@ -15,16 +15,18 @@
 import type { CallerProtocol } from "./caller-protocol.js";
 import { createDirectoryListener, createMetricsListener, createReadinessListener } from "./listeners.js";
 
+/** Settings of the listeners, and the sources of their answers. */
 export interface CallerServerOptions {
     readonly log: Log;
     readonly protocol: CallerProtocol;
     readonly settings: BoxSettings;
     readonly pipelines: CallerPipelinesOptions;
     readonly isReady: () => boolean;
-    /** Boxes to which callers may be sent. */
+    /** Returns the boxes that the directory may hand out. */
     readonly inService: () => readonly MemberRecord[];
     /** Called for each look-up at the directory. */
     readonly onLookup: () => void;
+    /** Returns the metrics in Prometheus text format. */
     readonly metricsText: () => string;
 }
 
@@ -33,37 +35,37 @@
     readonly connections: CallerConnections;
     /** Sets how long an idle connection of a caller is kept; a margin is added. */
     readonly setIdleTimeout: (timeout: Milliseconds) => void;
+    /** Stops listening; open connections stay. */
     readonly close: () => void;
 }
 
-/** Path of the metrics. */
 const metricsPath = "/metrics";
-/** Bytes of a request's head that Node takes; what the configuration allows is less. */
-const largestHead = 64 * 1024;
-/** Milliseconds added to the idle time that callers know, so that a connection isn't closed as they use it. */
+/** Largest head of a request that Node's parser accepts, in bytes; the configuration's own limit is lower. */
+const maxHeadBytes = 64 * 1024;
+/** Milliseconds added to the idle timeout that callers know: the box must not close a connection as they reuse it. */
 const idleMargin = 1000;
 
-/** Starts to listen. */
+/** Starts all listeners. A listener that fails is logged and sets the process's exit code. */
 export function startCallerServer(options: CallerServerOptions): CallerServer {
     const { protocol, settings } = options;
-    const callers = createServer({
-        maxHeaderSize: largestHead,
+    const callerServer = createServer({
+        maxHeaderSize: maxHeadBytes,
         requestTimeout: 0,
         noDelay: true,
-        // The pipeline answers such requests itself.
+        // The pipeline answers requests without a Host header itself.
         requireHostHeader: false,
     });
-    const connections = serveCallers(callers, options.pipelines);
-    const directory = createDirectoryListener({
+    const connections = serveCallers(callerServer, options.pipelines);
+    const directoryListener = createDirectoryListener({
         protocol,
         lifetime: settings.bounds.lookupLifetime,
         onLookup: options.onLookup,
         inService: options.inService,
     });
     const servers = [
-        listen(callers, settings.callers),
+        listen(callerServer, settings.callers),
         listen(createServer(createReadinessListener(protocol, options.isReady)), settings.readiness),
-        listen(createServer(directory), settings.directory),
+        listen(createServer(directoryListener), settings.directory),
     ];
     if (settings.metrics !== undefined) {
         servers.push(listen(createServer(createMetricsListener(metricsPath, options.metricsText)), settings.metrics));
@@ -72,7 +74,7 @@
     return {
         connections,
         setIdleTimeout(timeout) {
-            callers.keepAliveTimeout = timeout + idleMargin;
+            callerServer.keepAliveTimeout = timeout + idleMargin;
         },
         close: () => servers.forEach(server => server.close()),
     };
--- a/packages/box/src/callers/graceful-close.ts
+++ b/packages/box/src/callers/graceful-close.ts
@@ -1,20 +1,20 @@
 /**
- * Ends a caller's connection so that what was written still arrives.
+ * Closes a caller's connection such that the answers already written still arrive.
  *
- * A connection that is closed while the caller's bytes lie unread is reset, and a
- * reset overtakes the answers that are on their way: a caller that pipelines would
- * lose its last ones. So the end goes out first, and what still comes is read and
- * dropped until the caller ends its side.
+ * TCP resets a connection that is closed with unread bytes, and a reset discards
+ * answers that are still in transit: a caller that pipelines would lose its last
+ * ones. So the box half-closes first, then reads and discards what still comes
+ * until the caller closes its side.
  */
 
 import type { Socket } from "node:net";
 
-/** Milliseconds for which a caller may leave its side open: longer than the way there and back. */
-const longestLinger = 1000;
+/** Milliseconds for which a caller may keep its side open; longer than a round trip. */
+const lingerTimeout = 1000;
 
-/** Sends the end behind what was written; closes once the caller has ended too, or after a while. */
+/** Half-closes behind what was written; closes fully once the caller has, or after {@link lingerTimeout}. */
 export function closeGracefully(socket: Socket): void {
     socket.end();
-    const timer = setTimeout(() => socket.destroy(), longestLinger).unref();
+    const timer = setTimeout(() => socket.destroy(), lingerTimeout).unref();
     socket.once("close", () => clearTimeout(timer));
 }
--- a/packages/box/src/callers/invalid-requests.ts
+++ b/packages/box/src/callers/invalid-requests.ts
@@ -1,26 +1,26 @@
 /**
- * What callers get for bytes that are no request, or no whole one.
+ * The answers to bytes that are not a valid or not a complete request.
  *
- * Owns nothing; the codes are those of Node's parser.
+ * Owns nothing; relies on the error codes of Node's HTTP parser.
  */
 
 import { STATUS_CODES } from "node:http";
 import type { CallerAnswer } from "./caller-exchange.js";
 
-/** HTTP's status for what is no request. */
+/** Status for bytes that can't be parsed as a request. */
 const badRequest = 400;
-const statusOfCode: Readonly<Record<string, number>> = {
+const statusByCode: Readonly<Record<string, number>> = {
     HPE_HEADER_OVERFLOW: 431,
     HPE_CHUNK_EXTENSIONS_OVERFLOW: 413,
     ERR_HTTP_REQUEST_TIMEOUT: 408,
 };
-/** Begins the codes of what can't be parsed; other codes say that the connection itself failed. */
-const parserCode = "HPE_";
+/** Prefix of the codes of parse errors; other codes mean that the connection itself failed. */
+const parseErrorPrefix = "HPE_";
 
-/** Returns the status by the code of the error; undefined if the connection failed, which leaves nobody to answer. */
+/** Returns the status for an error code; undefined if the connection failed, so that no answer can be sent. */
 export function statusOfParseError(code: string | undefined): number | undefined {
-    const status = statusOfCode[code ?? ""];
-    return status ?? (code?.startsWith(parserCode) === true ? badRequest : undefined);
+    const status = statusByCode[code ?? ""];
+    return status ?? (code?.startsWith(parseErrorPrefix) === true ? badRequest : undefined);
 }
 
 /** Returns the answer to a request whose body can't be read to its end. */
@@ -35,7 +35,7 @@
     };
 }
 
-/** Returns the answer as bytes, for what has no response since no request could be read. */
+/** Returns an answer as raw HTTP, for errors without a response object since no request could be parsed. */
 export function rawErrorResponse(status: number): string {
     return `HTTP/1.1 ${status} ${STATUS_CODES[status]}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n`;
 }
--- a/packages/box/src/callers/listeners.ts
+++ b/packages/box/src/callers/listeners.ts
@@ -1,8 +1,8 @@
 /**
- * The listeners that callers and the deployment ask: which boxes to use, and
- * whether this one is ready, and its own figures.
+ * HTTP listeners for the directory (which boxes a caller should use), for the
+ * readiness of this box, and for its metrics.
  *
- * Owns no state: what they answer is read at each question.
+ * Owns no state: each request reads the current values.
  */
 
 import { chooseBoxAddresses, type MemberRecord } from "@chalkdale/decisions";
@@ -10,29 +10,31 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { CallerProtocol } from "./caller-protocol.js";
 
+/** Settings of the directory, and the boxes that it hands out. */
 export interface DirectoryOptions {
     readonly protocol: CallerProtocol;
-    /** How long callers may keep an answer. */
+    /** How long callers may cache an answer. */
     readonly lifetime: Milliseconds;
+    /** Returns the boxes that may be handed out. */
     readonly inService: () => readonly MemberRecord[];
     /** Called for each look-up. */
     readonly onLookup: () => void;
 }
 
-/** Returns the listener of the directory. */
+/** Creates the listener of the directory, which answers 503 while no box is in service. */
 export function createDirectoryListener(options: DirectoryOptions) {
     return (request: IncomingMessage, response: ServerResponse): void => {
         const url = request.url ?? "/";
         const [path, query = ""] = url.split("?", 2);
         if (path !== options.protocol.lookupPath) {
-            end(response, 404);
+            endWithStatus(response, 404);
             return;
         }
         options.onLookup();
-        const place = options.protocol.readCallerLocality(new URLSearchParams(query));
-        const addresses = chooseBoxAddresses(options.inService(), place);
+        const locality = options.protocol.readCallerLocality(new URLSearchParams(query));
+        const addresses = chooseBoxAddresses(options.inService(), locality);
         if (addresses.length === 0) {
-            end(response, 503);
+            endWithStatus(response, 503);
             return;
         }
         const body = options.protocol.writeLookup(addresses, options.lifetime);
@@ -42,29 +44,29 @@
     };
 }
 
-/** Returns the listener that says whether the box is ready. */
+/** Creates the listener that answers 200 if the box is ready, else 503. */
 export function createReadinessListener(protocol: CallerProtocol, isReady: () => boolean) {
     return (request: IncomingMessage, response: ServerResponse): void => {
         if (request.url !== protocol.readinessPath) {
-            end(response, 404);
+            endWithStatus(response, 404);
             return;
         }
-        end(response, isReady() ? 200 : 503);
+        endWithStatus(response, isReady() ? 200 : 503);
     };
 }
 
-/** Returns the listener that serves the box's metrics. */
-export function createMetricsListener(path: string, text: () => string) {
+/** Creates the listener that serves the box's metrics at a path. */
+export function createMetricsListener(path: string, metricsText: () => string) {
     return (request: IncomingMessage, response: ServerResponse): void => {
         if (request.url !== path) {
-            end(response, 404);
+            endWithStatus(response, 404);
             return;
         }
-        response.writeHead(200, { "Content-Type": "text/plain; version=0.0.4" }).end(text());
+        response.writeHead(200, { "Content-Type": "text/plain; version=0.0.4" }).end(metricsText());
     };
 }
 
-function end(response: ServerResponse, status: number): void {
+function endWithStatus(response: ServerResponse, status: number): void {
     response.sendDate = false;
     response.writeHead(status, { "Content-Length": 0 }).end();
 }
--- a/packages/box/test/caller-connections.test.ts
+++ b/packages/box/test/caller-connections.test.ts
@@ -6,7 +6,7 @@
 
 const answerSize = 24 * 1024 * 1024;
 
-describe("connections of callers [P7]", () => {
+describe("caller connections [P7]", () => {
     let server: Server;
     let connections: CallerConnections;
     let port: number;
@@ -17,8 +17,8 @@
             clock: () => milliseconds(0),
             isIdempotent: () => true,
             isLeaving: () => false,
-            serve: turn =>
-                turn.respond({
+            serve: exchange =>
+                exchange.respond({
                     bytes: answerSize,
                     closesConnection: false,
                     write: response => {
@@ -35,7 +35,7 @@
         server.close();
     });
 
-    it("that still carry an answer are not ended with the idle ones", async () => {
+    it("stay open while an answer is still leaving, when idle ones are closed", async () => {
         const response = await new Promise<IncomingMessage>(resolve => get({ host: "127.0.0.1", port }, resolve));
         connections.closeIdle();
         let size = 0;
@@ -45,7 +45,7 @@
         expect(size).to.equal(answerSize);
     });
 
-    it("that rest are ended", async () => {
+    it("are closed while idle", async () => {
         const socket = connect(port, "127.0.0.1");
         await new Promise(resolve => server.once("connection", resolve));
         const ended = new Promise(resolve => socket.once("end", resolve));
--- a/packages/box/test/caller-pipeline.test.ts
+++ b/packages/box/test/caller-pipeline.test.ts
@@ -1,5 +1,5 @@
 /**
- * The pipeline of a connection over real sockets, with answers that the test gives.
+ * Runs the pipeline of a connection over real sockets; the test supplies the answers.
  */
 
 import { milliseconds } from "@chalkdale/kernel";
@@ -15,34 +15,34 @@
 describe("the pipeline of a connection", () => {
     let server: Server;
     let connections: CallerConnections;
-    let turns: CallerExchange[];
+    let exchanges: CallerExchange[];
     let caller: Socket;
     let received: string;
     let isLeaving: boolean;
-    /** Each request that is begun is refused at once. */
-    let refusesAll: boolean;
-    /** Heads that Node has parsed. */
-    let parsed: number;
+    /** True if each request is refused as soon as it is started. */
+    let refusesImmediately: boolean;
+    /** Number of request heads that Node has parsed. */
+    let parsedCount: number;
 
     beforeEach(async () => {
-        turns = [];
+        exchanges = [];
         received = "";
         isLeaving = false;
-        refusesAll = false;
-        parsed = 0;
+        refusesImmediately = false;
+        parsedCount = 0;
         server = createServer();
         connections = serveCallers(server, {
             clock: () => milliseconds(0),
             isIdempotent: request => request.method === "GET",
             isLeaving: () => isLeaving,
-            serve: turn => {
-                turns.push(turn);
-                if (refusesAll) {
-                    turn.respond(refusalAnswer("noRoute"));
+            serve: exchange => {
+                exchanges.push(exchange);
+                if (refusesImmediately) {
+                    exchange.respond(refusalAnswer("noRoute"));
                 }
             },
         });
-        server.on("request", () => parsed++);
+        server.on("request", () => parsedCount++);
         server.listen(0, "127.0.0.1");
         await once(server, "listening");
         caller = connect((server.address() as AddressInfo).port, "127.0.0.1");
@@ -58,7 +58,8 @@
         server.close();
     });
 
-    const textOf = (path: string, padding = "") => `GET ${path} HTTP/1.1\r\nHost: a\r\nPadding: ${padding}\r\n\r\n`;
+    const requestText = (path: string, padding = "") =>
+        `GET ${path} HTTP/1.1\r\nHost: a\r\nPadding: ${padding}\r\n\r\n`;
     const answerWith = (body: string | Buffer, changes: Partial<ServerAnswer> = {}): CallerAnswer =>
         forwardAnswer({
             status: 200,
@@ -71,116 +72,118 @@
         }, () => undefined);
     const statuses = () => [...received.matchAll(/HTTP\/1\.1 (\d+)/g)].map(([, status]) => Number(status));
 
-    async function until(condition: () => boolean, what: string): Promise<void> {
+    async function until(condition: () => boolean, description: string): Promise<void> {
         const end = performance.now() + 10_000;
         while (!condition()) {
             if (performance.now() > end) {
-                throw new Error(`did not come about: ${what}`);
+                throw new Error(`timed out waiting until ${description}`);
             }
             await new Promise(resolve => setTimeout(resolve, 5));
         }
     }
 
-    describe("with more requests than it takes", () => {
-        it("stops reading its socket, and reads on once there is room", async () => {
+    describe("with more requests than it may read ahead", () => {
+        it("stops reading its socket, and resumes once requests are answered", async () => {
             const count = 20_000;
             const padding = "x".repeat(1000);
             for (let index = 0; index < count; index++) {
-                caller.write(textOf("/", padding));
+                caller.write(requestText("/", padding));
             }
-            await until(() => turns.length === 8, "some are begun");
-            await until(() => caller.bytesWritten > 0 && caller.writableLength > 0, "the caller's sending is stopped");
+            await until(() => exchanges.length === 8, "as many as allowed are started");
+            await until(() => caller.bytesWritten > 0 && caller.writableLength > 0, "the caller's sending is blocked");
             await settle();
-            expect(parsed).to.be.lessThan(500);
-            expect(turns.length).to.equal(8);
-            refusesAll = true;
-            turns.forEach(turn => turn.respond(refusalAnswer("noRoute")));
-            await until(() => turns.length === count && connections.inFlight() === 0, "all are answered");
-            expect(parsed).to.equal(count);
+            expect(parsedCount).to.be.lessThan(500);
+            expect(exchanges.length).to.equal(8);
+            refusesImmediately = true;
+            exchanges.forEach(exchange => exchange.respond(refusalAnswer("noRoute")));
+            await until(() => exchanges.length === count && connections.inFlight() === 0, "all are answered");
+            expect(parsedCount).to.equal(count);
         });
 
-        /** Waits until nothing more is parsed: as long as the box would take for much more than is allowed. */
+        /** Waits until no head was parsed for 200 ms: a box without the limit would parse many more in that time. */
         async function settle(): Promise<void> {
             let before = -1;
-            while (before !== parsed) {
-                before = parsed;
+            while (before !== parsedCount) {
+                before = parsedCount;
                 await new Promise(resolve => setTimeout(resolve, 200));
             }
         }
     });
 
     describe("with ready answers behind a slow one", () => {
-        it("begins no more once they hold much memory, and goes on when they have left", async () => {
-            caller.write(["/0", "/1", "/2"].map(path => textOf(path)).join(""));
-            await until(() => turns.length === 3, "three are begun");
+        it("starts no more once they hold too much memory, and continues when they have left", async () => {
+            caller.write(["/0", "/1", "/2"].map(path => requestText(path)).join(""));
+            await until(() => exchanges.length === 3, "three are started");
             const large = Buffer.alloc(128 * 1024, "x");
-            turns[1].respond(answerWith(large));
-            turns[2].respond(answerWith(large));
-            caller.write(textOf("/3"));
-            await until(() => parsed === 4, "the fourth is read");
-            expect(turns.length).to.equal(3);
-            turns[0].respond(answerWith("first"));
-            await until(() => turns.length === 4 && statuses().length === 3, "the fourth is begun");
+            exchanges[1].respond(answerWith(large));
+            exchanges[2].respond(answerWith(large));
+            caller.write(requestText("/3"));
+            await until(() => parsedCount === 4, "the fourth is read");
+            expect(exchanges.length).to.equal(3);
+            exchanges[0].respond(answerWith("first"));
+            await until(() => exchanges.length === 4 && statuses().length === 3, "the fourth is started");
             expect(statuses()).to.deep.equal([200, 200, 200]);
         });
     });
 
-    describe("that ends", () => {
-        it("aborts exactly what is not answered, and counts nothing any more [P12]", async () => {
-            caller.write([0, 1, 2].map(index => textOf(`/${index}`)).join(""));
-            await until(() => turns.length === 3, "three are begun");
-            turns[0].respond(refusalAnswer("noRoute"));
-            await until(() => connections.inFlight() === 2, "the first has its answer");
-            turns[2].respond(refusalAnswer("noRoute"));
+    describe("that closes", () => {
+        it("aborts exactly the unanswered requests, and counts none as in flight [P12]", async () => {
+            caller.write([0, 1, 2].map(index => requestText(`/${index}`)).join(""));
+            await until(() => exchanges.length === 3, "three are started");
+            exchanges[0].respond(refusalAnswer("noRoute"));
+            await until(() => connections.inFlight() === 2, "the first is answered");
+            exchanges[2].respond(refusalAnswer("noRoute"));
             caller.resetAndDestroy();
-            await until(() => connections.count() === 0, "the connection has ended");
-            expect(turns.map(turn => turn.controller.signal.aborted)).to.deep.equal([false, true, true]);
+            await until(() => connections.count() === 0, "the connection has closed");
+            expect(exchanges.map(exchange => exchange.controller.signal.aborted)).to.deep.equal([false, true, true]);
             expect(connections.inFlight()).to.equal(0);
-            turns[1].respond(refusalAnswer("noRoute"));
+            exchanges[1].respond(refusalAnswer("noRoute"));
             expect(connections.inFlight()).to.equal(0);
         });
 
-        it("lets a large last answer arrive though requests behind it were not read [P7]", async () => {
+        it("delivers a large last answer although requests behind it were not read [P7]", async () => {
             const size = 512 * 1024;
             isLeaving = true;
             caller.pause();
-            caller.write(textOf("/0") + textOf("/1", "x".repeat(8000)).repeat(300));
-            await until(() => turns.length === 1, "the first is begun");
-            turns[0].respond(answerWith(Buffer.alloc(size, "x")));
+            caller.write(requestText("/0") + requestText("/1", "x".repeat(8000)).repeat(300));
+            await until(() => exchanges.length === 1, "the first is started");
+            exchanges[0].respond(answerWith(Buffer.alloc(size, "x")));
             await until(() => connections.inFlight() === 0, "the answer has left the process");
             await new Promise(resolve => setTimeout(resolve, 100));
             caller.resume();
             await once(caller, "close");
             expect(received.length - received.indexOf("\r\n\r\n") - 4).to.equal(size);
-            expect(turns.length).to.equal(1);
+            expect(exchanges.length).to.equal(1);
         });
     });
 
-    describe("with an answer given twice, or one that can't be written", () => {
-        it("takes the first, and leaves the others alone", async () => {
-            caller.write(textOf("/0") + textOf("/1"));
-            await until(() => turns.length === 2, "two are begun");
-            turns[1].respond(answerWith("second"));
-            turns[1].respond(refusalAnswer("internalFault"));
-            turns[0].respond(answerWith("first", { status: 7 }));
-            turns[0].respond(refusalAnswer("noRoute"));
+    describe("with a second answer to one request, or one that can't be written", () => {
+        it("sends the first answer, and does not affect other requests", async () => {
+            caller.write(requestText("/0") + requestText("/1"));
+            await until(() => exchanges.length === 2, "two are started");
+            exchanges[1].respond(answerWith("second"));
+            exchanges[1].respond(refusalAnswer("internalFault"));
+            exchanges[0].respond(answerWith("first", { status: 7 }));
+            exchanges[0].respond(refusalAnswer("noRoute"));
             await until(() => statuses().length === 2, "both are answered");
             expect(statuses()).to.deep.equal([500, 200]);
             expect(connections.inFlight()).to.equal(0);
         });
     });
 
-    describe("whose caller asks for other than it may", () => {
-        it("begins what must not run twice only behind all others", async () => {
-            caller.write(`${textOf("/0")}POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nab${textOf("/2")}`);
-            await until(() => parsed === 3, "all are read");
-            expect(turns.length).to.equal(1);
-            turns[0].respond(refusalAnswer("noRoute"));
-            await until(() => turns.length === 2, "the second is begun");
+    describe("with a request that may not run twice", () => {
+        it("starts it only once all earlier ones are answered, and later ones only after it", async () => {
+            caller.write(
+                `${requestText("/0")}POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nab${requestText("/2")}`,
+            );
+            await until(() => parsedCount === 3, "all are read");
+            expect(exchanges.length).to.equal(1);
+            exchanges[0].respond(refusalAnswer("noRoute"));
+            await until(() => exchanges.length === 2, "the second is started");
             await new Promise(resolve => setImmediate(resolve));
-            expect(turns.length).to.equal(2);
-            turns[1].respond(refusalAnswer("noRoute"));
-            await until(() => turns.length === 3, "the third is begun");
+            expect(exchanges.length).to.equal(2);
+            exchanges[1].respond(refusalAnswer("noRoute"));
+            await until(() => exchanges.length === 3, "the third is started");
         });
     });
 });
