--- a/packages/box/src/callers/invalid-requests.ts
+++ b/packages/box/src/callers/invalid-requests.ts
@@ -9,6 +9,7 @@
 
 /** Status for bytes that can't be parsed as a request. */
 const badRequest = 400;
+/** Statuses of parser errors other than 400, by error code. */
 const statusByCode: Readonly<Record<string, number>> = {
     HPE_HEADER_OVERFLOW: 431,
     HPE_CHUNK_EXTENSIONS_OVERFLOW: 413,
