--- a/packages/box/src/servers/box-server-catalog.ts
+++ b/packages/box/src/servers/box-server-catalog.ts
@@ -1,8 +1,8 @@
 /**
- * The catalog of servers as a box has it: what a cold server gets, and one that
- * names a limit, is bounded by rates that this box shares with others.
+ * The catalog of servers of one box. Requests to a cold server, and to one that
+ * reports a rate limit, are limited to a rate that this box shares with others.
  *
- * Owns nothing; relies on the shared limits for who may send to such a server.
+ * Owns nothing; relies on the shared limits for the boxes that may send to such a server.
  */
 
 import {
@@ -17,7 +17,7 @@
 import type { ServiceId } from "@chalkdale/kernel";
 import type { BoxSettings } from "../settings.js";
 
-/** Creates the catalog; empty at first. `coldRateOf`: requests a second to a cold server, from all boxes together. */
+/** Creates an empty catalog. `coldRateOf`: requests a second to a cold server, from all boxes together. */
 export function createBoxServerCatalog(
     settings: BoxSettings,
     limits: SharedLimits,
--- a/packages/box/src/servers/exchange.ts
+++ b/packages/box/src/servers/exchange.ts
@@ -1,9 +1,9 @@
 /**
  * One request to one backend server and its whole answer.
  *
- * An answer counts only if it carries the request's id, is framed, and came
- * whole. Whatever else comes over the connection breaks the exchange, and the
- * connection is not used again.
+ * An answer is accepted only if it carries the request's id and is complete;
+ * `framed` says whether its length or its chunks prove that. Any other data or
+ * error on the connection breaks the exchange, and the connection is not reused.
  */
 
 import type { Milliseconds } from "@chalkdale/kernel";
@@ -11,14 +11,14 @@
 import type { Socket } from "node:net";
 import type { HeaderNames } from "../callers/caller-protocol.js";
 
-/** A whole answer of a server. */
+/** A complete answer of a server. */
 export interface ServerAnswer {
     readonly status: number;
-    /** Names and values in turn, as received. */
+    /** Alternating names and values, as received. */
     readonly rawHeaders: readonly string[];
     readonly headers: NodeJS.Dict<string | string[]>;
     readonly body: Buffer;
-    /** True if it had a length or chunks, which show whether it is whole. */
+    /** True if a length, chunks or a status without a body show that it is complete. */
     readonly framed: boolean;
     /** True if the connection may carry another request. */
     readonly reusable: boolean;
@@ -27,29 +27,32 @@
 /** How an exchange ended. */
 export type ExchangeOutcome =
     | { readonly kind: "answer"; readonly answer: ServerAnswer; }
-    /** The connection ended or spoiled the answer; the request may have run. `closedByServer`: the server's side ended the connection. */
+    /**
+     * The connection ended, or it carried no valid answer; the request may have run. `closedByServer`: the server
+     * closed the connection.
+     */
     | { readonly kind: "broken"; readonly reason: string; readonly closedByServer?: boolean; }
-    /** The owner aborted it. */
+    /** Aborted by `ExchangeOptions.signal`. */
     | { readonly kind: "cancelled"; };
 
 export interface ExchangeOptions {
     readonly socket: Socket;
     readonly method: string;
     readonly path: string;
-    /** Names and values in turn. */
+    /** Alternating names and values. */
     readonly rawHeaders: readonly string[];
     readonly body: Buffer;
     readonly requestId: string | undefined;
     readonly headers: Pick<HeaderNames, "requestId">;
     readonly signal: AbortSignal;
-    /** Called when the answer begins. */
+    /** Called when the head of the answer arrives. */
     readonly onHead?: () => void;
 }
 
-/** Largest answer that is taken in whole, in bytes; downloads of 90 KB are usual. It bounds the memory of a box. */
-const largestAnswer = 32 * 1024 * 1024;
+/** Bounds the memory that an answer takes in a box; typical downloads have 90 KB. */
+const maxAnswerBytes = 32 * 1024 * 1024;
 
-/** Sends the request and resolves with how it ended. Never rejects. */
+/** Sends the request and resolves to its outcome. Never rejects. */
 export function exchange(options: ExchangeOptions): Promise<ExchangeOutcome> {
     const { socket, signal } = options;
     return new Promise(resolve => {
@@ -70,7 +73,7 @@
             settle({ kind: "broken", reason: String(error) });
             return;
         }
-        // Without an agent Node takes every connection as the last of its kind, whatever the headers say.
+        // Without an agent, Node treats each connection as not reusable, whatever the headers say.
         request.shouldKeepAlive = true;
         request.on(
             "error",
@@ -90,7 +93,7 @@
             options.onHead?.();
             const answeredId = response.headers[options.headers.requestId];
             if (options.requestId !== undefined && answeredId !== options.requestId) {
-                settle({ kind: "broken", reason: "answer of another request" });
+                settle({ kind: "broken", reason: "answer to another request" });
                 return;
             }
             isComplete = () => response.complete;
@@ -99,18 +102,18 @@
             response.on("data", (chunk: Buffer) => {
                 chunks.push(chunk);
                 size += chunk.length;
-                if (size > largestAnswer) {
+                if (size > maxAnswerBytes) {
                     settle({ kind: "broken", reason: "answer too large" });
                 }
             });
             response.on("error", error => settle({ kind: "broken", reason: error.message }));
-            response.on("aborted", () => settle({ kind: "broken", reason: "answer cut off", closedByServer: true }));
+            response.on("aborted", () => settle({ kind: "broken", reason: "answer truncated", closedByServer: true }));
             response.on("end", () => onEnd(response, chunks));
         }
 
         function onEnd(response: IncomingMessage, chunks: Buffer[]): void {
             if (!response.complete || !isFramed(response) && socket.errored) {
-                settle({ kind: "broken", reason: "answer cut off" });
+                settle({ kind: "broken", reason: "answer truncated" });
                 return;
             }
             const isSent = request.writableFinished && socket.writableLength === 0;
@@ -137,13 +140,16 @@
             if (outcome.kind !== "answer" || !outcome.answer.reusable) {
                 socket.on("error", () => undefined);
                 request?.on("error", () => undefined);
-                end(outcome);
+                closeSocket(outcome);
             }
             resolve(outcome);
         }
 
-        /** Of a request that is given up nothing may arrive later: after an end in order the kernel would go on sending it. */
-        function end(outcome: ExchangeOutcome): void {
+        /**
+         * Resets the connection of a cancelled request: after an orderly close the kernel would still send its buffered
+         * bytes.
+         */
+        function closeSocket(outcome: ExchangeOutcome): void {
             if (outcome.kind === "cancelled") {
                 socket.resetAndDestroy();
                 return;
@@ -153,7 +159,9 @@
     });
 }
 
-/** Codes of an error by which a connection was ended or reset; others are of bytes that make no sense. */
+/**
+ * Error codes of a connection that was closed or reset. Other errors mean that the received bytes are not valid HTTP.
+ */
 const connectionEndCodes = new Set(["ECONNRESET", "EPIPE"]);
 
 function isConnectionEnd({ code = "" }: NodeJS.ErrnoException): boolean {
@@ -167,12 +175,12 @@
 
 const statusesWithoutBody = new Set([204, 304]);
 
-/** Milliseconds of a second, the unit of the header. */
-const millisecondsOfSecond = 1000;
+/** The Keep-Alive header gives its timeout in seconds. */
+const millisecondsPerSecond = 1000;
 const keepAliveTimeout = /timeout=(\d+)/;
 
-/** Reads how long a server keeps an idle connection, if it says so. */
+/** Reads how long a server keeps idle connections open; undefined if its answer does not say. */
 export function readKeepAlive(headers: NodeJS.Dict<string | string[]>): Milliseconds | undefined {
     const match = keepAliveTimeout.exec(String(headers["keep-alive"] ?? ""));
-    return match === null ? undefined : (Number(match[1]) * millisecondsOfSecond) as Milliseconds;
+    return match === null ? undefined : (Number(match[1]) * millisecondsPerSecond) as Milliseconds;
 }
--- a/packages/box/src/servers/health-checker.ts
+++ b/packages/box/src/servers/health-checker.ts
@@ -1,8 +1,9 @@
 /**
- * Health checks of ejected servers, to learn when they are back. Servers that
- * answer requests are not checked: each check is paid for and waits for a slot.
+ * Health checks of ejected servers, which find out when a server has recovered.
+ * Servers that answer requests are not checked: each check is billed and has to
+ * wait for a slot of the server.
  *
- * Owns the checks that run; when one is due is decided by the ejection.
+ * Owns the running checks; the server's ejection decides when one is due.
  */
 
 import type { BackendServer, ServerCatalog } from "@chalkdale/decisions";
@@ -25,10 +26,10 @@
     readonly signal: AbortSignal;
 }
 
-/** Milliseconds for a check, its wait for a slot included: about one request of cold work. */
+/** Milliseconds for a check, including its wait for a slot: about one request at a cold server. */
 const healthCheckTimeout = 600;
 
-/** Returns the function that makes the checks which are due. */
+/** Returns a function that starts all health checks that are due. */
 export function createHealthChecker(options: HealthCheckerOptions): () => void {
     const { clock, log, protocol } = options;
     const running = new Set<BackendServer>();
@@ -39,17 +40,17 @@
             const dueAt = server.state.healthCheckDueAt();
             if (dueAt !== undefined && now >= dueAt && !running.has(server)) {
                 running.add(server);
-                void run(server).finally(() => running.delete(server));
+                void runHealthCheck(server).finally(() => running.delete(server));
             }
         }
     };
 
-    async function run(server: BackendServer): Promise<void> {
+    async function runHealthCheck(server: BackendServer): Promise<void> {
         const path = options.healthPathOf(server);
         if (path === undefined) {
             return;
         }
-        const healthy = await check(server, path);
+        const healthy = await isHealthy(server, path);
         if (options.signal.aborted) {
             return;
         }
@@ -57,7 +58,7 @@
         log.info("server.probed", { server: server.id, healthy });
     }
 
-    function check(server: BackendServer, path: string): Promise<boolean> {
+    function isHealthy(server: BackendServer, path: string): Promise<boolean> {
         const { host, port } = splitAddress(server.state.record().address);
         return new Promise(resolve => {
             const request = httpRequest({
@@ -70,14 +71,14 @@
                 timeout: healthCheckTimeout,
             });
             const settle = (healthy: boolean) => {
-                clearTimeout(deadline);
+                clearTimeout(timer);
                 resolve(healthy);
             };
-            const deadline = setTimeout(() => request.destroy(new Error("no answer")), healthCheckTimeout);
+            const timer = setTimeout(() => request.destroy(new Error("health check timed out")), healthCheckTimeout);
             request.on("response", response => {
                 response.resume();
-                const isOwn = learn(server, response);
-                response.on("end", () => settle(response.statusCode === 200 && isOwn));
+                const isFromServer = applyAnswer(server, response);
+                response.on("end", () => settle(response.statusCode === 200 && isFromServer));
                 response.on("error", () => settle(false));
             });
             request.on("error", () => settle(false));
@@ -85,8 +86,10 @@
         });
     }
 
-    /** Learns from a health answer; true if it is this server's own. */
-    function learn(server: BackendServer, response: IncomingMessage): boolean {
+    /**
+     * Updates the server's state from an answer; true if the server itself sent it and not another one at its address.
+     */
+    function applyAnswer(server: BackendServer, response: IncomingMessage): boolean {
         const id = protocol.readServerId(response.headers);
         const coldFor = protocol.readColdFor(response.headers);
         if (id !== undefined && id !== server.id) {
--- a/packages/box/src/servers/idle-connections.ts
+++ b/packages/box/src/servers/idle-connections.ts
@@ -1,29 +1,29 @@
 /**
- * Connections to backend servers that rest between two requests.
+ * Idle connections to backend servers.
  *
- * Owns them while they rest: one on which anything comes, or which its server
- * ends, is closed and never used again.
+ * Owns each connection while it is idle: one that receives data, or that its
+ * server closes, is closed and never reused.
  */
 
 import { type BackendServerId, type Clock, type Milliseconds, milliseconds } from "@chalkdale/kernel";
 import type { Socket } from "node:net";
 
-/** Resting connections by server. */
+/** Idle connections by server. */
 export interface IdleConnections {
-    /** Takes the connection that rested the shortest, if it is fresh enough. */
-    readonly take: (server: BackendServerId, longestRest: Milliseconds) => ServerConnection | undefined;
-    /** Keeps a connection for at most so long. */
-    readonly keep: (server: BackendServerId, socket: Socket, rest: Milliseconds) => void;
-    /** Closes those of a server. */
+    /** Takes the connection that became idle last, if it has been idle for at most `maxIdleTime`. */
+    readonly take: (server: BackendServerId, maxIdleTime: Milliseconds) => ServerConnection | undefined;
+    /** Keeps a connection for at most `idleTimeout`; closes it at once if that is not above 0. */
+    readonly keep: (server: BackendServerId, socket: Socket, idleTimeout: Milliseconds) => void;
+    /** Closes all connections of a server. */
     readonly close: (server: BackendServerId) => void;
-    /** Closes those that have rested for their time. */
+    /** Closes all connections whose idle timeout has passed. */
     readonly sweep: () => void;
 }
 
 /** A connection for one request. */
 export interface ServerConnection {
     readonly socket: Socket;
-    /** How long it rested; 0 for a new one. */
+    /** How long it was idle; 0 for a new one. */
     readonly idleTime: Milliseconds;
 }
 
@@ -34,35 +34,35 @@
     readonly drop: () => void;
 }
 
-/** Whatever of these comes while a connection rests ends it. */
-const endingEvents = ["data", "end", "error", "close"];
+/** An idle connection is closed at any of these events: a server sends nothing between two requests. */
+const closingEvents = ["data", "end", "error", "close"];
 
 /** Creates an empty collection. */
 export function createIdleConnections(clock: Clock): IdleConnections {
     const byServer = new Map<BackendServerId, IdleConnection[]>();
 
     return {
-        take(server, longestRest) {
-            const list = byServer.get(server) ?? [];
-            while (list.length > 0) {
-                const connection = list.pop()!;
-                stopListening(connection);
-                if (isUsable(connection, longestRest)) {
+        take(server, maxIdleTime) {
+            const connections = byServer.get(server) ?? [];
+            while (connections.length > 0) {
+                const connection = connections.pop()!;
+                removeListeners(connection);
+                if (isUsable(connection, maxIdleTime)) {
                     return { socket: connection.socket, idleTime: milliseconds(clock() - connection.since) };
                 }
                 if (clock() > connection.until || connection.socket.destroyed) {
                     connection.socket.destroy();
                     continue;
                 }
-                // Older ones have rested longer still, but may serve a request with a longer bound.
-                listen(connection);
-                list.push(connection);
+                // The rest have been idle even longer, but all of them may serve a request with a greater `maxIdleTime`.
+                addListeners(connection);
+                connections.push(connection);
                 return undefined;
             }
             return undefined;
         },
-        keep(server, socket, rest) {
-            if (socket.destroyed || rest <= 0) {
+        keep(server, socket, idleTimeout) {
+            if (socket.destroyed || idleTimeout <= 0) {
                 socket.destroy();
                 return;
             }
@@ -70,40 +70,40 @@
                 socket.destroy();
                 remove(server, socket);
             };
-            const connection = { socket, since: clock(), until: clock() + rest, drop };
-            listen(connection);
-            const list = byServer.get(server) ?? [];
-            list.push(connection);
-            byServer.set(server, list);
+            const connection = { socket, since: clock(), until: clock() + idleTimeout, drop };
+            addListeners(connection);
+            const connections = byServer.get(server) ?? [];
+            connections.push(connection);
+            byServer.set(server, connections);
         },
         close: server => {
             [...byServer.get(server) ?? []].forEach(connection => connection.drop());
         },
         sweep() {
-            for (const list of byServer.values()) {
-                list.filter(connection => clock() > connection.until).forEach(connection => connection.drop());
+            for (const connections of byServer.values()) {
+                connections.filter(connection => clock() > connection.until).forEach(connection => connection.drop());
             }
         },
     };
 
-    function isUsable({ since, socket, until }: IdleConnection, longestRest: Milliseconds): boolean {
-        const isFresh = clock() - since <= longestRest && clock() <= until;
+    function isUsable({ since, socket, until }: IdleConnection, maxIdleTime: Milliseconds): boolean {
+        const isFresh = clock() - since <= maxIdleTime && clock() <= until;
         return isFresh && socket.writable && !socket.destroyed;
     }
 
     function remove(server: BackendServerId, socket: Socket): void {
-        const list = byServer.get(server) ?? [];
-        const index = list.findIndex(connection => connection.socket === socket);
+        const connections = byServer.get(server) ?? [];
+        const index = connections.findIndex(connection => connection.socket === socket);
         if (index >= 0) {
-            list.splice(index, 1);
+            connections.splice(index, 1);
         }
     }
 }
 
-function listen({ drop, socket }: IdleConnection): void {
-    endingEvents.forEach(event => socket.on(event, drop));
+function addListeners({ drop, socket }: IdleConnection): void {
+    closingEvents.forEach(event => socket.on(event, drop));
 }
 
-function stopListening({ drop, socket }: IdleConnection): void {
-    endingEvents.forEach(event => socket.removeListener(event, drop));
+function removeListeners({ drop, socket }: IdleConnection): void {
+    closingEvents.forEach(event => socket.removeListener(event, drop));
 }
--- a/packages/box/src/servers/limit-gossip.ts
+++ b/packages/box/src/servers/limit-gossip.ts
@@ -1,9 +1,9 @@
 /**
- * What this box tells others of the limits that servers name: at once to some boxes,
- * those that may send there first, and to all in turn with gossip.
+ * Sends the rate limits that servers report to other boxes: at once to a few of
+ * them, first to those that may send to the server, and to all by gossip.
  *
- * Owns which limits are news; relies on the state of each server for the newest
- * word. Any message may be lost.
+ * Owns which limits changed recently; relies on the state of each server for its
+ * latest limit. Any message may be lost.
  */
 
 import type { BackendServer, MemberRecord } from "@chalkdale/decisions";
@@ -13,101 +13,110 @@
 export interface LimitGossipOptions {
     readonly clock: Clock;
     readonly random: () => number;
-    /** Other boxes that callers are named. */
+    /** The boxes that the directory advertises to callers, without this one. */
     readonly otherAdvertisedBoxes: () => readonly MemberRecord[];
     /** True for a box that may send to the server while it is limited. */
     readonly sharesLimit: (box: MemberRecord, server: BackendServer) => boolean;
     readonly send: (box: MemberRecord, reports: readonly LimitReport[]) => void;
 }
 
-/** How a box came to know of a limit: by an answer, by another box, or by one that still has an older word. */
+/**
+ * What caused an update: an answer of the server, the report of another box, or a box that still holds an older limit.
+ */
 export type LimitUpdateSource = "answer" | "told" | "outdated";
 
-/** The news of one box. */
+/** Sends the limits that one box knows. */
 export interface LimitGossip {
-    /** A limit began, changed or ended, or another box does not know yet. */
+    /** Called when a limit began, changed or ended, or when another box still holds an older one. */
     readonly onChanged: (server: BackendServer, source: LimitUpdateSource) => void;
-    /** What goes with gossip, of servers that have named a limit; undefined while there is nothing to tell. */
+    /** Limits of the given servers to add to a gossip message; undefined if there are none. */
     readonly gossipPayload: (servers: readonly BackendServer[]) => readonly LimitReport[] | undefined;
-    /** Due with each round of gossip. */
+    /** Called in each round of gossip. */
     readonly onGossipRound: () => void;
 }
 
-/** Limits in one datagram of gossip: some 45 bytes each. */
-const mostReports = 10;
+/** Limits in one datagram: about 45 bytes each. */
+const maxReportsPerMessage = 10;
+/**
+ * Number of boxes that get an update at once, by its source. They forward it as well: by gossip alone the last boxes of
+ * a large fleet would get it too late.
+ */
+const immediateRecipients: Readonly<Record<LimitUpdateSource, number>> = { answer: 8, told: 2, outdated: 0 };
+/**
+ * Milliseconds for which gossip sends a change before older limits: the time that gossip takes to reach all boxes of
+ * a fleet.
+ */
+const recentChangeDuration = 3000;
 /**
- * Boxes that are told at once. Those that hear of it tell on as well: by gossip alone the last of a large fleet would know too late.
+ * Milliseconds for which gossip repeats the end of a limit. A limit in force is repeated for as long as it holds, for
+ * boxes that start.
  */
-const toldAtOnce: Readonly<Record<LimitUpdateSource, number>> = { answer: 8, told: 2, outdated: 0 };
-/** Milliseconds for which a change goes before older limits: as long as gossip takes to reach the boxes of a fleet. */
-const newsLasts = 3000;
-/** Milliseconds for which gossip tells that a limit has ended. A limit that holds is told on, for boxes that start. */
-const endLasts = 20_000;
-/** Milliseconds between two messages beside gossip at least: a round of it. */
-const tellInterval = 300;
+const endedLimitDuration = 20_000;
+/** Minimum milliseconds between two sends outside gossip: one round of gossip. */
+const minSendInterval = 300;
 
-/** Creates the news of a box that has nothing to tell. */
+/** Creates the limit gossip of a box that knows no limit. */
 export function createLimitGossip(options: LimitGossipOptions): LimitGossip {
     const { clock } = options;
     const changedAt = new WeakMap<BackendServer, Milliseconds>();
-    /** How many boxes are still to be told at once. */
-    const untold = new Map<BackendServer, number>();
-    let toldAt = -Infinity;
-    let turn = 0;
+    /** Number of boxes that are still to get the limit of a server at once. */
+    const pendingRecipients = new Map<BackendServer, number>();
+    let lastSentAt = -Infinity;
+    let rotation = 0;
 
     return {
         onChanged(server, source) {
             changedAt.set(server, clock());
-            untold.set(server, Math.max(untold.get(server) ?? 0, toldAtOnce[source]));
-            tellIfDue();
+            pendingRecipients.set(server, Math.max(pendingRecipients.get(server) ?? 0, immediateRecipients[source]));
+            sendIfDue();
         },
         gossipPayload(servers) {
-            const told = servers.filter(isTold);
-            if (told.length === 0) {
+            const gossiped = servers.filter(isGossiped);
+            if (gossiped.length === 0) {
                 return undefined;
             }
-            const news = told.filter(server => sinceChange(server) < newsLasts);
-            const others = told.filter(server => !news.includes(server));
-            return [...rotated(news), ...rotated(others)].slice(0, mostReports).flatMap(reportOf);
+            const recent = gossiped.filter(server => sinceChange(server) < recentChangeDuration);
+            const others = gossiped.filter(server => !recent.includes(server));
+            return [...rotated(recent), ...rotated(others)].slice(0, maxReportsPerMessage).flatMap(reportOf);
         },
         onGossipRound() {
-            turn += mostReports;
-            tellIfDue();
+            rotation += maxReportsPerMessage;
+            sendIfDue();
         },
     };
 
-    function tellIfDue(): void {
-        if (untold.size === 0 || clock() - toldAt < tellInterval) {
+    function sendIfDue(): void {
+        if (pendingRecipients.size === 0 || clock() - lastSentAt < minSendInterval) {
             return;
         }
         const reportsOf = new Map<MemberRecord, LimitReport[]>();
-        for (const [server, count] of untold) {
-            for (const box of toldBoxes(server, count)) {
-                reportsOf.set(box, [...reportsOf.get(box) ?? [], ...reportOf(server)].slice(0, mostReports));
+        for (const [server, count] of pendingRecipients) {
+            for (const box of selectRecipients(server, count)) {
+                reportsOf.set(box, [...reportsOf.get(box) ?? [], ...reportOf(server)].slice(0, maxReportsPerMessage));
             }
         }
-        untold.clear();
-        toldAt = clock();
+        pendingRecipients.clear();
+        lastSentAt = clock();
         reportsOf.forEach((reports, box) => options.send(box, reports));
     }
 
-    function toldBoxes(server: BackendServer, count: number): readonly MemberRecord[] {
+    function selectRecipients(server: BackendServer, count: number): readonly MemberRecord[] {
         const boxes = options.otherAdvertisedBoxes();
         const first = Math.floor(options.random() * boxes.length);
-        const inTurn = [...boxes.slice(first), ...boxes.slice(0, first)];
-        const sharing = inTurn.filter(box => options.sharesLimit(box, server));
-        const others = inTurn.filter(box => !sharing.includes(box));
+        const rotatedBoxes = [...boxes.slice(first), ...boxes.slice(0, first)];
+        const sharing = rotatedBoxes.filter(box => options.sharesLimit(box, server));
+        const others = rotatedBoxes.filter(box => !sharing.includes(box));
         return [...sharing, ...others].slice(0, count);
     }
 
     function reportOf({ state }: BackendServer): readonly LimitReport[] {
-        const word = state.limit();
-        return word === undefined ? [] : [encodeLimitReport(state.record(), word, clock())];
+        const update = state.limit();
+        return update === undefined ? [] : [encodeLimitReport(state.record(), update, clock())];
     }
 
-    function isTold(server: BackendServer): boolean {
-        const word = server.state.limit();
-        return word?.kind === "named" || word !== undefined && sinceChange(server) < endLasts;
+    function isGossiped(server: BackendServer): boolean {
+        const update = server.state.limit();
+        return update?.kind === "named" || update !== undefined && sinceChange(server) < endedLimitDuration;
     }
 
     function sinceChange(server: BackendServer): number {
@@ -115,7 +124,7 @@
     }
 
     function rotated(servers: readonly BackendServer[]): readonly BackendServer[] {
-        const first = turn % Math.max(1, servers.length);
+        const first = rotation % Math.max(1, servers.length);
         return [...servers.slice(first), ...servers.slice(0, first)];
     }
 }
--- a/packages/box/src/servers/limited-servers.ts
+++ b/packages/box/src/servers/limited-servers.ts
@@ -1,9 +1,9 @@
 /**
- * What this box learns of the rates that servers name, from their answers and
+ * The rate limits that servers report, as this box learns them from answers and
  * from other boxes.
  *
- * Owns the list of servers that have named one; relies on the state of each server
- * for the newest word of its life, and on the news for what others are told.
+ * Owns the set of servers that have reported a limit; relies on the state of each
+ * server for its latest limit, and on the limit gossip to send it to other boxes.
  */
 
 import { type BackendServer, isFailureStatus, type LimitUpdate, type ServerCatalog } from "@chalkdale/decisions";
@@ -13,19 +13,19 @@
 import { createLimitGossip, type LimitGossipOptions, type LimitUpdateSource } from "./limit-gossip.js";
 import { decodeLimitReport, isOfSameIncarnation, type LimitReport } from "./limit-messages.js";
 
-/** The limits of servers as one box knows them. */
+/** The rate limits of servers that one box knows. */
 export interface LimitedServers {
-    /** An answer of the server to a request that was sent at a time. */
+    /** Applies an answer of the server to a request that was sent at `sentAt`. */
     readonly onAnswer: (server: BackendServer, answer: AnswerHead, sentAt: Milliseconds) => void;
-    /** An answer to a health check: it may name a limit, but one that names none ends none. */
+    /** Applies an answer to a health check: it may report a limit, but an answer without one does not end a limit. */
     readonly onHealthCheckAnswer: (server: BackendServer, headers: AnswerHead["headers"]) => void;
-    /** Another box tells of limits. */
+    /** Applies limits that another box sent. */
     readonly onReports: (reports: readonly LimitReport[]) => void;
-    /** Servers that name a limit now. */
+    /** Servers with a limit in force. */
     readonly limited: () => readonly BackendServer[];
-    /** What goes with gossip; undefined while there is nothing to tell. */
+    /** Limits to add to a gossip message; undefined if there are none. */
     readonly gossipPayload: () => readonly LimitReport[] | undefined;
-    /** Due with each round of gossip. */
+    /** Called in each round of gossip. */
     readonly onGossipRound: () => void;
 }
 
@@ -36,100 +36,105 @@
     readonly catalog: Pick<ServerCatalog, "get">;
 }
 
-/** Characters of a text that is no rate which a line shows. */
-const longestShown = 40;
+/** Characters of an loggedUnreadable rate that a log line shows. */
+const maxLoggedCharacters = 40;
 
-/** Creates the limits; no server has named one. */
+/** Creates the limits of a box that knows none. */
 export function createLimitedServers(options: LimitedServersOptions): LimitedServers {
     const { catalog, clock, log, protocol } = options;
-    const news = createLimitGossip(options);
-    const known = new Set<BackendServer>();
-    const unreadable = new WeakSet<BackendServer>();
+    const gossip = createLimitGossip(options);
+    const serversWithLimit = new Set<BackendServer>();
+    const loggedUnreadable = new WeakSet<BackendServer>();
 
     return {
         onAnswer(server, answer, sentAt) {
             const limit = protocol.readRateLimit(answer.headers);
             if (limit.kind !== "none") {
-                onNamed(server, limit);
+                onParsedLimit(server, limit);
                 return;
             }
             if (server.state.limit() !== undefined && endsLimit(answer)) {
-                take(server, { kind: "ended", at: sentAt }, "answer");
+                applyUpdate(server, { kind: "ended", at: sentAt }, "answer");
             }
         },
         onHealthCheckAnswer(server, headers) {
-            onNamed(server, protocol.readRateLimit(headers));
+            onParsedLimit(server, protocol.readRateLimit(headers));
         },
         onReports(reports) {
             reports.forEach(onReport);
         },
-        limited: () => current().filter(({ state }) => state.limit()?.kind === "named"),
-        gossipPayload: () => news.gossipPayload(current()),
-        onGossipRound: news.onGossipRound,
+        limited: () => currentServers().filter(({ state }) => state.limit()?.kind === "named"),
+        gossipPayload: () => gossip.gossipPayload(currentServers()),
+        onGossipRound: gossip.onGossipRound,
     };
 
-    function onNamed(server: BackendServer, limit: ParsedRateLimit): void {
+    function onParsedLimit(server: BackendServer, limit: ParsedRateLimit): void {
         switch (limit.kind) {
             case "named":
-                take(server, { kind: "named", rate: limit.rate, at: clock() }, "answer");
+                applyUpdate(server, { kind: "named", rate: limit.rate, at: clock() }, "answer");
                 return;
             case "unreadable":
-                reportUnreadable(server, limit.text);
+                logUnreadable(server, limit.text);
                 return;
             case "none":
                 return;
         }
     }
 
-    /** A failure, and an answer of a server that did not run the request, may come from a part of it that adds no header. */
+    /**
+     * False for a failure or a request that did not run: the part of the server that sends such answers may not add the
+     * header.
+     */
     function endsLimit({ headers, status }: AnswerHead): boolean {
         return !isFailureStatus(status) && headers[protocol.headers.notRun] === undefined;
     }
 
-    /** A server that is not listed here yet is told of again. */
+    /** Skips a server that this box does not list yet: gossip repeats the report. */
     function onReport(report: LimitReport): void {
         const server = catalog.get(backendServerId(report[0]));
         if (server === undefined || !isOfSameIncarnation(report, server.state.record())) {
             return;
         }
-        const word = decodeLimitReport(report, clock());
+        const update = decodeLimitReport(report, clock());
         const newest = server.state.limit();
-        // A box that was cut off may hold a limit that has ended, and nobody tells of the end any more.
-        if (newest?.kind === "ended" && word.kind === "named" && word.at < newest.at) {
-            news.onChanged(server, "outdated");
+        // A box that was cut off may still hold a limit after gossip has stopped repeating its end.
+        if (newest?.kind === "ended" && update.kind === "named" && update.at < newest.at) {
+            gossip.onChanged(server, "outdated");
             return;
         }
-        take(server, word, "told");
+        applyUpdate(server, update, "told");
     }
 
-    function take(server: BackendServer, word: LimitUpdate, source: LimitUpdateSource): void {
+    function applyUpdate(server: BackendServer, update: LimitUpdate, source: LimitUpdateSource): void {
         const before = server.state.limit();
-        known.add(server);
-        if (server.state.onLimitUpdate(word)) {
-            report(server, before, source);
-            news.onChanged(server, source);
+        serversWithLimit.add(server);
+        if (server.state.onLimitUpdate(update)) {
+            logChange(server, before, source);
+            gossip.onChanged(server, source);
         }
     }
 
-    function report({ id, state }: BackendServer, before: LimitUpdate | undefined, source: LimitUpdateSource): void {
+    function logChange({ id, state }: BackendServer, before: LimitUpdate | undefined, source: LimitUpdateSource): void {
         log.info("server.limitChanged", { server: id, limit: rateOf(state.limit()), before: rateOf(before), source });
     }
 
-    /** Once for each life: a server says the same in all its answers. */
-    function reportUnreadable(server: BackendServer, text: string): void {
-        if (!unreadable.has(server)) {
-            unreadable.add(server);
-            log.warn("server.limitUnreadable", { server: server.id, text: text.slice(0, longestShown) });
+    /** Logs once for each incarnation: a server repeats the text in all its answers. */
+    function logUnreadable(server: BackendServer, text: string): void {
+        if (!loggedUnreadable.has(server)) {
+            loggedUnreadable.add(server);
+            log.warn("server.limitUnreadable", { server: server.id, text: text.slice(0, maxLoggedCharacters) });
         }
     }
 
-    /** Servers in a life that still goes on. */
-    function current(): readonly BackendServer[] {
-        [...known].filter(server => catalog.get(server.id) !== server).forEach(server => known.delete(server));
-        return [...known];
+    /** Servers that have reported a limit; removes those whose incarnation has ended. */
+    function currentServers(): readonly BackendServer[] {
+        [...serversWithLimit].filter(server => catalog.get(server.id) !== server).forEach(server =>
+            serversWithLimit.delete(server)
+        );
+        return [...serversWithLimit];
     }
 }
 
-function rateOf(word: LimitUpdate | undefined): number | "none" {
-    return word?.kind === "named" ? word.rate : "none";
+function rateOf(update: LimitUpdate | undefined): number | "none" {
+    return update?.kind === "named" ? update.rate : "none";
 }
--- a/packages/box/src/servers/liveness-check.ts
+++ b/packages/box/src/servers/liveness-check.ts
@@ -1,9 +1,9 @@
 /**
- * Finds out whether a server that has gone silent still lives, by a test
- * connection. A server that accepts it is only slow.
+ * Finds out by a test connection whether a server with an overdue answer is still
+ * running. A server that accepts the connection is only slow.
  *
- * Owns the checks that run and the latest results; when a request counts as
- * overdue is decided by the time limits.
+ * Owns the running checks and the latest results; the time limits decide when a
+ * request is overdue.
  */
 
 import type { BackendServer } from "@chalkdale/decisions";
@@ -11,20 +11,23 @@
 import { type Log, splitAddress } from "@chalkdale/runtime";
 import { connect } from "node:net";
 
-/** Answers whether a server still accepts connections, by a check that began at `notBefore` or later if it is given. Never rejects. */
+/**
+ * Resolves to true if a server still accepts connections, by a check that began at `notBefore` or later if given. Never
+ * rejects.
+ */
 export type LivenessCheck = (server: BackendServer, notBefore?: Milliseconds) => Promise<boolean>;
 
 export interface LivenessCheckOptions {
     readonly clock: Clock;
     readonly log: Log;
     readonly localAddress: string;
-    /** Time in which a connection must come up. */
+    /** Time limit for opening a connection to the server. */
     readonly connectTimeout: (server: BackendServer) => Milliseconds;
-    /** Called with a server that accepts none. */
+    /** Called with a server that does not accept the connection. */
     readonly onUnreachable: (server: BackendServer) => void;
 }
 
-/** Milliseconds for which a result is used again: all requests that wait for one server share a check. */
+/** Milliseconds for which a result is reused, so that all requests waiting for one server share a check. */
 const resultLifetime = 500;
 
 interface Check {
@@ -32,16 +35,16 @@
     readonly startedAt: Milliseconds;
 }
 
-/** Creates the check. Checks of one server at one time are one. */
+/** Creates the check. Concurrent checks of one server share a connection. */
 export function createLivenessCheck(options: LivenessCheckOptions): LivenessCheck {
     const { clock, log } = options;
-    /** By life of a server: what was found of an earlier one says nothing of the next. */
+    /** Keyed by incarnation of a server: the result of an earlier one does not apply to the next. */
     const checks = new WeakMap<BackendServer, Check>();
 
     return (server, notBefore) => {
-        const known = checks.get(server);
-        if (known !== undefined && known.startedAt >= (notBefore ?? clock() - resultLifetime)) {
-            return known.result;
+        const latest = checks.get(server);
+        if (latest !== undefined && latest.startedAt >= (notBefore ?? clock() - resultLifetime)) {
+            return latest.result;
         }
         const result = check(server);
         checks.set(server, { result, startedAt: clock() });
--- a/packages/box/src/servers/recent-sends.ts
+++ b/packages/box/src/servers/recent-sends.ts
@@ -1,37 +1,38 @@
 /**
- * The latest requests that this box sent to each server, kept for the moment at
- * which the server turns out to be leaving: then a line tells of each when it was
- * chosen, when it was written, and how old the list was by which it was chosen.
- * So a list that was old, and a request that was late, can be told apart from the
- * log of the box alone, whatever the budget of lines left out.
+ * The latest requests that this box sent to each server. When a server turns out
+ * to be leaving, a log line shows for each of them when the server was chosen, when
+ * the request was written, and how old the list of servers was at the choice. This
+ * distinguishes an outdated list from a delayed request by the log of the box
+ * alone, even if its rate limit suppressed the lines of the requests themselves.
  *
- * Owns the latest few sends of each server; relies on its owner to forget servers.
+ * Owns the latest sends of each server; relies on its owner to call `forget`.
  */
 
 import type { BackendServerId, Clock, Milliseconds } from "@chalkdale/kernel";
 
-/** A request on its way to a server. Times are of the box's monotonic clock. */
+/** A request that was sent to a server. Times are those of the box's monotonic clock. */
 interface RecentSend {
     readonly requestId: string | undefined;
+    /** When the server was chosen. */
     readonly chosenAt: Milliseconds;
-    /** When its bytes were handed to the connection. */
+    /** When the request was written to the connection. */
     readonly sentAt: Milliseconds;
-    /** Time since the store had confirmed the list of servers, when the server was chosen. */
+    /** Time since the store had confirmed the list of servers, at the choice. */
     readonly listAge: Milliseconds;
 }
 
-/** The latest sends by server. */
+/** The latest sends to each server. */
 export interface RecentSends {
     readonly add: (server: BackendServerId, send: RecentSend) => void;
-    /** Those of a server as one value of a log line, the latest first; undefined if there is none. */
+    /** The sends to a server as one field of a log line, the latest first; undefined if there are none. */
     readonly describe: (server: BackendServerId) => string | undefined;
     readonly forget: (server: BackendServerId) => void;
 }
 
-/** Sends that are kept of each server: some 100 bytes each, 0.7 MB at 900 servers. */
-const mostKept = 8;
+/** Sends kept for each server: about 100 bytes each, 0.7 MB for 900 servers. */
+const maxSendsPerServer = 8;
 
-/** Creates the record, empty. */
+/** Creates an empty record of sends. */
 export function createRecentSends(clock: Clock): RecentSends {
     const byServer = new Map<BackendServerId, RecentSend[]>();
 
@@ -39,7 +40,7 @@
         add(server, send) {
             const sends = byServer.get(server) ?? [];
             sends.unshift(send);
-            sends.length = Math.min(sends.length, mostKept);
+            sends.length = Math.min(sends.length, maxSendsPerServer);
             byServer.set(server, sends);
         },
         describe(server) {
--- a/packages/box/src/servers/server-connections.ts
+++ b/packages/box/src/servers/server-connections.ts
@@ -1,9 +1,9 @@
 /**
- * Connections to backend servers: kept while they rest, one request at a time
- * on each, and bounded in number for each server.
+ * Pool of connections to backend servers. Each carries one request at a time, is
+ * kept while it is idle, and counts towards a maximum for its server.
  *
- * Owns the count of open connections; one that was handed out belongs to its
- * user until it is given back or destroyed.
+ * Owns the count of open connections; an acquired connection belongs to its user
+ * until it is released or destroyed.
  */
 
 import {
@@ -22,14 +22,15 @@
 /** Why there is no connection. Nothing was sent in any of these cases. */
 export type ConnectFailure = "unreachable" | "tooMany" | "cancelled";
 
-/** What is asked of the pool. */
+/** A request for a connection. */
 interface ConnectionRequest {
     readonly server: BackendServerId;
     readonly address: string;
-    /** A kept connection may have rested this long at most. */
+    /** Idle connections are reused up to this idle time. */
     readonly maxIdleTime: Milliseconds;
+    /** Time limit for opening a new connection. */
     readonly connectTimeout: Milliseconds;
-    /** Connections to this server that the box may hold at once. */
+    /** Connections to this server that the box may have open at once. */
     readonly maxConnections: number;
     readonly signal: AbortSignal;
 }
@@ -37,38 +38,39 @@
 /** Connections to all servers. */
 export interface ServerConnections {
     readonly acquire: (request: ConnectionRequest) => Promise<Result<ServerConnection, ConnectFailure>>;
-    /** Keeps a connection for later use, for at most so long. */
-    readonly release: (server: BackendServerId, socket: Socket, rest: Milliseconds) => void;
+    /** Keeps a connection for reuse, for at most `idleTimeout`. */
+    readonly release: (server: BackendServerId, socket: Socket, idleTimeout: Milliseconds) => void;
     /** Closes the idle connections of a server. */
     readonly closeIdle: (server: BackendServerId) => void;
-    /** Closes connections that have rested for their time. */
+    /** Closes connections whose idle timeout has passed. */
     readonly sweep: () => void;
+    /** Open connections to all servers. */
     readonly count: () => number;
 }
 
 export interface ServerConnectionsOptions {
     readonly clock: Clock;
     readonly localAddress: string;
-    /** Called with how long the opening of a connection took. */
+    /** Called with the time that it took to open a connection. */
     readonly onConnected: (server: BackendServerId, duration: Milliseconds) => void;
 }
 
-/** Milliseconds after which the kernel asks a silent peer whether it lives. */
+/** Milliseconds without traffic before the kernel sends TCP keep-alive probes. */
 const keepAliveDelay = 1000;
 
 /** Creates an empty pool. */
 export function createServerConnections(options: ServerConnectionsOptions): ServerConnections {
     const { clock } = options;
     const idle = createIdleConnections(clock);
-    const open = new Map<BackendServerId, number>();
+    const openCounts = new Map<BackendServerId, number>();
 
     return {
         async acquire(request) {
-            const kept = idle.take(request.server, request.maxIdleTime);
-            if (kept !== undefined) {
-                return Ok(kept);
+            const idleConnection = idle.take(request.server, request.maxIdleTime);
+            if (idleConnection !== undefined) {
+                return Ok(idleConnection);
             }
-            if ((open.get(request.server) ?? 0) >= request.maxConnections) {
+            if ((openCounts.get(request.server) ?? 0) >= request.maxConnections) {
                 return Err("tooMany" as const);
             }
             return openConnection(request);
@@ -76,7 +78,7 @@
         release: idle.keep,
         closeIdle: idle.close,
         sweep: idle.sweep,
-        count: () => [...open.values()].reduce((sum, count) => sum + count, 0),
+        count: () => [...openCounts.values()].reduce((sum, count) => sum + count, 0),
     };
 
     function openConnection(request: ConnectionRequest): Promise<Result<ServerConnection, ConnectFailure>> {
@@ -84,8 +86,8 @@
             const startedAt = clock();
             const { host, port } = splitAddress(request.address);
             const socket = connect({ host, port, noDelay: true, localAddress: options.localAddress });
-            count(request.server, 1);
-            socket.once("close", () => count(request.server, -1));
+            changeOpenCount(request.server, 1);
+            socket.once("close", () => changeOpenCount(request.server, -1));
             const timer = setTimeout(() => finish("unreachable"), request.connectTimeout);
             const onAbort = () => finish("cancelled");
             const onError = () => finish("unreachable");
@@ -97,7 +99,7 @@
                 clearTimeout(timer);
                 request.signal.removeEventListener("abort", onAbort);
                 if (failure !== undefined) {
-                    // What still comes of the socket has no reader; the failure itself is logged by the attempt.
+                    // Later errors of the socket are ignored; the attempt logs the failure itself.
                     socket.on("error", () => undefined);
                     socket.destroy();
                     resolve(Err(failure));
@@ -111,12 +113,12 @@
         });
     }
 
-    function count(server: BackendServerId, change: number): void {
-        const next = (open.get(server) ?? 0) + change;
+    function changeOpenCount(server: BackendServerId, change: number): void {
+        const next = (openCounts.get(server) ?? 0) + change;
         if (next === 0) {
-            open.delete(server);
+            openCounts.delete(server);
             return;
         }
-        open.set(server, next);
+        openCounts.set(server, next);
     }
 }
--- a/packages/box/src/servers/server-notices.ts
+++ b/packages/box/src/servers/server-notices.ts
@@ -1,9 +1,9 @@
 /**
- * What servers tell this box of themselves in their answers, beside load and limits: that they are leaving,
- * or want nothing from it for a while.
+ * What servers report about themselves in their answers besides load and rate
+ * limits: that they are leaving, or that this box must back off for a while.
  *
- * Owns which servers were logged; relies on the state of each server to keep what it
- * said, and on whoever calls it to leave out answers of another server.
+ * Owns which notices were logged; relies on the state of each server to keep what
+ * it reported, and on its callers to leave out answers of another server.
  */
 
 import { type BackendServer, describePosition, type ServerCatalog } from "@chalkdale/decisions";
@@ -13,9 +13,9 @@
 
 /** The notices of one box. */
 export interface ServerNotices {
-    /** An answer of the server, to a request or to a health check. */
+    /** Applies an answer of the server to a request or a health check. */
     readonly onAnswer: (server: BackendServer, answer: AnswerHead) => void;
-    /** Servers that want nothing from this box now. */
+    /** Number of servers for which a back-off is in force. */
     readonly backedOffCount: () => number;
 }
 
@@ -26,14 +26,14 @@
     readonly catalog: Pick<ServerCatalog, "all">;
 }
 
-/** Characters of a text that is no time which a line shows. */
-const longestShown = 40;
+/** Characters of an unreadable back-off time that a log line shows. */
+const maxLoggedCharacters = 40;
 
-/** Creates the notices; no server has told anything. */
+/** Creates the notices of a box that has received no answer yet. */
 export function createServerNotices({ catalog, clock, log, protocol }: ServerNoticesOptions): ServerNotices {
-    /** Servers whose leaving, or whose unreadable time, was logged: they say the same in all their answers. */
-    const leaving = new WeakSet<BackendServer>();
-    const unreadable = new WeakSet<BackendServer>();
+    /** Servers whose notice was logged: they repeat it in all their answers. */
+    const loggedLeaving = new WeakSet<BackendServer>();
+    const loggedUnreadable = new WeakSet<BackendServer>();
 
     return {
         onAnswer(server, answer) {
@@ -45,27 +45,27 @@
         backedOffCount: () => [...catalog.all()].filter(({ state }) => state.backoffUntil() > clock()).length,
     };
 
-    function onBackoff(server: BackendServer, asked: ParsedBackoff): void {
-        switch (asked.kind) {
+    function onBackoff(server: BackendServer, backoff: ParsedBackoff): void {
+        switch (backoff.kind) {
             case "asked":
-                startBackoff(server, asked.duration);
+                startBackoff(server, backoff.duration);
                 return;
             case "unreadable":
-                reportUnreadable(server, asked.text);
+                logUnreadable(server, backoff.text);
                 return;
             case "none":
                 return;
         }
     }
 
-    function reportUnreadable(server: BackendServer, text: string): void {
-        if (!unreadable.has(server)) {
-            unreadable.add(server);
-            log.warn("server.backoffUnreadable", { server: server.id, text: text.slice(0, longestShown) });
+    function logUnreadable(server: BackendServer, text: string): void {
+        if (!loggedUnreadable.has(server)) {
+            loggedUnreadable.add(server);
+            log.warn("server.backoffUnreadable", { server: server.id, text: text.slice(0, maxLoggedCharacters) });
         }
     }
 
-    /** Logged as it begins: each request that was under way brings such an answer. */
+    /** Logs only the start of a back-off: each request in flight may get the same answer. */
     function startBackoff(server: BackendServer, duration: Milliseconds): void {
         const wasBackedOff = server.state.backoffUntil() > clock();
         server.state.onBackoff(clock(), duration);
@@ -76,8 +76,8 @@
 
     function onLeaving(server: BackendServer): void {
         server.state.onLeaving();
-        if (!leaving.has(server)) {
-            leaving.add(server);
+        if (!loggedLeaving.has(server)) {
+            loggedLeaving.add(server);
             log.info("server.saysLeaving", {
                 server: server.id,
                 recordRevision: describePosition(server.state.record().revision),
--- a/packages/box/src/servers/server-tracking.ts
+++ b/packages/box/src/servers/server-tracking.ts
@@ -1,8 +1,8 @@
 /**
- * All that one box knows of backend servers: their catalog, and what it learns of them from
- * their answers and from other boxes.
+ * Everything that one box knows about backend servers: their catalog, and what it
+ * learns about them from their answers and from other boxes.
  *
- * Owns the parts; relies on the shared state to keep the catalog up to date.
+ * Owns these parts; relies on the shared state to keep the catalog up to date.
  */
 
 import {
@@ -30,12 +30,14 @@
     readonly settings: BoxSettings;
     readonly protocol: CallerProtocol;
     readonly limits: SharedLimits;
-    /** Requests a second that a cold server of a service bears; 0 for a service that the configuration doesn't name. */
+    /**
+     * Requests a second to a cold server of a service, from all boxes together; 0 for a service that is not configured.
+     */
     readonly coldRate: (service: ServiceId) => number;
     readonly sendLimits: (box: MemberRecord, reports: readonly LimitReport[]) => void;
 }
 
-/** What one box knows of servers. */
+/** What one box knows about servers. */
 export interface ServerTracking {
     readonly catalog: ServerCatalog;
     readonly evidence: OutlierReports;
@@ -45,7 +47,7 @@
     readonly serverNotices: ServerNotices;
 }
 
-/** Creates it; no server is known. */
+/** Creates the tracking of a box that knows no server yet. */
 export function createServerTracking(options: ServerTrackingOptions): ServerTracking {
     const { clock, limits, log, protocol, settings } = options;
     const catalog = createBoxServerCatalog(settings, limits, options.coldRate);
--- a/packages/box/test/exchange.test.ts
+++ b/packages/box/test/exchange.test.ts
@@ -108,7 +108,7 @@
     describe("what does not belong to the request", () => {
         it("breaks it when the answer is another request's", async () => {
             await withServer(socket => socket.write(framed("other", "r-0")), async ask => {
-                expect(await ask()).to.deep.equal({ kind: "broken", reason: "answer of another request" });
+                expect(await ask()).to.deep.equal({ kind: "broken", reason: "answer to another request" });
             });
         });
 
--- a/packages/testing/src/promises/box-mutations.ts
+++ b/packages/testing/src/promises/box-mutations.ts
@@ -266,7 +266,7 @@
         promise: "P27",
         name: "the limits that gossip tells on",
         file: boxFile("servers/limit-gossip"),
-        find: "if (told.length === 0) {",
+        find: "if (gossiped.length === 0) {",
         replace: "if (true) {",
         testFiles: [boxTestFile("limited-servers")],
     },
