--- a/packages/box/src/box-log.ts
+++ b/packages/box/src/box-log.ts
@@ -1,14 +1,14 @@
 /**
- * The log of a box: how many lines a second each event may write.
+ * The log of a box, with a maximum of lines a second for each event.
  *
- * Owns the counts of lines that were left out; relies on whoever calls `report`.
+ * Owns the counts of suppressed lines; relies on its owner to call `report`.
  */
 
 import { createRateLimitedLog, type Log } from "@chalkdale/runtime";
 
-/** Lines a second for each event; what matters most when something fails gets more. */
+/** Lines a second for each event; events that explain failures get more. */
 const linesPerSecond = 10;
-const linesOfEvent = {
+const linesPerSecondByEvent = {
     "request.served": 3,
     "request.refused": 30,
     "attempt.failed": 20,
@@ -17,7 +17,7 @@
     "server.restarted": 40,
 };
 
-/** Returns the log of a box, which bounds what it writes. */
+/** Returns a log that suppresses the lines of an event above its rate. */
 export function createBoxLog(log: Log) {
-    return createRateLimitedLog(log, { linesPerSecond, byEvent: linesOfEvent });
+    return createRateLimitedLog(log, { linesPerSecond, byEvent: linesPerSecondByEvent });
 }
--- a/packages/box/src/box.ts
+++ b/packages/box/src/box.ts
@@ -1,9 +1,9 @@
 /**
- * Composes one box: shared state, members, limits, the way of requests, and the
+ * Composes one box: shared state, membership, limits, request handling, and
  * listeners.
  *
- * Owns all of them: `stop` ends new work first, then the loops, then the
- * listeners. Nothing outlives the process.
+ * Owns all of them: `stop` ends new work first, then the periodic tasks and loops,
+ * then the listeners. No state outlives the process.
  */
 
 import {
@@ -52,27 +52,28 @@
     readonly protocol: CallerProtocol;
     readonly store: StateStore;
     readonly clock: Clock;
-    /** The clock of the ages of copies, which counts time in which the machine was suspended; `clock` where it is left out. */
+    /** Clock for the ages of replicas, which also counts time while the machine is suspended; defaults to `clock`. */
     readonly suspendAwareClock?: Clock;
     readonly random: () => number;
     readonly log: Log;
-    /** Counts of the box's messages; the store's calls are counted by the store itself. */
+    /** Counts the box's messages; the store counts its own calls. */
     readonly traffic: TrafficMeter;
-    /** A later start of the same box has a greater incarnation. */
+    /** Greater than that of any earlier start of the same box. */
     readonly incarnation: MemberRecord["incarnation"];
 }
 
 /** A running box. */
 export interface Box {
-    /** Stops as planned; resolves when the process may end. Later calls join the first. */
+    /** Shuts the box down gracefully; resolves when the process may exit. Later calls return the same promise. */
     readonly stop: () => Promise<void>;
+    /** True while the box admits requests: its replicas are complete and it is not shutting down. */
     readonly isReady: () => boolean;
 }
 
-/** Starts a box. */
+/** Starts a box; it joins the other boxes and reads the shared state in the background. */
 export function startBox(options: BoxOptions): Box {
     const { clock, protocol, random, settings, store, traffic } = options;
-    const ageClock = options.suspendAwareClock ?? clock;
+    const suspendAwareClock = options.suspendAwareClock ?? clock;
     const { bounds, region } = settings;
     const log = createBoxLog(options.log);
     const metrics = createBoxMetrics();
@@ -103,8 +104,8 @@
         coldRate: service => state.service(service)?.coldRate ?? 0,
         sendLimits: (box, reports) => peerLink.sendLimits(box, reports),
     });
-    const { catalog, evidence, limitedServers, recentSends } = servers;
-    const deadlyGuard = createPoisonRequestGuard({
+    const { catalog, evidence: outlierReports, limitedServers, recentSends } = servers;
+    const poisonRequestGuard = createPoisonRequestGuard({
         clock,
         log,
         self: boxId(settings.box),
@@ -124,9 +125,9 @@
         onConfiguration: configuration => callerServer.setIdleTimeout(configuration.limits.idleTimeout),
     });
 
-    const countTraffic = (purpose: TrafficPurpose, place: TrafficLocality, bytes: number) =>
-        traffic.add(purpose, reachBetween(settings, place), bytes);
-    const plannedStop = createGracefulShutdown({
+    const countTraffic = (purpose: TrafficPurpose, locality: TrafficLocality, bytes: number) =>
+        traffic.add(purpose, reachBetween(settings, locality), bytes);
+    const gracefulShutdown = createGracefulShutdown({
         clock,
         log,
         grace: bounds.shutdownGracePeriod,
@@ -137,12 +138,12 @@
         },
         onClosing: () => callerServer.connections.closeIdle(),
     });
-    const countingBoxes = createCoordinatorSet();
+    const coordinators = createCoordinatorSet();
     const quotas = createCustomerQuotas({
         clock,
         self: boxId(settings.box),
         membership,
-        coordinators: countingBoxes,
+        coordinators,
         advertised: limits.advertised,
         tolerance: bounds.quotaTolerance,
         findCustomer: id => state.keys()?.findById(id),
@@ -157,17 +158,17 @@
         incarnation: options.incarnation,
         bounds: bounds.rollouts,
         membership,
-        coordinators: countingBoxes,
+        coordinators,
         catalog,
         store,
         copyAge: () => replicator.provenAge("rollouts"),
         isStoreAnswering: () => !replicator.isFollowingStore() || replicator.storeUnavailableFor() === 0,
-        isRunning: () => plannedStop.phase() === "running",
+        isRunning: () => gracefulShutdown.phase() === "running",
         uptime,
         send: (box, message) => peerLink.sendRollout(box, message),
         signal,
     });
-    const isReady = () => state.isComplete() && plannedStop.phase() === "running";
+    const isReady = () => state.isComplete() && gracefulShutdown.phase() === "running";
     const requests = createDataPlane({
         clock,
         random,
@@ -179,10 +180,10 @@
         ...servers,
         limits,
         quotas,
-        poisonRequestGuard: deadlyGuard,
+        poisonRequestGuard,
         versions: rollouts?.versions ?? { admits: () => true, version: () => 0 },
         trials: rollouts?.requests ?? noTrials,
-        phase: plannedStop.phase,
+        phase: gracefulShutdown.phase,
         configurationAge: () => replicator.configurationAge(),
         serversAge: () => replicator.confirmedAge("servers"),
         onServerRestarted,
@@ -197,7 +198,7 @@
         pipelines: {
             clock,
             isIdempotent: requests.handler.isIdempotent,
-            isLeaving: () => plannedStop.phase() !== "running",
+            isLeaving: () => gracefulShutdown.phase() !== "running",
             serve: requests.handler.serve,
         },
         isReady,
@@ -214,7 +215,7 @@
             limits,
             loadMeter,
             quotas,
-            poisonRequestGuard: deadlyGuard,
+            poisonRequestGuard,
             ...servers,
             rollouts,
             traffic,
@@ -224,26 +225,26 @@
         }),
     });
 
-    const turnedAway = createUnservedBoxes(boxId(settings.box), bounds.maxPropagationDelay);
+    const unservedBoxes = createUnservedBoxes(boxId(settings.box), bounds.maxPropagationDelay);
     const relayRole = createRelayRole({
         self: settings.box,
         region,
         alive: () => membership.alive(clock()),
         maxPropagationDelay: bounds.maxPropagationDelay,
-        turnedAway,
-        clock: ageClock,
+        turnedAway: unservedBoxes,
+        clock: suspendAwareClock,
         uptime,
     });
     const peerReads = createPeerReads({ countTraffic, signal });
     const replicator = startReplicator({
-        clock: ageClock,
+        clock: suspendAwareClock,
         random,
         log,
         region,
         state,
         store,
         relayRole,
-        turnedAway,
+        turnedAway: unservedBoxes,
         self: boxId(settings.box),
         kinds: replicatedKinds(bounds.rollouts !== undefined),
         readState: peerReads.readState,
@@ -265,8 +266,8 @@
         roundsBetweenDigests: roundsBetweenDigests(bounds.maxPropagationDelay),
         isAdvertised: limits.isAdvertised,
         serverReports: servers.serverReports,
-        onPoisonRequestReports: deadlyGuard.onReports,
-        poisonRequestReports: deadlyGuard.gossipPayload,
+        onPoisonRequestReports: poisonRequestGuard.onReports,
+        poisonRequestReports: poisonRequestGuard.gossipPayload,
         onLimits: limitedServers.onReports,
         limits: limitedServers.gossipPayload,
         onQuota: quotas.onMessage,
@@ -279,7 +280,7 @@
         signal,
     });
 
-    const noticeStall = createStallDetector(ageClock, log, maintenanceInterval);
+    const detectStall = createStallDetector(suspendAwareClock, log, maintenanceInterval);
     const runDueHealthChecks = createHealthChecker({
         clock,
         log,
@@ -291,14 +292,14 @@
     });
     startPeriodicTasks({
         maintain() {
-            noticeStall();
+            detectStall();
             updateOwnRecord();
             state.expireHeldEntries();
             requests.sweep();
             runDueHealthChecks();
         },
         gossip() {
-            deadlyGuard.onGossipRound();
+            poisonRequestGuard.onGossipRound();
             limitedServers.onGossipRound();
             quotas.onGossipRound();
             rollouts?.onGossipRound();
@@ -324,21 +325,21 @@
         sendGossip: peerLink.sendGossip,
         signal,
     });
-    let stopped: Promise<void> | undefined;
+    let stopping: Promise<void> | undefined;
 
     return {
         isReady,
-        stop: () => stopped ??= stopAsPlanned(),
+        stop: () => stopping ??= shutDown(),
     };
 
-    async function stopAsPlanned(): Promise<void> {
-        await plannedStop.begin();
+    async function shutDown(): Promise<void> {
+        await gracefulShutdown.begin();
         reportTraffic();
         lifetime.abort();
         callerServer.close();
     }
 
-    /** Whatever was learned of the earlier life is forgotten, but for the requests that are still there. */
+    /** Discards what was learned about the earlier incarnation, except for its requests in flight. */
     function onServerRestarted({ before, server }: RestartedServer): void {
         log.info("server.restarted", {
             server: server.id,
@@ -349,7 +350,7 @@
             sends: recentSends.describe(server.id),
         });
         metrics.onServerRestarted();
-        evidence.forget(server.id, clock());
+        outlierReports.forget(server.id, clock());
         requests.onServerRestarted(server.id);
     }
 
@@ -363,7 +364,7 @@
     function updateOwnRecord(): void {
         membership.setOwnState({
             ready: isReady(),
-            leaving: plannedStop.phase() !== "running",
+            leaving: gracefulShutdown.phase() !== "running",
             load: loadMeter.cores(),
         });
     }
--- a/packages/box/src/graceful-shutdown.ts
+++ b/packages/box/src/graceful-shutdown.ts
@@ -1,7 +1,7 @@
 /**
- * Carries out the planned stop of a box.
+ * Shuts a box down gracefully.
  *
- * Owns the phase of the box's life; when each phase ends is decided by the stop schedule.
+ * Owns the phase of the box; the shutdown schedule decides when each phase ends.
  */
 
 import { createShutdownSchedule, type ShutdownPhase } from "@chalkdale/decisions";
@@ -11,30 +11,31 @@
 export interface GracefulShutdownOptions {
     readonly clock: Clock;
     readonly log: Log;
-    /** Time between the signal to stop and the kill. */
+    /** Time between the stop signal and the kill. */
     readonly grace: Milliseconds;
+    /** Requests in flight. */
     readonly inFlight: () => number;
-    /** Called at once when the stop begins. */
+    /** Called as soon as the shutdown begins. */
     readonly onLeaving: () => void;
-    /** Called when new work is no longer taken. */
+    /** Called when new requests are no longer accepted. */
     readonly onClosing: () => void;
 }
 
-/** The stop of one box. */
+/** The graceful shutdown of one box. */
 export interface GracefulShutdown {
     readonly phase: () => ShutdownPhase;
-    /** Resolves when the process may end. */
+    /** Starts the shutdown; resolves when the process may exit. */
     readonly begin: () => Promise<void>;
 }
 
-/** Milliseconds between two looks at the work in flight; short beside the grace of some seconds. */
-const checkInterval = 50;
+/** Milliseconds between two checks of the requests in flight; short compared with a grace period of some seconds. */
+const drainCheckInterval = 50;
 
-/** Creates the stop; nothing happens until it begins. */
+/** Creates the shutdown; it does nothing until `begin` is called. */
 export function createGracefulShutdown(options: GracefulShutdownOptions): GracefulShutdown {
     const { clock, log } = options;
     const schedule = createShutdownSchedule(options.grace);
-    const never = new AbortController().signal;
+    const neverAborted = new AbortController().signal;
     let phase: ShutdownPhase = "running";
 
     return {
@@ -45,13 +46,13 @@
             phase = "leaving";
             log.info("stop.leaving", { inFlight: options.inFlight() });
             options.onLeaving();
-            await sleep(schedule.acceptRequestsFor, never);
+            await sleep(schedule.acceptRequestsFor, neverAborted);
             phase = "closing";
             options.onClosing();
             while (!schedule.isDrainOver(elapsed(), options.inFlight())) {
-                await sleep(checkInterval, never);
+                await sleep(drainCheckInterval, neverAborted);
             }
-            await sleep(schedule.lingerFor(elapsed()), never);
+            await sleep(schedule.lingerFor(elapsed()), neverAborted);
             log.info("stop.ended", { inFlight: options.inFlight(), after: Math.round(elapsed()) });
         },
     };
--- a/packages/box/src/index.ts
+++ b/packages/box/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Public names of the box: the one process between callers and backend servers.
+ * Public API of the box, the one process between callers and backend servers.
  */
 
 export * from "./box.js";
--- a/packages/box/src/join.ts
+++ b/packages/box/src/join.ts
@@ -1,15 +1,17 @@
 /**
- * How a box that starts makes itself known: it reads the records of all boxes,
- * which may be old, and greets some of these, who tell the others; unless its own
- * record is among them, it writes it. A box that then follows the store, one of a
- * large region, reads the newest records and greets those that it has not heard
- * of: so boxes that started at once and know only each other are found.
+ * Joins a box that starts to the others. It reads the records of all boxes, which
+ * may be outdated, and sends gossip to some of them, which pass it on; if its own
+ * record is missing, it writes it. Once the box follows the store, which only one
+ * box of a large region does, it reads the latest records and sends gossip to boxes
+ * that it does not know: this finds boxes that started at the same time and know
+ * only each other.
  *
- * Each call is tried by itself until it succeeds: with two to succeed in a row,
- * boxes had not met after 20 s while the store turned two of three calls away.
+ * Each call is retried separately until it succeeds. When two calls had to succeed
+ * in a row, boxes did not find each other within 20 s while the store refused two
+ * of three calls.
  *
- * A store that comes back from an older copy of its own may have lost a record that is
- * a few seconds old, so a box that has just started writes it again then.
+ * A store that is restored from an older copy may have lost a record of the last
+ * seconds, so a box that has started recently writes its record again then.
  */
 
 import { gossipInterval, type MemberRecord, type Membership, type RelayRole } from "@chalkdale/decisions";
@@ -24,84 +26,89 @@
     readonly membership: Membership;
     readonly relayRole: RelayRole;
     readonly store: StateStore;
-    /** Epoch of the store as far as the copies tell; undefined before the first. */
+    /** Epoch of the store according to the replicas; undefined before they have one. */
     readonly storeEpoch: () => number | undefined;
-    /** Gives numbers from 0 to 1. */
+    /** Returns a random number from 0 to 1. */
     readonly random: () => number;
-    /** Sends what this box knows of all boxes to another. */
+    /** Sends another box what this box knows about all boxes. */
     readonly sendGossip: (peer: MemberRecord) => void;
     readonly signal: AbortSignal;
 }
 
-/** Milliseconds until a failed call is made again; a box need not be known before it is ready. */
-const retryPause = 1000;
-/** Milliseconds between two looks whether this box follows the store now, and whether the store has come back older. */
+/** Milliseconds before a failed call is retried; a box need not be known before it is ready. */
+const retryDelay = 1000;
+/** Milliseconds between two checks whether this box follows the store, and whether the store was restored. */
 const roleCheckInterval = 1000;
 /**
- * Boxes of the own region that are greeted at once; and of others. Some may be gone: the store keeps their records. With
- * all of them, the greetings of boxes that start together grow with the square of the fleet.
+ * Boxes of this box's region that are contacted at once. Some may be gone, as the store keeps their records. If all of
+ * them were contacted, the messages of boxes that start together would grow with the square of the fleet.
  */
-const nearGreetings = 8;
-/** Boxes of other regions that are greeted at once. */
-const farGreetings = 4;
+const maxContactsInRegion = 8;
+/** Boxes of other regions that are contacted at once. */
+const maxContactsElsewhere = 4;
 
-/** Milliseconds after which a record is in every copy from which the store may come back: these are some seconds old. */
-const recordMayBeLostFor = 60_000;
+/**
+ * Milliseconds after which every copy from which the store may be restored has the record: such copies are some seconds
+ * old.
+ */
+const recordLossPeriod = 60_000;
 
-/** Joins the other boxes. Resolves once that is done or the signal aborts. */
+/** Joins the other boxes. Resolves once that has succeeded or the signal aborts. */
 export async function joinMembers(options: JoinOptions): Promise<void> {
     const { membership, relayRole, signal, store } = options;
     let isRecorded = false;
-    await untilDone(options, async () => {
+    await retryUntilDone(options, async () => {
         const recorded = await store.listBoxes("mayBeOld", signal);
         isRecorded = recorded.some(record => isSameBox(record, membership.ownRecord()));
-        void greetRecorded(options, recorded);
+        void contactRecorded(options, recorded);
     });
     if (!isRecorded) {
-        await untilDone(options, () => store.registerBox(membership.ownRecord(), signal));
+        await retryUntilDone(options, () => store.registerBox(membership.ownRecord(), signal));
     }
-    void keepRecorded(options);
+    void rewriteLostRecord(options);
     await sleep(relayRole.settleTime, signal);
     while (!signal.aborted && !relayRole.alwaysFollowsStore()) {
         await sleep(roleCheckInterval, signal);
     }
-    await untilDone(options, async () => greetUnknown(options, await store.listBoxes("newest", signal)));
+    await retryUntilDone(options, async () => contactUnknown(options, await store.listBoxes("newest", signal)));
 }
 
-/** Writes the own record again whenever the store has come back older, for as long as it may have lost it. */
-async function keepRecorded({ clock, membership, signal, store, storeEpoch, ...options }: JoinOptions): Promise<void> {
+/** Writes the record of this box again whenever the store was restored, for as long as the store may have lost it. */
+async function rewriteLostRecord(
+    { clock, membership, signal, store, storeEpoch, ...options }: JoinOptions,
+): Promise<void> {
     const recordedAt = clock();
     let epoch = storeEpoch();
-    while (!signal.aborted && clock() - recordedAt < recordMayBeLostFor) {
+    while (!signal.aborted && clock() - recordedAt < recordLossPeriod) {
         await sleep(roleCheckInterval, signal);
         const newest = storeEpoch();
         if (epoch !== undefined && newest !== undefined && newest > epoch) {
-            await untilDone({ ...options, signal }, () => store.registerBox(membership.ownRecord(), signal));
+            await retryUntilDone({ ...options, signal }, () => store.registerBox(membership.ownRecord(), signal));
         }
         epoch = newest;
     }
 }
 
-/** True for the record of an earlier life, which tells others all they need: where the box is. */
+/** True if the record, maybe of an earlier incarnation, has this box's address: that is all that others need. */
 function isSameBox(recorded: MemberRecord, own: MemberRecord): boolean {
     return recorded.box === own.box && recorded.peerAddress === own.peerAddress && recorded.region === own.region;
 }
 
-function greetUnknown({ membership, self, sendGossip }: JoinOptions, recorded: readonly MemberRecord[]): void {
+function contactUnknown({ membership, self, sendGossip }: JoinOptions, recorded: readonly MemberRecord[]): void {
     recorded
         .filter(record => record.box !== self && membership.find(record.box) === undefined)
         .forEach(sendGossip);
 }
 
-/** Greets some boxes of the list, and more after a while if none of them answers. */
-async function greetRecorded(options: JoinOptions, recorded: readonly MemberRecord[]): Promise<void> {
+/** Contacts some of the recorded boxes, and more of them in each round of gossip until one is heard from. */
+async function contactRecorded(options: JoinOptions, recorded: readonly MemberRecord[]): Promise<void> {
     const { clock, membership, self, sendGossip, signal } = options;
     const { region } = membership.ownRecord();
     const others = shuffle(recorded.filter(record => record.box !== self), options.random);
-    const near = others.filter(record => record.region === region);
-    const far = others.filter(record => record.region !== region);
-    while (!signal.aborted && near.length + far.length > 0) {
-        [...near.splice(0, nearGreetings), ...far.splice(0, farGreetings)].forEach(sendGossip);
+    const inRegion = others.filter(record => record.region === region);
+    const elsewhere = others.filter(record => record.region !== region);
+    while (!signal.aborted && inRegion.length + elsewhere.length > 0) {
+        [...inRegion.splice(0, maxContactsInRegion), ...elsewhere.splice(0, maxContactsElsewhere)].forEach(sendGossip);
         await sleep(gossipInterval, signal);
         if (membership.recentMembers(clock()).length > 0) {
             return;
@@ -116,7 +123,7 @@
         .map(({ record }) => record);
 }
 
-async function untilDone(
+async function retryUntilDone(
     { log, signal }: Pick<JoinOptions, "log" | "signal">,
     call: () => Promise<void>,
 ): Promise<void> {
@@ -127,7 +134,7 @@
         }
         catch (error) {
             log.info("members.joinFailed", { reason: String(error) });
-            await sleep(retryPause, signal);
+            await sleep(retryDelay, signal);
         }
     }
 }
--- a/packages/box/src/metrics-text.ts
+++ b/packages/box/src/metrics-text.ts
@@ -1,7 +1,7 @@
 /**
- * All figures of a box as the text that its metrics address serves: counters and
- * latencies, gauges that are read when someone asks, and the lines of quotas,
- * roll-outs and messages.
+ * All metrics of a box as the text that its metrics address serves: counters and
+ * latencies, gauges that are read at each request for metrics, and the lines of
+ * quotas, roll-outs and messages.
  *
  * Owns nothing.
  */
@@ -23,7 +23,7 @@
 import type { SharedState } from "./state/shared-state.js";
 import type { TrafficMeter } from "./traffic-meter.js";
 
-/** The parts of a box that have figures. */
+/** The parts of a box that provide metrics. */
 export interface MetricsTextOptions {
     readonly clock: Clock;
     readonly metrics: BoxMetrics;
@@ -38,12 +38,12 @@
     readonly rollouts: Rollouts | undefined;
     readonly traffic: TrafficMeter;
     readonly requests: DataPlane;
-    /** Read when someone asks, since it is created later. */
+    /** Called at each request for metrics, since the replicator is created later. */
     readonly replicator: () => Replicator;
     readonly callers: () => Pick<CallerConnections, "count" | "inFlight">;
 }
 
-/** Returns the function that writes the figures as they are now. */
+/** Returns a function that renders the current metrics. */
 export function createMetricsText(options: MetricsTextOptions): () => string {
     const { clock, limits, loadMeter, membership, metrics, quotas, requests, rollouts, state, traffic } = options;
 
--- a/packages/box/src/metrics.ts
+++ b/packages/box/src/metrics.ts
@@ -1,52 +1,52 @@
 /**
- * What a box counts, in the Prometheus text format, version 0.0.4.
+ * Counters and latencies of a box in the Prometheus text format, version 0.0.4.
  *
- * Owns the counters and latency histograms since the start; gauges are read when
- * someone asks.
+ * Owns the counters and latency histograms since the start; gauges are passed in.
  */
 
 import { build, type Histogram } from "hdr-histogram-js";
 
 /** Counters and latencies of one box. */
 export interface BoxMetrics {
-    /** A request of a caller ended. Latency in milliseconds. */
+    /** Called when a caller's request ended. Latency in milliseconds. */
     readonly onRequestEnded: (route: string, outcome: string, latency: number) => void;
-    /** An attempt at a server ended. */
+    /** Called when an attempt at a server ended. */
     readonly onAttempt: (outcome: string) => void;
-    /** A server answered with a success after so many milliseconds there. */
+    /** Called when a server answered successfully. Duration at the server in milliseconds. */
     readonly onServed: (duration: number) => void;
+    /** Called at each lookup in the directory. */
     readonly onLookup: () => void;
-    /** A backend server has started again under its id. */
+    /** Called when a backend server has restarted under its id. */
     readonly onServerRestarted: () => void;
-    /** Returns the text; gauges are read now. */
+    /** Returns all metrics as text; undefined gauges are left out. */
     readonly text: (gauges: Readonly<Record<string, number | undefined>>) => string;
 }
 
 const prefix = "chalkdale";
 const quantiles = [0.5, 0.9, 0.99, 0.999];
-/** Longest latency that is recorded as it is, in milliseconds. */
-const highestMilliseconds = 600_000;
-/** Digits of a latency that count: few, since each more costs ten times the memory. */
+/** Largest latency that is recorded, in milliseconds; longer ones are recorded as this. */
+const maxLatency = 600_000;
+/** Significant digits of a latency: few, since each further digit costs ten times the memory. */
 const significantDigits = 2;
 /** Latencies are recorded in tenths of a millisecond. */
-const tenths = 10;
+const tenthsPerMillisecond = 10;
 
-/** Creates metrics at zero. Latencies are kept to a tenth of a millisecond. */
+/** Creates metrics with all counters at zero. */
 export function createBoxMetrics(): BoxMetrics {
     const requests = new Map<string, number>();
     const attempts = new Map<string, number>();
-    const whole = createHistogram();
-    const atServer = createHistogram();
+    const requestLatency = createHistogram();
+    const serverLatency = createHistogram();
     let lookups = 0;
     let restarts = 0;
 
     return {
         onRequestEnded(route, outcome, latency) {
-            increase(requests, `route="${route}",outcome="${outcome}"`);
-            whole.recordValue(toTenths(latency));
+            increment(requests, `route="${route}",outcome="${outcome}"`);
+            requestLatency.recordValue(toTenths(latency));
         },
-        onAttempt: outcome => increase(attempts, `outcome="${outcome}"`),
-        onServed: duration => atServer.recordValue(toTenths(duration)),
+        onAttempt: outcome => increment(attempts, `outcome="${outcome}"`),
+        onServed: duration => serverLatency.recordValue(toTenths(duration)),
         onLookup: () => {
             lookups += 1;
         },
@@ -59,8 +59,8 @@
                 ...counterLines("attempts_total", attempts),
                 `${prefix}_lookups_total ${lookups}`,
                 `${prefix}_servers_restarted_total ${restarts}`,
-                ...histogramLines("request_milliseconds", whole),
-                ...histogramLines("server_milliseconds", atServer),
+                ...histogramLines("request_milliseconds", requestLatency),
+                ...histogramLines("server_milliseconds", serverLatency),
                 ...gaugeLines(gauges),
                 "",
             ].join("\n");
@@ -71,16 +71,16 @@
 function createHistogram(): Histogram {
     return build({
         bitBucketSize: 32,
-        highestTrackableValue: highestMilliseconds * tenths,
+        highestTrackableValue: maxLatency * tenthsPerMillisecond,
         numberOfSignificantValueDigits: significantDigits,
     });
 }
 
 function toTenths(duration: number): number {
-    return Math.min(highestMilliseconds * tenths, Math.max(1, Math.round(duration * tenths)));
+    return Math.min(maxLatency * tenthsPerMillisecond, Math.max(1, Math.round(duration * tenthsPerMillisecond)));
 }
 
-function increase(counts: Map<string, number>, key: string): void {
+function increment(counts: Map<string, number>, key: string): void {
     counts.set(key, (counts.get(key) ?? 0) + 1);
 }
 
@@ -90,7 +90,7 @@
 
 function histogramLines(name: string, histogram: Histogram): string[] {
     const lines = quantiles.map(quantile => {
-        const value = histogram.getValueAtPercentile(quantile * 100) / tenths;
+        const value = histogram.getValueAtPercentile(quantile * 100) / tenthsPerMillisecond;
         return `${prefix}_${name}{quantile="${quantile}"} ${value}`;
     });
     return [...lines, `${prefix}_${name}_count ${histogram.totalCount}`];
--- a/packages/box/src/own-record.ts
+++ b/packages/box/src/own-record.ts
@@ -1,7 +1,7 @@
 /**
- * The record by which other boxes know this one, as it is at the start.
+ * The member record of this box at its start.
  *
- * Owns nothing; the membership keeps it up to date.
+ * Owns nothing; the membership keeps the record up to date.
  */
 
 import type { MemberRecord } from "@chalkdale/decisions";
--- a/packages/box/src/periodic-tasks.ts
+++ b/packages/box/src/periodic-tasks.ts
@@ -1,44 +1,45 @@
 /**
- * What a box does again and again, and how often.
+ * The periodic tasks of a box and their intervals.
  *
- * Owns the timers, which end with the signal; what is due belongs to the box.
+ * Owns the timers, which stop with the signal; the tasks belong to the box.
  */
 
 import { gossipInterval } from "@chalkdale/decisions";
 import { intervalStream } from "@chalkdale/runtime";
 
-/** What is due at each of the intervals below. */
+/** The tasks of each interval. */
 export interface PeriodicTasks {
-    /** The box's own record, idle connections, ended servers, health checks. */
+    /** Updates the box's own record, closes idle connections, removes ended servers, starts health checks. */
     readonly maintain: () => void;
-    /** Reports that go with gossip. */
+    /** Prepares and sends reports in step with the rounds of gossip. */
     readonly gossip: () => void;
-    /** Decisions on roll-outs; undefined where there are none. */
+    /** Decides on roll-outs; undefined if the box has none. */
     readonly decideRollouts: (() => void) | undefined;
-    /** The load, and the counts of lines that were left out. */
+    /** Measures the load, and logs the counts of suppressed lines. */
     readonly measure: () => void;
+    /** Logs the counts of all messages. */
     readonly reportTraffic: () => void;
     readonly signal: AbortSignal;
 }
 
-/** Milliseconds between two rounds of the box's own upkeep: less than a round of gossip. */
+/** Milliseconds between two calls of `maintain`: less than a round of gossip. */
 export const maintenanceInterval = 250;
-/** Milliseconds between two steps of the deciders of roll-outs; a bad version must get nothing within 5 s. */
-const deciderInterval = 250;
-/** Milliseconds between two measurements of the load, and between two counts of left out lines. */
-const second = 1000;
-/** Milliseconds between two lines with the counts of all messages: few lines, and none of them older than a look at the log. */
+/** Milliseconds between two decisions on roll-outs; requests to a bad version must stop within 5 s. */
+const rolloutDecisionInterval = 250;
+/** Milliseconds between two measurements of the load, and between two reports of suppressed lines. */
+const measurementInterval = 1000;
+/** Milliseconds between two log lines with the counts of all messages: few lines, but recent counts. */
 const trafficReportInterval = 10_000;
 
-/** Begins all rounds. */
+/** Starts the timers of all tasks. */
 export function startPeriodicTasks(
-    { decideRollouts: decide, gossip, measure, reportTraffic, signal, maintain: upkeep }: PeriodicTasks,
+    { decideRollouts, gossip, measure, reportTraffic, signal, maintain }: PeriodicTasks,
 ): void {
-    void intervalStream(maintenanceInterval, signal).observe(upkeep);
+    void intervalStream(maintenanceInterval, signal).observe(maintain);
     void intervalStream(gossipInterval, signal).observe(gossip);
-    if (decide !== undefined) {
-        void intervalStream(deciderInterval, signal).observe(decide);
+    if (decideRollouts !== undefined) {
+        void intervalStream(rolloutDecisionInterval, signal).observe(decideRollouts);
     }
-    void intervalStream(second, signal).observe(measure);
+    void intervalStream(measurementInterval, signal).observe(measure);
     void intervalStream(trafficReportInterval, signal).observe(reportTraffic);
 }
--- a/packages/box/src/servers/idle-connections.ts
+++ b/packages/box/src/servers/idle-connections.ts
@@ -54,7 +54,7 @@
                     connection.socket.destroy();
                     continue;
                 }
-                // The rest have been idle even longer, but all of them may serve a request with a greater `maxIdleTime`.
+                // The rest have been idle even longer, but all may serve a request with a greater `maxIdleTime`.
                 addListeners(connection);
                 connections.push(connection);
                 return undefined;
--- a/packages/box/src/settings.ts
+++ b/packages/box/src/settings.ts
@@ -1,35 +1,35 @@
 /**
- * Settings of one box: its place, its addresses and the bounds that its
- * decisions keep.
+ * Settings of one box: its locality, its addresses, and the bounds that its
+ * decisions must respect.
  *
- * Owns nothing; read once, at the start.
+ * Owns nothing; the settings are read once, at the start.
  */
 
 import type { QuotaTolerance, RolloutBounds } from "@chalkdale/decisions";
 import type { AvailabilityZoneId, BoxId, Milliseconds, RegionId } from "@chalkdale/kernel";
 import type { Address } from "@chalkdale/runtime";
 
-/** Bounds that decisions keep. */
+/** Bounds that the decisions of a box must respect. */
 export interface BoxBounds {
     /** Retries allowed for each request of a service. */
     readonly retryRatio: number;
     readonly retryWindow: Milliseconds;
-    /** Retries allowed besides, for all boxes together, in one window. */
+    /** Further retries allowed in one window, for all boxes together. */
     readonly retryAllowance: number;
-    /** Time between the signal to stop and the kill. */
+    /** Time between the stop signal and the kill. */
     readonly shutdownGracePeriod: Milliseconds;
-    /** How long callers may keep an answer of the directory. */
+    /** How long callers may cache an answer of the directory. */
     readonly lookupLifetime: Milliseconds;
-    /** Time in which a change of the shared state must be in force on every box. */
+    /** Time within which a change of the shared state must be in force on every box. */
     readonly maxPropagationDelay: Milliseconds;
     /**
-     * Time after which a box that may not know of a revoked key admits no key; undefined where it goes on by the copy
-     * that it has.
+     * Age of the copy of the keys from which a box admits no key, since one may have been revoked; undefined if the box
+     * keeps using the copy that it has.
      */
     readonly maxKeyCopyAge: Milliseconds | undefined;
-    /** What may be admitted beyond a customer's quota in one window, from all boxes together. */
+    /** What all boxes together may admit beyond a customer's quota in one window. */
     readonly quotaTolerance: QuotaTolerance;
-    /** Bounds on what a version that is not proven may get; undefined where versions are not rolled out by order. */
+    /** Bounds on the requests to a version that is not proven; undefined if the boxes do not control roll-outs. */
     readonly rollouts: RolloutBounds | undefined;
 }
 
@@ -39,18 +39,21 @@
     readonly region: RegionId;
     readonly zone: AvailabilityZoneId;
     readonly regionOfZone: ReadonlyMap<AvailabilityZoneId, RegionId>;
+    /** Where the box serves requests of callers. */
     readonly callers: Address;
+    /** Where the box answers readiness checks. */
     readonly readiness: Address;
+    /** Where the box serves the directory of boxes to callers. */
     readonly directory: Address;
-    /** What the box can carry, as a number of processor cores. */
+    /** Capacity of the box in processor cores. */
     readonly capacity: number;
-    /** Bytes of memory that the box may use; undefined if it has no limit. */
+    /** Bytes of memory that the box may use; undefined if there is no limit. */
     readonly memoryLimit: number | undefined;
-    /** Other boxes reach this one here, over TCP and UDP. */
+    /** Where other boxes reach this one, over TCP and UDP. */
     readonly peers: Address;
-    /** Where the box serves its metrics, if it does. */
+    /** Where the box serves its metrics; left out if it serves none. */
     readonly metrics?: Address;
-    /** Peer addresses of some boxes, which may be out of date. */
+    /** Peer addresses of some boxes; they may be outdated. */
     readonly seeds: readonly string[];
     readonly bounds: BoxBounds;
 }
--- a/packages/box/src/stall-detector.ts
+++ b/packages/box/src/stall-detector.ts
@@ -1,29 +1,29 @@
 /**
- * Notices that this process stood still: its timers came far later than they
- * were due, as after a suspension of the machine or while its processor was taken away.
- * Whatever it decides right after that goes by what it believed before.
+ * Detects process pauses: timers that ran far later than they were due, as after a
+ * suspension of the machine or while the process got no processor time. Decisions
+ * right after a pause rely on outdated state.
  *
- * Owns when it was last called.
+ * Owns the time of its last call.
  */
 
 import type { Clock } from "@chalkdale/kernel";
 import type { Log } from "@chalkdale/runtime";
 
 /**
- * Milliseconds late from which a line is written: half of the shortest bound on changes (2 s), so that each stall that can matter
- * for it leaves one.
+ * Milliseconds of delay from which a pause is logged: half of the shortest bound on the propagation of changes (2 s),
+ * so that every pause that can affect it is logged.
  */
-const leastStall = 1000;
+const minLoggedStall = 1000;
 
-/** Returns the function that is due each `interval` milliseconds. */
+/** Returns a function to be called every `interval` milliseconds; it logs pauses. */
 export function createStallDetector(clock: Clock, log: Log, interval: number): () => void {
-    let lastAt = clock();
+    let lastCallAt = clock();
 
     return function onTick() {
-        const late = clock() - lastAt - interval;
-        lastAt = clock();
-        if (late >= leastStall) {
-            log.warn("box.stalled", { for: Math.round(late) });
+        const delay = clock() - lastCallAt - interval;
+        lastCallAt = clock();
+        if (delay >= minLoggedStall) {
+            log.warn("box.stalled", { for: Math.round(delay) });
         }
     };
 }
--- a/packages/box/src/traffic-meter.ts
+++ b/packages/box/src/traffic-meter.ts
@@ -1,42 +1,43 @@
 /**
- * Counts the messages and bytes that a box sends and takes, by what they are
- * for and how far they go: what control costs, and which part of it grows with
- * the number of boxes or servers. Entries of the store that made no sense are
+ * Counts the messages and bytes that a box sends and receives, by purpose and
+ * distance. The counts show what the control plane costs, and which part of it
+ * grows with the number of boxes or servers. Unreadable entries of the store are
  * counted too, by kind.
  *
- * Owns the counts since the start; relies on whoever sends and reads to tell.
+ * Owns the counts since the start; relies on senders and readers to report each
+ * message.
  */
 
 import type { AvailabilityZoneId, RegionId } from "@chalkdale/kernel";
 import type { LogFields } from "@chalkdale/runtime";
 
-/** What messages are for. The names stand in metrics and log lines. */
+/** Purpose of a message. The names appear in metrics and log lines. */
 export type TrafficPurpose =
     /** Heartbeats to one box. */
     | "gossip"
-    /** What a box that follows the store says to its region. */
+    /** Digests that a box that follows the store sends to its region. */
     | "digest"
-    /** Changes of shared state that are passed on. */
+    /** Forwarded changes of shared state. */
     | "update"
-    /** Reports and leases of customers' quotas. */
+    /** Reports and leases of customer quotas. */
     | "quota"
-    /** Requests that end servers. */
+    /** Reports of poison requests. */
     | "deadly"
-    /** Limits that servers name. */
+    /** Rate limits that servers report. */
     | "limits"
-    /** Reports, grants and news of roll-outs. */
+    /** Reports, grants and updates of roll-outs. */
     | "rollout"
-    /** Members that are read from another box. */
+    /** Members read from another box. */
     | "members"
-    /** A copy of shared state, or what was missing of it, from another box. */
+    /** A snapshot of shared state, or the changes since a revision, read from another box. */
     | "snapshot"
     | "storeList"
     | "storeWatch"
     | "storeWrite"
-    /** Requests of callers on their way to servers, and the answers. */
+    /** Requests that the box forwards to servers, and their answers. */
     | "request";
 
-/** How far a message goes; a box does not know where the store stands. */
+/** How far a message travels; a box does not know where the store is located. */
 export type TrafficReach = "zone" | "region" | "otherRegion" | "store";
 
 /** Where one end of a message is. */
@@ -45,15 +46,15 @@
     readonly zone: AvailabilityZoneId;
 }
 
-/** Counts of one box. */
+/** Traffic counts of one box. */
 export interface TrafficMeter {
-    /** Notes one message, or one call with its answer, of so many bytes without the heads of lower layers. */
+    /** Counts one message, or one call with its answer; `bytes` leaves out the headers of lower layers. */
     readonly add: (purpose: TrafficPurpose, reach: TrafficReach, bytes: number) => void;
-    /** An entry of the store could not be understood; `kind` as the store spells it. */
+    /** Counts an unreadable entry of the store; `kind` as the store spells it. */
     readonly onUnreadable: (kind: string) => void;
-    /** All counts, as lines of the metrics. */
+    /** All counts as lines of the metrics text. */
     readonly metricLines: () => readonly string[];
-    /** All counts, as fields of a log line: `gossip.zone="messages/bytes"`. */
+    /** All counts as fields of a log line: `gossip.zone="messages/bytes"`. */
     readonly logFields: () => LogFields;
 }
 
@@ -64,7 +65,7 @@
     bytes: number;
 }
 
-/** Creates a meter at zero. */
+/** Creates a meter with all counts at zero. */
 export function createTrafficMeter(): TrafficMeter {
     const counts = new Map<string, Count>();
     const unreadable = new Map<string, number>();
@@ -93,7 +94,7 @@
     };
 }
 
-/** Returns how far it is between two places. */
+/** Returns how far a message between two localities travels. */
 export function reachBetween(from: TrafficLocality, to: TrafficLocality): TrafficReach {
     if (from.region !== to.region) {
         return "otherRegion";
--- a/packages/testing/src/promises/box-mutations.ts
+++ b/packages/testing/src/promises/box-mutations.ts
@@ -66,7 +66,7 @@
         promise: "P7",
         name: "new work while callers still hold the address",
         file: boxFile("graceful-shutdown"),
-        find: "await sleep(schedule.acceptRequestsFor, never);",
+        find: "await sleep(schedule.acceptRequestsFor, neverAborted);",
         replace: "",
         testFiles: [integrationTestFile("box-requests")],
     },
