--- a/packages/box/test/exchange.test.ts
+++ b/packages/box/test/exchange.test.ts
@@ -3,10 +3,10 @@
 import { Duplex } from "node:stream";
 import { exchange, type ExchangeOutcome } from "../src/servers/exchange.js";
 
-/** Plays one scripted answer for each request that comes over a connection. */
+/** Runs a server that answers each request on one connection as scripted. */
 async function withServer(
     answer: (socket: Socket, request: string) => void,
-    use: (ask: (requestId?: string) => Promise<ExchangeOutcome>) => Promise<void>,
+    run: (send: (requestId?: string) => Promise<ExchangeOutcome>) => Promise<void>,
 ): Promise<void> {
     const server: Server = createServer(socket => {
         socket.on("error", () => undefined);
@@ -16,7 +16,7 @@
     const { port } = server.address() as AddressInfo;
     const socket = connect(port, "127.0.0.1");
     await new Promise(resolve => socket.once("connect", resolve));
-    const ask = (requestId = "r-1") =>
+    const send = (requestId = "r-1") =>
         exchange({
             socket,
             method: "GET",
@@ -28,7 +28,7 @@
             signal: new AbortController().signal,
         });
     try {
-        await use(ask);
+        await run(send);
     }
     finally {
         socket.destroy();
@@ -41,12 +41,12 @@
 
 describe("exchange with a backend server [P3]", () => {
     describe("an answer with a length", () => {
-        it("is taken whole, and the connection carries the next request", async () => {
+        it("is received completely, and the connection carries the next request", async () => {
             await withServer((socket, request) => {
                 socket.write(framed("whole", request.includes("r-2") ? "r-2" : "r-1"));
-            }, async ask => {
-                const first = await ask("r-1");
-                const second = await ask("r-2");
+            }, async send => {
+                const first = await send("r-1");
+                const second = await send("r-2");
                 expect([first, second].map(outcome => outcome.kind === "answer" && outcome.answer.body.toString()))
                     .to.deep.equal(["whole", "whole"]);
             });
@@ -55,31 +55,31 @@
         it("is broken when it ends early", async () => {
             await withServer(socket => {
                 socket.end(head(["Content-Length: 10\r\n"]) + "shor");
-            }, async ask => {
-                expect((await ask()).kind).to.equal("broken");
+            }, async send => {
+                expect((await send()).kind).to.equal("broken");
             });
         });
     });
 
     describe("an answer without a length", () => {
-        it("is whole when the server ends its connection", async () => {
-            await withServer(socket => socket.end(head() + "whole"), async ask => {
-                const outcome = await ask();
+        it("is complete when the server closes its connection", async () => {
+            await withServer(socket => socket.end(head() + "whole"), async send => {
+                const outcome = await send();
                 expect(outcome.kind === "answer" && outcome.answer.body.toString()).to.equal("whole");
                 expect(outcome.kind === "answer" && outcome.answer.reusable).to.equal(false);
             });
         });
 
-        it("is broken when the connection is reset on the way", async () => {
+        it("is broken when the connection is reset before its end", async () => {
             await withServer(socket => {
                 socket.write(head() + "part", () => setTimeout(() => socket.resetAndDestroy(), 20));
-            }, async ask => {
-                expect((await ask()).kind).to.equal("broken");
+            }, async send => {
+                expect((await send()).kind).to.equal("broken");
             });
         });
     });
 
-    describe("an answer without a length whose end and reset are read in one turn", () => {
+    describe("an answer without a length whose end and reset arrive in one turn of the event loop", () => {
         it("is broken", async () => {
             const socket = new Duplex({
                 read: () => undefined,
@@ -105,16 +105,16 @@
         });
     });
 
-    describe("what does not belong to the request", () => {
-        it("breaks it when the answer is another request's", async () => {
-            await withServer(socket => socket.write(framed("other", "r-0")), async ask => {
-                expect(await ask()).to.deep.equal({ kind: "broken", reason: "answer to another request" });
+    describe("data that does not belong to the request", () => {
+        it("breaks the exchange when the answer has the id of another request", async () => {
+            await withServer(socket => socket.write(framed("other", "r-0")), async send => {
+                expect(await send()).to.deep.equal({ kind: "broken", reason: "answer to another request" });
             });
         });
 
-        it("breaks it when the bytes are no answer", async () => {
-            await withServer(socket => socket.write("nonsense\r\n\r\n"), async ask => {
-                expect((await ask()).kind).to.equal("broken");
+        it("breaks the exchange when the bytes are not HTTP", async () => {
+            await withServer(socket => socket.write("nonsense\r\n\r\n"), async send => {
+                expect((await send()).kind).to.equal("broken");
             });
         });
 
@@ -122,16 +122,16 @@
             await withServer((socket, request) => {
                 const id = request.includes("r-2") ? "r-2" : "r-1";
                 socket.write(framed("first", id) + framed("extra", id));
-            }, async ask => {
-                const first = await ask("r-1");
+            }, async send => {
+                const first = await send("r-1");
                 expect(first.kind === "answer" && first.answer.body.toString()).to.equal("first");
             });
         });
     });
 
     it("is broken when the connection closes without an answer", async () => {
-        await withServer(socket => socket.end(), async ask => {
-            expect((await ask()).kind).to.equal("broken");
+        await withServer(socket => socket.end(), async send => {
+            expect((await send()).kind).to.equal("broken");
         });
     });
 });
--- a/packages/box/test/limited-servers.test.ts
+++ b/packages/box/test/limited-servers.test.ts
@@ -1,6 +1,6 @@
 /**
- * What all boxes know of a limit that a server names, with messages that take
- * their time and may be lost.
+ * Spread of a server's rate limit to all boxes, with messages that are delayed and
+ * may be lost.
  */
 
 import { type BackendServer, createLimitShare, createServerState, createSlowStart } from "@chalkdale/decisions";
@@ -13,10 +13,10 @@
 import { sampleMember } from "./sample-member.js";
 import { createSampleRecord } from "./sample-server.js";
 
-/** Milliseconds within which all boxes must know of a limit: the shortest that users set. */
-const contact = 2500;
-/** Part of the messages that are lost. */
-const loss = 0.2;
+/** Milliseconds within which all boxes must know a limit: the shortest bound that users set. */
+const maxSpreadTime = 2500;
+/** Fraction of the messages that are lost. */
+const lossRate = 0.2;
 const firstBirth = 1_700_000_000_000;
 
 interface EmulatedBox extends GossipingBox {
@@ -25,7 +25,7 @@
     server: BackendServer;
 }
 
-describe("the limits of servers as all boxes know them [P27]", () => {
+describe("rate limits of servers on all boxes [P27]", () => {
     let gossip: EmulatedGossip<EmulatedBox, LimitReport>;
     let boxes: EmulatedBox[];
 
@@ -33,7 +33,7 @@
         gossip = createEmulatedGossip({
             seed: count,
             startsAt: 1000,
-            loss: () => loss,
+            loss: () => lossRate,
             onRound: ({ limits }) => limits.onGossipRound(),
             gossipPart: ({ limits }) => limits.gossipPayload(),
             onReports({ limits }, reports) {
@@ -95,49 +95,49 @@
 
     const knownRates = () =>
         new Set(boxes.map(({ server }) => {
-            const word = server.state.limit();
-            return word?.kind === "named" ? word.rate : "none";
+            const update = server.state.limit();
+            return update?.kind === "named" ? update.rate : "none";
         }));
 
     for (const count of [9, 67, 195, 740]) {
-        it(`spread to all in time, as it begins, changes and ends: ${count} boxes, a fifth of the messages lost`, async () => {
+        it(`spread in time as they begin, change and end: ${count} boxes, a fifth of the messages lost`, async () => {
             start(count);
             for (const limit of ["1.7", "0.4", "0", undefined]) {
                 answer(boxes[Math.floor(gossip.random() * count)], limit);
-                await gossip.play(contact);
+                await gossip.play(maxSpreadTime);
                 expect([...knownRates()]).to.deep.equal([limit === undefined ? "none" : Number(limit)]);
             }
         });
     }
 
-    it("are told to a box that starts, and the end to one that was cut off", async () => {
+    it("reach a box that starts later, and their end reaches a box that was cut off", async () => {
         start(9);
         answer(boxes[0], "1.7");
         await gossip.play(30_000);
         addBox("late");
-        await gossip.play(contact);
+        await gossip.play(maxSpreadTime);
         expect([...knownRates()]).to.deep.equal([1.7]);
         boxes[3].isCutOff = true;
         answer(boxes[0], undefined);
         await gossip.play(40_000);
         expect([...knownRates()]).to.have.members([1.7, "none"]);
         boxes[3].isCutOff = false;
-        await gossip.play(contact);
+        await gossip.play(maxSpreadTime);
         expect([...knownRates()]).to.deep.equal(["none"]);
     });
 
-    it("are of one life of a server", async () => {
+    it("hold for one incarnation of a server", async () => {
         start(9);
         answer(boxes[0], "1.7");
         boxes.slice(1, 5).forEach(box => {
             box.server = createServer(firstBirth + 5000);
         });
-        await gossip.play(contact);
+        await gossip.play(maxSpreadTime);
         expect(boxes.slice(1, 5).map(({ server }) => server.state.limit())).to.deep.equal(Array(4).fill(undefined));
         expect(boxes[6].server.state.limit()?.kind).to.equal("named");
     });
 
-    it("hold on through what is no word of the server's", async () => {
+    it("outlast answers that do not end them", async () => {
         start(1);
         const [box] = boxes;
         answer(box, "1.7");
@@ -154,17 +154,17 @@
         expect([...knownRates()]).to.deep.equal(["none"]);
     });
 
-    it("cost few messages while a server names another rate with each answer", async () => {
+    it("cost few messages while a server reports another rate in each answer", async () => {
         start(9);
         for (let index = 0; index < 100; index++) {
             answer(boxes[index % 9], String(1.5 + index % 7));
             await gossip.play(100);
         }
-        // Ten seconds: 34 rounds of two messages each at most, and eight more beside each of them.
+        // Ten seconds: at most 34 rounds of two messages per box, and eight more outside gossip in each round.
         expect(gossip.messages()).to.be.at.most(9 * 34 * (2 + 8));
     });
 
-    it("take nothing from what is no report", async () => {
+    it("reject reports that are not valid", async () => {
         expect(areLimitReports([["s-1", 0, 1.5, 10], ["s-1", 5, "none", 0]])).to.equal(true);
         const faulty: readonly unknown[] = [
             {},
--- a/packages/box/test/metrics.test.ts
+++ b/packages/box/test/metrics.test.ts
@@ -2,7 +2,7 @@
 import { createBoxMetrics } from "../src/metrics.js";
 
 describe("metrics of a box", () => {
-    it("tell counts by route and outcome, latencies and gauges", () => {
+    it("report counts by route and outcome, latencies and gauges", () => {
         const metrics = createBoxMetrics();
         metrics.onRequestEnded("lookup", "200", 12);
         metrics.onRequestEnded("lookup", "200", 14);
--- a/packages/box/test/traffic-meter.test.ts
+++ b/packages/box/test/traffic-meter.test.ts
@@ -2,10 +2,10 @@
 import { expect } from "chai";
 import { createTrafficMeter, reachBetween } from "../src/traffic-meter.js";
 
-const place = (region: string, zone: string) => ({ region: regionId(region), zone: availabilityZoneId(zone) });
+const locality = (region: string, zone: string) => ({ region: regionId(region), zone: availabilityZoneId(zone) });
 
 describe("traffic meter", () => {
-    it("sums messages and bytes by purpose and reach, for metrics and log alike", () => {
+    it("sums messages and bytes by purpose and reach, for metrics and log lines", () => {
         const meter = createTrafficMeter();
         meter.add("gossip", "zone", 100);
         meter.add("gossip", "zone", 50);
@@ -15,10 +15,10 @@
         expect(meter.metricLines()).to.include("chalkdale_message_bytes_total{purpose=\"gossip\",reach=\"zone\"} 150");
     });
 
-    it("tells zone, region and other regions apart", () => {
-        const own = place("north", "north-a");
-        expect(reachBetween(own, place("north", "north-a"))).to.equal("zone");
-        expect(reachBetween(own, place("north", "north-b"))).to.equal("region");
-        expect(reachBetween(own, place("south", "north-a"))).to.equal("otherRegion");
+    it("distinguishes zone, region and other regions", () => {
+        const origin = locality("north", "north-a");
+        expect(reachBetween(origin, locality("north", "north-a"))).to.equal("zone");
+        expect(reachBetween(origin, locality("north", "north-b"))).to.equal("region");
+        expect(reachBetween(origin, locality("south", "north-a"))).to.equal("otherRegion");
     });
 });
