--- a/packages/testing/src/soak/box-faults.ts
+++ b/packages/testing/src/soak/box-faults.ts
@@ -1,5 +1,5 @@
 /**
- * Faults of box processes: killed, stopped, and paused by signals.
+ * Faults of box processes: they are killed, stopped or paused by signals.
  */
 
 import { milliseconds } from "@chalkdale/kernel";
@@ -8,36 +8,43 @@
 import type { BoxTermination } from "./observations.js";
 import type { SoakEnvironment } from "./soak-environment.js";
 
-/** Longest pause before a box starts again, in milliseconds. */
-const longestDown = 800;
+/** Maximum time in milliseconds before a box starts again. */
+const maxDownTime = 800;
 
-/** A box ends by a signal, which is noted in `ends`, and starts again after a while. */
-export function createRestart(world: SoakEnvironment, signal: NodeJS.Signals, ends: BoxTermination[]): Fault {
-    const { boxes, storeConnectivity: contact, now, random, logEvent: say } = world;
+/**
+ * Creates the fault that ends a random running box by a signal, records that in `terminations`, and starts the
+ * box again after a while.
+ */
+export function createBoxRestart(
+    environment: SoakEnvironment,
+    signal: NodeJS.Signals,
+    terminations: BoxTermination[],
+): Fault {
+    const { boxes, storeConnectivity, now, random, logEvent } = environment;
 
     return async function restart() {
         const box = pickRandom(boxes, random);
         if (!box.isRunning()) {
             return;
         }
-        say(`fault="${signal}" box=${box.name}`);
-        ends.push({ box: box.callerAddress, signal, at: now() });
-        const over = contact.beginFault(box.host);
+        logEvent(`fault="${signal}" box=${box.name}`);
+        terminations.push({ box: box.callerAddress, signal, at: now() });
+        const endFault = storeConnectivity.beginFault(box.host);
         box.signal(signal);
         await box.waitForExit();
-        await pause(milliseconds(random() * longestDown));
+        await pause(milliseconds(random() * maxDownTime));
         if (!box.isRunning()) {
             box.start();
         }
-        over();
+        endFault();
     };
 }
 
-/** A box stands still for a while. */
-export function createFreeze(world: SoakEnvironment): Fault {
-    return async function freeze() {
-        const box = pickRandom(world.boxes, world.random);
+/** Creates the fault that pauses the process of a random box for a while. */
+export function createBoxPause(environment: SoakEnvironment): Fault {
+    return async function pauseBox() {
+        const box = pickRandom(environment.boxes, environment.random);
         const begin = () => box.signal("SIGSTOP");
-        await injectTemporaryFault(world, `pause of ${box.name}`, begin, () => box.signal("SIGCONT"), box.host);
+        await injectTemporaryFault(environment, `pause of ${box.name}`, begin, () => box.signal("SIGCONT"), box.host);
     };
 }
--- a/packages/testing/src/soak/faults.ts
+++ b/packages/testing/src/soak/faults.ts
@@ -1,11 +1,11 @@
 /**
- * The faults of a soak run, drawn from its random source and injected from
- * outside the boxes.
+ * Injects the faults of a soak run from outside the boxes: those of the set `first`,
+ * drawn from the run's random source, and beside them those of the run's fault set.
  */
 
 import { milliseconds } from "@chalkdale/kernel";
 import { pause } from "../standins/deployment.js";
-import { createFreeze, createRestart } from "./box-faults.js";
+import { createBoxPause, createBoxRestart } from "./box-faults.js";
 import { type ExtendedFaultCounts, injectExtendedFaults } from "./extended-faults.js";
 import { type Fault, type FaultSet, pickRandom } from "./fault-tools.js";
 import { injectServerLimits } from "./limit-faults.js";
@@ -18,65 +18,72 @@
 import type { SoakEnvironment } from "./soak-environment.js";
 import type { SoakRollouts } from "./soak-rollouts.js";
 
-/** What was done, as far as the checks must know. */
+/** What was injected, as far as the checks need it. */
 export interface InjectedFaults {
     readonly count: number;
-    /** Those that came later, by what they are; undefined if none were drawn. */
+    /** Number of extended faults by kind; undefined if the set has none. */
     readonly extendedFaults: ExtendedFaultCounts | undefined;
-    /** From when on a server must get nothing, by its id. */
+    /** By server id: when the server must get no requests. */
     readonly drained: ReadonlyMap<string, Interval>;
-    /** When a zone's servers must get nothing. */
+    /** By availability zone: when its servers must get no requests. */
     readonly zoneClosures: ReadonlyMap<string, readonly Interval[]>;
-    /** Signals that ended boxes, in their order. */
+    /** Signals that ended boxes, in order of time. */
     readonly boxTerminations: readonly BoxTermination[];
     readonly rollouts: SoakRollouts;
-    /** Limits that servers named; undefined if none were drawn. */
+    /** Limits that servers announced; undefined if the set has none. */
     readonly limits: readonly ObservedLimit[] | undefined;
-    /** What servers said of themselves; undefined if none was drawn. */
+    /** Announcements of servers in their answers; undefined if the set has none. */
     readonly leaving?: readonly ObservedLeaving[];
     readonly backoffs?: readonly ObservedBackoff[];
-    /** What operators do once all faults are over: a server is replaced and the configuration changes. */
+    /** Planned changes without faults beside them: changes the configuration and replaces a server. */
     readonly changeAfterFaults: () => Promise<void>;
 }
 
-/** Least time between the beginnings of two faults, in milliseconds. */
-const shortestPause = 200;
-/** What chance adds to it at most, in milliseconds: faults overlap. */
-const longestAddition = 900;
+/** Minimum time between the beginnings of two faults, in milliseconds. */
+const minPause = 200;
+/** Maximum random addition in milliseconds; it is short enough for faults to overlap. */
+const maxAddedPause = 900;
 
-/** Injects faults for so many milliseconds; resolves when all of them are over and every box runs. */
-export async function injectFaults(world: SoakEnvironment, length: number, set: FaultSet): Promise<InjectedFaults> {
-    const { now, random } = world;
-    const changes = createPlannedChanges(world);
-    const boxEnds: BoxTermination[] = [];
-    const faults = everyFault(world, changes, boxEnds);
+/**
+ * Injects faults for `duration` milliseconds; resolves when all of them are over and every box has been started
+ * again.
+ */
+export async function injectFaults(
+    environment: SoakEnvironment,
+    duration: number,
+    set: FaultSet,
+): Promise<InjectedFaults> {
+    const { now, random } = environment;
+    const changes = createPlannedChanges(environment);
+    const boxTerminations: BoxTermination[] = [];
+    const faults = createFirstFaults(environment, changes, boxTerminations);
     const ends: Promise<void>[] = [];
-    const end = now() + length;
+    const end = now() + duration;
     const rollouts = changes.rollouts.startRolloutsUntil(end);
-    const later = set === "first" ? undefined : injectExtendedFaults(world, changes, end, set);
-    const limits = set === "limits" ? injectServerLimits(world, end) : undefined;
-    const notices = set === "notices" ? injectNotices(world, end) : undefined;
-    const restores = set === "notices" ? injectStoreRestores(world, end) : undefined;
+    const extendedFaults = set === "first" ? undefined : injectExtendedFaults(environment, changes, end, set);
+    const limits = set === "limits" ? injectServerLimits(environment, end) : undefined;
+    const notices = set === "notices" ? injectNotices(environment, end) : undefined;
+    const restores = set === "notices" ? injectStoreRestores(environment, end) : undefined;
     while (now() < end) {
         ends.push(pickRandom(faults, random)());
-        await pause(milliseconds(shortestPause + random() * longestAddition));
+        await pause(milliseconds(minPause + random() * maxAddedPause));
     }
     await Promise.all(ends);
-    const laterCounts = await later;
-    const namedLimits = await limits;
+    const extendedFaultCounts = await extendedFaults;
+    const observedLimits = await limits;
     const observedNotices = await notices;
     await restores;
-    makeWhole(world);
+    endAllFaults(environment);
     await rollouts;
-    const { drained, zoneClosures: evacuated } = changes;
+    const { drained, zoneClosures } = changes;
     return {
         count: ends.length,
-        extendedFaults: laterCounts,
+        extendedFaults: extendedFaultCounts,
         drained,
-        zoneClosures: evacuated,
-        boxTerminations: boxEnds,
+        zoneClosures,
+        boxTerminations,
         rollouts: changes.rollouts,
-        limits: namedLimits,
+        limits: observedLimits,
         ...observedNotices,
         async changeAfterFaults() {
             await changes.changeConfiguration();
@@ -85,35 +92,39 @@
     };
 }
 
-/** All that may happen, each as likely as the others. */
-function everyFault(world: SoakEnvironment, changes: PlannedChanges, boxEnds: BoxTermination[]): readonly Fault[] {
-    const misbehave = createMisbehaviour(world);
+/** The faults of the set `first`, all equally likely; one that is listed twice is twice as likely. */
+function createFirstFaults(
+    environment: SoakEnvironment,
+    changes: PlannedChanges,
+    boxTerminations: BoxTermination[],
+): readonly Fault[] {
+    const misbehave = createMisbehaviour(environment);
     return [
-        createRestart(world, "SIGKILL", boxEnds),
-        createRestart(world, "SIGTERM", boxEnds),
-        createFreeze(world),
-        createLinkImpairment(world, () => world.storeLinks, "link to the store"),
-        createLinkImpairment(world, () => world.servers.map(server => server.proxy), "link to a server"),
-        createStoreFailure(world),
+        createBoxRestart(environment, "SIGKILL", boxTerminations),
+        createBoxRestart(environment, "SIGTERM", boxTerminations),
+        createBoxPause(environment),
+        createLinkImpairment(environment, () => environment.storeLinks, "link to the store"),
+        createLinkImpairment(environment, () => environment.servers.map(server => server.proxy), "link to a server"),
+        createStoreFailure(environment),
         misbehave,
         misbehave,
         changes.replaceServer,
         changes.closeZone,
         changes.changeConfiguration,
-        async () => forgetHistory(world),
-        createLinkReset(world),
-        createPartialStoreFailure(world),
+        async () => compactStore(environment),
+        createLinkReset(environment),
+        createPartialStoreFailure(environment),
     ];
 }
 
-function forgetHistory({ logEvent: say, store }: SoakEnvironment): void {
-    say("fault=\"history forgotten\"");
+function compactStore({ logEvent, store }: SoakEnvironment): void {
+    logEvent("fault=\"history forgotten\"");
     store.compact();
 }
 
-function makeWhole(world: SoakEnvironment): void {
-    world.storeServer.setFault(() => ({ kind: "none" }));
-    allLinks(world).forEach(link => link.setState("whole"));
-    world.boxes.filter(box => !box.isRunning()).forEach(box => box.start());
-    world.logEvent("faults=over");
+function endAllFaults(environment: SoakEnvironment): void {
+    environment.storeServer.setFault(() => ({ kind: "none" }));
+    allLinks(environment).forEach(link => link.setState("whole"));
+    environment.boxes.filter(box => !box.isRunning()).forEach(box => box.start());
+    environment.logEvent("faults=over");
 }
--- a/packages/testing/src/soak/invalid-entry-faults.ts
+++ b/packages/testing/src/soak/invalid-entry-faults.ts
@@ -1,8 +1,8 @@
 /**
- * Entries of another writer in the store: records of servers that are broken in one
- * place, in new names and in those of servers that run, and broken objects of the
- * other kinds. The broken records name a server of their own, so that a request which
- * follows one shows.
+ * Faults in which another writer puts invalid entries into the store: server records with
+ * one invalid part, under new names and under those of running servers, and invalid
+ * objects of other kinds. The invalid records carry the address of a server that no valid
+ * record lists: any request there shows that a box used such a record.
  */
 
 import { milliseconds, type RandomSource } from "@chalkdale/kernel";
@@ -14,56 +14,56 @@
 
 type Fields = Readonly<Record<string, unknown>>;
 
-/** Ways in which a sound record of a server is broken. */
-const breakings: readonly ((sound: Fields) => unknown)[] = [
-    sound => ({ ...sound, state: "backedOff" }),
-    sound => ({ ...sound, slots: "4" }),
-    sound => ({ ...sound, slots: 0 }),
-    sound => ({ ...sound, service: undefined }),
-    sound => ({ ...sound, zone: 7 }),
-    sound => ({ ...sound, cold_left: "soon" }),
-    sound => ({ ...sound, born: "today" }),
+/** Each makes an invalid record from a valid one. */
+const corruptions: readonly ((valid: Fields) => unknown)[] = [
+    valid => ({ ...valid, state: "backedOff" }),
+    valid => ({ ...valid, slots: "4" }),
+    valid => ({ ...valid, slots: 0 }),
+    valid => ({ ...valid, service: undefined }),
+    valid => ({ ...valid, zone: 7 }),
+    valid => ({ ...valid, cold_left: "soon" }),
+    valid => ({ ...valid, born: "today" }),
     () => "\u0000\ufffd",
     () => [],
 ];
-/** Objects of other kinds that make no sense. */
-const oddObjects: readonly (readonly [kind: string, name: string, spec: unknown])[] = [
+/** Invalid objects of other kinds. */
+const invalidObjects: readonly (readonly [kind: string, name: string, spec: unknown])[] = [
     ["config", "odd", { version: 7 }],
     ["rollouts", "odd", []],
     ["evacuations", "moon", "\u0000"],
 ];
-/** Part of the faults that strike the record of a server which runs; it writes its own again soon. */
-const runningShare = 0.4;
-/** Milliseconds until a server whose record was overwritten has written again, at most. */
-const longestHeartbeat = 1500;
+/** Fraction of the faults that overwrite the record of a running server, which writes its own again soon. */
+const overwriteFraction = 0.4;
+/** Maximum time in milliseconds until a server writes its overwritten record again. */
+const maxRewriteDelay = 1500;
 
-/** Another writer writes an entry; resolves once what it overwrote is restored. */
-export function createInvalidStoreEntry(world: SoakEnvironment, random: RandomSource): Fault {
-    const { logEvent: say, servers, store } = world;
-    let trap: Promise<ServerStandIn> | undefined;
-    let written = 0;
+/** Creates the fault that writes invalid entries; each resolves once a record that it overwrote is written again. */
+export function createInvalidStoreEntry(environment: SoakEnvironment, random: RandomSource): Fault {
+    const { logEvent, servers, store } = environment;
+    let unlistedServer: Promise<ServerStandIn> | undefined;
+    let recordCount = 0;
 
-    return async function writeEntry() {
+    return async function writeInvalidEntry() {
         const { backend, service, zone } = pickRandom(
-            servers.filter(({ gone, isExcludedFromFaults: isScripted }) => !gone && !isScripted),
+            servers.filter(({ gone, isExcludedFromFaults }) => !gone && !isExcludedFromFaults),
             random,
         );
-        trap ??= world.startUnlistedServer();
-        const sound = serverObject((await trap).address(), { service, zone }) as Fields;
-        const broken = pickRandom(breakings, random)(sound);
-        const [kind, oddName, spec] = pickRandom(oddObjects, random);
-        store.put(kind, oddName, spec);
-        if (random() >= runningShare) {
-            say("fault=\"entry of another writer\"");
-            store.put("servers", `i-odd-${written++}`, broken);
+        unlistedServer ??= environment.startUnlistedServer();
+        const validRecord = serverObject((await unlistedServer).address(), { service, zone }) as Fields;
+        const invalidRecord = pickRandom(corruptions, random)(validRecord);
+        const [kind, objectName, spec] = pickRandom(invalidObjects, random);
+        store.put(kind, objectName, spec);
+        if (random() >= overwriteFraction) {
+            logEvent("fault=\"entry of another writer\"");
+            store.put("servers", `i-odd-${recordCount++}`, invalidRecord);
             return;
         }
-        say(`fault="entry of another writer in place of ${backend.id}"`);
-        store.put("servers", backend.id, broken);
-        await pause(milliseconds(random() * longestHeartbeat));
+        logEvent(`fault="entry of another writer in place of ${backend.id}"`);
+        store.put("servers", backend.id, invalidRecord);
+        await pause(milliseconds(random() * maxRewriteDelay));
         const server = servers.find(candidate => candidate.backend.id === backend.id);
         if (server !== undefined && !server.gone) {
-            world.writeRecord(server, "ready");
+            environment.writeRecord(server, "ready");
         }
     };
 }
--- a/packages/testing/src/soak/limit-faults.ts
+++ b/packages/testing/src/soak/limit-faults.ts
@@ -1,10 +1,8 @@
 /**
- * Servers that name the rate which they take, as faults of a soak run: some of
- * them or all of a service, lower and higher, until they name none any more or
- * start again.
+ * Faults in which servers announce rate limits: one server or all of a service, each with
+ * a random rate, until it stops announcing the limit or restarts.
  *
- * Drawn from a random source of its own, so that seeds of earlier sets stay what
- * they were.
+ * Draws from a separate random source, since seeds of the other sets must keep their draws.
  */
 
 import { createSeededRandom, milliseconds, type RandomSource } from "@chalkdale/kernel";
@@ -14,55 +12,60 @@
 import type { SoakEnvironment } from "./soak-environment.js";
 import type { SoakServer } from "./soak-servers.js";
 
-/** Draws of seeds that follow on each other would begin alike. */
-const seedSpread = 15_485_863;
-/** Part of the times in which all servers of a service name a limit. */
-const wholeServiceShare = 0.25;
-/** Requests a second that a server names at most, and the part of the times in which it names none at all: zero. */
-const highestRate = 8;
-const zeroShare = 0.1;
-/** Milliseconds for which a limit is named at least, and what chance adds at most. */
-const shortestLimit = 4000;
-const addedLimit = 5000;
-/** Milliseconds between two times at least, and what chance adds at most. */
-const shortestPause = 600;
-const addedPause = 1500;
-/** Milliseconds between two looks at whether the server still lives. */
-const watchInterval = 50;
+/** Spreads the runs' seeds: generators with consecutive seeds would begin with similar draws. */
+const seedMultiplier = 15_485_863;
+/** Fraction of the faults in which all servers of a service announce limits. */
+const wholeServiceFraction = 0.25;
+/** Maximum rate that a server announces, in requests per second, and fraction of the limits with a rate of zero. */
+const maxRate = 8;
+const zeroRateFraction = 0.1;
+/** Minimum time for which a limit is announced and the maximum random addition, in milliseconds. */
+const minDuration = 4000;
+const maxAddedDuration = 5000;
+/** Minimum time between two faults and the maximum random addition, in milliseconds. */
+const minPause = 600;
+const maxAddedPause = 1500;
+/** Milliseconds between two checks whether the server has ended. */
+const pollInterval = 50;
 
-/** Servers name limits until a time of the run; resolves once none is named any more, with all that were. */
-export async function injectServerLimits(world: SoakEnvironment, end: number): Promise<readonly ObservedLimit[]> {
-    const random = createSeededRandom(world.seed * seedSpread);
+/**
+ * Lets servers announce limits until the time `end` of the run; resolves with all limits once none is announced
+ * any more.
+ */
+export async function injectServerLimits(environment: SoakEnvironment, end: number): Promise<readonly ObservedLimit[]> {
+    const random = createSeededRandom(environment.seed * seedMultiplier);
     const limits: ObservedLimit[] = [];
     const limited = new Set<SoakServer>();
     const ends: Promise<void>[] = [];
-    while (world.now() < end) {
-        const chosen = pickServers(world, random).filter(server => !limited.has(server) && !server.isDown);
-        ends.push(...chosen.map(limit));
-        await pause(milliseconds(shortestPause + random() * addedPause));
+    while (environment.now() < end) {
+        const chosen = pickServers(environment, random).filter(server => !limited.has(server) && !server.isDown);
+        ends.push(...chosen.map(announceLimit));
+        await pause(milliseconds(minPause + random() * maxAddedPause));
     }
     await Promise.all(ends);
     return limits;
 
-    async function limit(server: SoakServer): Promise<void> {
+    async function announceLimit(server: SoakServer): Promise<void> {
         const { backend } = server;
-        const rate = random() < zeroShare ? 0 : Math.round(random() * highestRate * 10) / 10;
-        const until = world.now() + shortestLimit + random() * addedLimit;
-        const observed: ObservedLimit = { server: backend.id, rate, from: world.now(), to: Infinity };
+        const rate = random() < zeroRateFraction ? 0 : Math.round(random() * maxRate * 10) / 10;
+        const until = environment.now() + minDuration + random() * maxAddedDuration;
+        const observed: ObservedLimit = { server: backend.id, rate, from: environment.now(), to: Infinity };
         limits.push(observed);
         limited.add(server);
-        world.logEvent(`fault="limit of ${backend.id}" rate=${rate} for=${Math.round(until - world.now())}`);
+        environment.logEvent(
+            `fault="limit of ${backend.id}" rate=${rate} for=${Math.round(until - environment.now())}`,
+        );
         backend.setLimitHeader(String(rate));
-        while (world.now() < until && server.backend === backend && !server.isDown) {
-            await pause(milliseconds(watchInterval));
+        while (environment.now() < until && server.backend === backend && !server.isDown) {
+            await pause(milliseconds(pollInterval));
         }
         backend.setLimitHeader(undefined);
-        limits[limits.indexOf(observed)] = { ...observed, to: world.now() };
+        limits[limits.indexOf(observed)] = { ...observed, to: environment.now() };
         limited.delete(server);
     }
 }
 
 function pickServers({ servers }: SoakEnvironment, random: RandomSource): readonly SoakServer[] {
     const one = pickRandom(servers, random);
-    return random() < wholeServiceShare ? servers.filter(({ service }) => service === one.service) : [one];
+    return random() < wholeServiceFraction ? servers.filter(({ service }) => service === one.service) : [one];
 }
--- a/packages/testing/src/soak/link-faults.ts
+++ b/packages/testing/src/soak/link-faults.ts
@@ -1,6 +1,6 @@
 /**
- * Faults of the links that pass through proxies: delayed, silent for a while or
- * for good, reset.
+ * Faults of the links that pass through proxies: they are delayed, reset, or stop
+ * passing bytes for a while or for good.
  */
 
 import type { RandomSource } from "@chalkdale/kernel";
@@ -8,45 +8,59 @@
 import { type Fault, injectTemporaryFault, pickRandom } from "./fault-tools.js";
 import type { SoakEnvironment } from "./soak-environment.js";
 
-/** Part of the links that a reset strikes. */
-const resetPart = 0.5;
-/** Part of the silences that strike all links of a sort. */
-const allLinksShare = 0.6;
+/** Fraction of the links whose connections a reset fault resets. */
+const resetFraction = 0.5;
+/** Fraction of the blackhole faults that affect all links of a kind. */
+const allLinksFraction = 0.6;
 
-/** One of the links is delayed or silent for a while. */
-export function createLinkImpairment(world: SoakEnvironment, links: () => readonly FaultProxy[], text: string): Fault {
-    return async function harmLink() {
-        const link = pickRandom(links(), world.random);
-        const state = pickRandom<LinkState>(["delayed", "silent", "silentBack"], world.random);
-        await injectTemporaryFault(world, `${state} ${text}`, () => link.setState(state), () => link.setState("whole"));
+/**
+ * Creates the fault that delays or silences a random one of the links for a while. `text`: the kind of link, for
+ * the event.
+ */
+export function createLinkImpairment(
+    environment: SoakEnvironment,
+    links: () => readonly FaultProxy[],
+    text: string,
+): Fault {
+    return async function impairLink() {
+        const link = pickRandom(links(), environment.random);
+        const state = pickRandom<LinkState>(["delayed", "silent", "silentBack"], environment.random);
+        await injectTemporaryFault(
+            environment,
+            `${state} ${text}`,
+            () => link.setState(state),
+            () => link.setState("whole"),
+        );
     };
 }
 
-/** Connections on some of all links are reset. */
-export function createLinkReset(world: SoakEnvironment): Fault {
+/** Creates the fault that resets the open connections of some of all links. */
+export function createLinkReset(environment: SoakEnvironment): Fault {
     return async function resetLinks() {
-        world.logEvent("fault=\"connections reset\"");
-        world.storeConnectivity.beginFault()();
-        allLinks(world).filter(() => world.random() < resetPart).forEach(link => link.resetOpenConnections());
+        environment.logEvent("fault=\"connections reset\"");
+        environment.storeConnectivity.beginFault()();
+        allLinks(environment).filter(() => environment.random() < resetFraction).forEach(link =>
+            link.resetOpenConnections()
+        );
     };
 }
 
-/** The open connections of one link, or of all of them, fall silent for good; new ones work. */
+/** Creates the fault that blackholes the open connections of one link or of all of them; new connections work. */
 export function createConnectionBlackhole(
-    world: SoakEnvironment,
+    environment: SoakEnvironment,
     random: RandomSource,
     links: () => readonly FaultProxy[],
     text: string,
 ): Fault {
-    return async function silence() {
-        const struck = random() < allLinksShare ? links() : [pickRandom(links(), random)];
-        world.logEvent(`fault="silent for good: ${struck.length} ${text}"`);
-        world.storeConnectivity.beginFault()();
-        struck.forEach(link => link.blackholeOpenConnections());
+    return async function blackhole() {
+        const affected = random() < allLinksFraction ? links() : [pickRandom(links(), random)];
+        environment.logEvent(`fault="silent for good: ${affected.length} ${text}"`);
+        environment.storeConnectivity.beginFault()();
+        affected.forEach(link => link.blackholeOpenConnections());
     };
 }
 
-/** All links of a run. */
-export function allLinks(world: SoakEnvironment): readonly FaultProxy[] {
-    return [...world.storeLinks, ...world.servers.map(server => server.proxy)];
+/** All links of a run: boxes to the store and boxes to servers. */
+export function allLinks(environment: SoakEnvironment): readonly FaultProxy[] {
+    return [...environment.storeLinks, ...environment.servers.map(server => server.proxy)];
 }
--- a/packages/testing/src/soak/notice-faults.ts
+++ b/packages/testing/src/soak/notice-faults.ts
@@ -1,8 +1,8 @@
 /**
- * Servers that tell of themselves in their answers, as faults of a soak run: that they are
- * leaving, seconds before their record says it, and that they want nothing from a box for a while.
+ * Faults in which servers announce something in their answers: that they are leaving, seconds
+ * before their record says so, or that a box should back off for a while.
  *
- * Draws from a random source of its own, so that seeds of earlier sets stay what they were.
+ * Draws from a separate random source, since seeds of the other sets must keep their draws.
  */
 
 import { createSeededRandom, milliseconds } from "@chalkdale/kernel";
@@ -13,109 +13,122 @@
 import type { SoakEnvironment } from "./soak-environment.js";
 import type { SoakServer } from "./soak-servers.js";
 
-/** Draws of seeds that follow on each other would begin alike. */
-const seedSpread = 32_452_843;
-/** Part of the faults in which a server leaves; in the others it asks for rest. */
-const leavingShare = 0.4;
-/** Part of the rests for which all servers of a service ask at once. */
-const wholeServiceShare = 0.25;
-/** Servers that are left to the other faults at least. */
-const leftToOthers = 2;
-/** Milliseconds after which the record says that the server leaves at least, and what chance adds at most. */
-const recordedAfter = 3500;
-const addedDelay = 3000;
-/** Milliseconds for which a server turns requests away at least, and what chance adds at most. */
-const shortestTurnedAway = 200;
-const addedTurnedAway = 700;
-/** Milliseconds of a rest that is asked for at most, and at least. */
-const longestRest = 3000;
-const shortestRest = 1000;
-/** Milliseconds between two faults at least, and what chance adds at most. */
-const shortestPause = 500;
-const addedPause = 1200;
+/** Spreads the runs' seeds: generators with consecutive seeds would begin with similar draws. */
+const seedMultiplier = 32_452_843;
+/** Fraction of the faults in which a server leaves; in the others it asks for back-off. */
+const leavingFraction = 0.4;
+/** Fraction of the back-offs that all servers of a service ask for at once. */
+const wholeServiceFraction = 0.25;
+/** Minimum number of servers that stay available to the other faults. */
+const minFreeServers = 2;
+/** Minimum time until the record says that the server is leaving and the maximum random addition, in milliseconds. */
+const minRecordDelay = 3500;
+const maxAddedRecordDelay = 3000;
+/** Minimum time for which a server rejects requests and the maximum random addition, in milliseconds. */
+const minRejectionTime = 200;
+const maxAddedRejectionTime = 700;
+/** Maximum and minimum back-off that is asked for, in milliseconds. */
+const maxBackoff = 3000;
+const minBackoff = 1000;
+/** Minimum time between two faults and the maximum random addition, in milliseconds. */
+const minPause = 500;
+const maxAddedPause = 1200;
 
-/** What servers said. */
+/** What servers announced. */
 interface ObservedNotices {
     readonly leaving: readonly ObservedLeaving[];
     readonly backoffs: readonly ObservedBackoff[];
 }
 
-/** Servers tell of themselves until a time of the run; resolves once all that they said is over. */
-export async function injectNotices(world: SoakEnvironment, end: number): Promise<ObservedNotices> {
-    const { now, logEvent: say, servers } = world;
-    const random = createSeededRandom(world.seed * seedSpread);
+/**
+ * Lets servers announce that they are leaving or want back-off until the time `end` of the run; resolves once
+ * all of it is over.
+ */
+export async function injectNotices(environment: SoakEnvironment, end: number): Promise<ObservedNotices> {
+    const { now, logEvent, servers } = environment;
+    const random = createSeededRandom(environment.seed * seedMultiplier);
     const leaving: ObservedLeaving[] = [];
-    const rests: ObservedBackoff[] = [];
+    const backoffs: ObservedBackoff[] = [];
     const ends: Promise<void>[] = [];
     while (now() < end) {
-        ends.push(...beginOne());
-        await pause(milliseconds(shortestPause + random() * addedPause));
+        ends.push(...beginFault());
+        await pause(milliseconds(minPause + random() * maxAddedPause));
     }
     await Promise.all(ends);
-    return { leaving, backoffs: rests };
+    return { leaving, backoffs };
 
-    function beginOne(): readonly Promise<void>[] {
+    function beginFault(): readonly Promise<void>[] {
         const free = servers.filter((
-            { gone, isDown, isPermanentlyStopped: isEnded, isExcludedFromFaults: isScripted },
-        ) => !gone && !isDown && !isEnded && !isScripted);
-        if (free.length <= leftToOthers) {
+            { gone, isDown, isPermanentlyStopped, isExcludedFromFaults },
+        ) => !gone && !isDown && !isPermanentlyStopped && !isExcludedFromFaults);
+        if (free.length <= minFreeServers) {
             return [];
         }
         const server = pickRandom(free, random);
-        if (random() < leavingShare) {
-            return servers.length > world.mostServers ? [] : [leave(server)];
+        if (random() < leavingFraction) {
+            return servers.length > environment.mostServers ? [] : [leave(server)];
         }
-        const resting = random() < wholeServiceShare
+        const rejecting = random() < wholeServiceFraction
             ? free.filter(({ service }) => service === server.service)
             : [server];
-        if (free.length - resting.length < leftToOthers) {
+        if (free.length - rejecting.length < minFreeServers) {
             return [];
         }
-        const rest = Math.round(shortestRest + random() * (longestRest - shortestRest));
-        return resting.map(one => askForRest(one, rest));
+        const backoffMilliseconds = Math.round(minBackoff + random() * (maxBackoff - minBackoff));
+        return rejecting.map(one => askForBackoff(one, backoffMilliseconds));
     }
 
-    /** Its record says so only after a while; then it goes like any other. */
+    /**
+     * Announces that the server is leaving; its record says so only after a while, and then it drains like any
+     * other.
+     */
     async function leave(server: SoakServer): Promise<void> {
         const { id } = server.backend;
         server.gone = true;
         server.isExcludedFromFaults = true;
-        say(`fault="${id} says that it leaves"`);
-        await world.addServer(server.service, server.zone);
+        logEvent(`fault="${id} says that it leaves"`);
+        await environment.addServer(server.service, server.zone);
         server.backend.setLeavingHeader("1");
         leaving.push({ server: id, from: now() });
-        await pause(milliseconds(recordedAfter + random() * addedDelay));
+        await pause(milliseconds(minRecordDelay + random() * maxAddedRecordDelay));
         if (server.isPermanentlyStopped) {
             return;
         }
-        world.writeRecord(server, "draining");
+        environment.writeRecord(server, "draining");
         await pause(milliseconds(inForceWithin));
-        world.store.delete("servers", id);
+        environment.store.delete("servers", id);
     }
 
-    /** It turns all requests away for a while, and serves from then on; what comes is noted until the last rest is over. */
-    async function askForRest(server: SoakServer, rest: number): Promise<void> {
+    /**
+     * Rejects all requests with a back-off for a while, then serves again; records all arrivals until the last
+     * back-off is over.
+     */
+    async function askForBackoff(server: SoakServer, backoffMilliseconds: number): Promise<void> {
         const { backend } = server;
-        const turnsAwayUntil = now() + shortestTurnedAway + random() * addedTurnedAway;
-        const arrived: ObservedArrival[] = [];
-        const asked: ObservedArrival[] = [];
-        const fromClock = performance.now() - now();
+        const rejectsUntil = now() + minRejectionTime + random() * maxAddedRejectionTime;
+        const arrivals: ObservedArrival[] = [];
+        const rejections: ObservedArrival[] = [];
+        const clockOffset = performance.now() - now();
         server.isExcludedFromFaults = true;
-        rests.push({ server: backend.id, backoffMilliseconds: rest, rejections: asked, arrivals: arrived });
-        say(`fault="${backend.id} asks for rest" rest=${rest} for=${Math.round(turnsAwayUntil - now())}`);
+        backoffs.push({ server: backend.id, backoffMilliseconds, rejections, arrivals });
+        logEvent(
+            `fault="${backend.id} asks for rest" rest=${backoffMilliseconds} for=${Math.round(rejectsUntil - now())}`,
+        );
         backend.setBehaviour(request => {
             const arrival = { boxAddress: request.socket.remoteAddress ?? "", at: now() };
-            arrived.push(arrival);
-            if (arrival.at >= turnsAwayUntil) {
+            arrivals.push(arrival);
+            if (arrival.at >= rejectsUntil) {
                 return { kind: "serve" };
             }
-            asked.push(arrival);
-            return { kind: "shed", includesLoad: true, retryAfter: String(rest / 1000) };
+            rejections.push(arrival);
+            return { kind: "shed", includesLoad: true, retryAfter: String(backoffMilliseconds / 1000) };
         });
-        await pause(milliseconds(turnsAwayUntil - now() + rest));
-        // An answer that a harmed link held back or lost has told its box nothing.
-        const heard = asked.filter(({ at }) => !server.proxy.wasImpaired(fromClock + at - 100, fromClock + at + 400));
-        asked.splice(0, asked.length, ...heard);
+        await pause(milliseconds(rejectsUntil - now() + backoffMilliseconds));
+        // A rejection that an impaired link held back or lost may not have reached the box.
+        const delivered = rejections.filter(({ at }) =>
+            !server.proxy.wasImpaired(clockOffset + at - 100, clockOffset + at + 400)
+        );
+        rejections.splice(0, rejections.length, ...delivered);
         server.isExcludedFromFaults = false;
         backend.setBehaviour(() => ({ kind: "serve" }));
     }
--- a/packages/testing/src/soak/planned-changes.ts
+++ b/packages/testing/src/soak/planned-changes.ts
@@ -1,8 +1,8 @@
 /**
- * What operators do in a soak run: servers are replaced, zones closed, and the
- * configuration changed.
+ * Planned changes of a soak run, as operators make them: servers are replaced and
+ * restarted, availability zones closed, and the configuration changed.
  *
- * Owns from when on a server or a zone must get nothing; the checks read it.
+ * Owns when a server or a zone must get no requests; the checks read it.
  */
 
 import { milliseconds, type RandomSource } from "@chalkdale/kernel";
@@ -16,103 +16,104 @@
 
 /** The changes of one run. */
 export interface PlannedChanges {
-    /** From when on a server must get nothing, by its id. */
+    /** By server id: when the server must get no requests. */
     readonly drained: ReadonlyMap<string, Interval>;
-    /** When a zone's servers must get nothing. */
+    /** By availability zone: when its servers must get no requests. */
     readonly zoneClosures: ReadonlyMap<string, readonly Interval[]>;
-    /** A server drains and leaves; another of its service takes its place. */
+    /** Drains and removes a server; another of its service takes its place. */
     readonly replaceServer: Fault;
-    /** A server starts again, whatever it was about to do; one that was released is in use again. */
+    /** Restarts a server, also one that drains; that one is in use again afterwards. */
     readonly restart: (random: RandomSource) => Promise<void>;
-    /** A zone is closed for a while. */
+    /** Closes a random availability zone for a while. */
     readonly closeZone: Fault;
+    /** Writes the next version of the configuration. */
     readonly changeConfiguration: Fault;
     readonly rollouts: SoakRollouts;
 }
 
-/** Milliseconds for which a draining server stays listed. */
+/** Time for which a draining server stays listed. */
 const drainTime = milliseconds(3000);
-/** Longest time for which a server that starts again is down, in milliseconds. */
-const longestDown = 1500;
-/** Longest time that a closed zone stays closed once that is in force, in milliseconds. */
-const longestClosed = 2500;
+/** Maximum downtime of a restarting server, in milliseconds. */
+const maxDownTime = 1500;
+/** Maximum time that a zone stays closed once its closure must be in force, in milliseconds. */
+const maxClosedTime = 2500;
 
-/** Creates the changes; nothing has been changed yet. */
-export function createPlannedChanges(world: SoakEnvironment): PlannedChanges {
-    const { now, random, logEvent: say, servers, store } = world;
+/** Creates the changes without making any. */
+export function createPlannedChanges(environment: SoakEnvironment): PlannedChanges {
+    const { now, random, logEvent, servers, store } = environment;
     const drained = new Map<string, Interval>();
-    const evacuated = new Map<string, Interval[]>();
+    const zoneClosures = new Map<string, Interval[]>();
     const closedZones = new Set<string>();
-    /** Servers that were told to leave and may come back. */
-    const released = new Set<SoakServer>();
+    /** Servers that `replaceServer` drained and `restart` may take into use again. */
+    const replaced = new Set<SoakServer>();
 
-    const rollouts = createSoakRollouts(world, drained);
+    const rollouts = createSoakRollouts(environment, drained);
     return {
         drained,
-        zoneClosures: evacuated,
-        replaceServer: release,
+        zoneClosures,
+        replaceServer,
         restart,
-        closeZone: evacuate,
+        closeZone,
         changeConfiguration,
         rollouts,
     };
 
-    async function release(): Promise<void> {
+    async function replaceServer(): Promise<void> {
         const server = servers.find(candidate => !candidate.gone && !candidate.isExcludedFromFaults);
-        if (server === undefined || servers.length > world.mostServers) {
+        if (server === undefined || servers.length > environment.mostServers) {
             return;
         }
         server.gone = true;
-        say(`fault="release of ${server.backend.id}"`);
-        await world.addServer(server.service, server.zone);
-        world.writeRecord(server, "draining");
+        logEvent(`fault="release of ${server.backend.id}"`);
+        await environment.addServer(server.service, server.zone);
+        environment.writeRecord(server, "draining");
         drained.set(server.backend.id, { from: now() + inForceWithin, to: Infinity });
-        released.add(server);
+        replaced.add(server);
         await pause(drainTime);
         if (server.gone) {
             store.delete("servers", server.backend.id);
         }
     }
 
-    async function restart(draw: RandomSource): Promise<void> {
-        const running = servers.filter(({ isDown, isPermanentlyStopped: isEnded }) => !isDown && !isEnded);
+    async function restart(restartRandom: RandomSource): Promise<void> {
+        const running = servers.filter(({ isDown, isPermanentlyStopped }) => !isDown && !isPermanentlyStopped);
         const candidates = running.filter(server =>
-            released.has(server) || !server.gone && !server.isExcludedFromFaults
+            replaced.has(server) || !server.gone && !server.isExcludedFromFaults
         );
         if (candidates.length === 0) {
             return;
         }
-        const server = pickRandom(candidates, draw);
+        const server = pickRandom(candidates, restartRandom);
         const { id } = server.backend;
-        say(`fault="restart of ${id}${server.gone ? ", which was leaving" : ""}"`);
-        released.delete(server);
-        if (!await world.restartServer(server, milliseconds(longestDown * draw()))) {
+        logEvent(`fault="restart of ${id}${server.gone ? ", which was leaving" : ""}"`);
+        replaced.delete(server);
+        if (!await environment.restartServer(server, milliseconds(maxDownTime * restartRandom()))) {
             return;
         }
         server.gone = false;
-        const leaving = drained.get(id);
-        if (leaving !== undefined) {
-            drained.set(id, { ...leaving, to: now() });
+        const drainInterval = drained.get(id);
+        if (drainInterval !== undefined) {
+            drained.set(id, { ...drainInterval, to: now() });
         }
     }
 
-    async function evacuate(): Promise<void> {
+    async function closeZone(): Promise<void> {
         const zone = pickRandom(zoneNames, random);
         if (closedZones.has(zone) || closedZones.size === zoneNames.length - 1) {
             return;
         }
         closedZones.add(zone);
-        say(`fault="evacuation of ${zone}"`);
+        logEvent(`fault="evacuation of ${zone}"`);
         store.put("evacuations", zone, {});
         const from = now() + inForceWithin;
-        await pause(milliseconds(inForceWithin + longestClosed * random()));
+        await pause(milliseconds(inForceWithin + maxClosedTime * random()));
         store.delete("evacuations", zone);
         closedZones.delete(zone);
-        evacuated.set(zone, [...evacuated.get(zone) ?? [], { from, to: now() }]);
+        zoneClosures.set(zone, [...zoneClosures.get(zone) ?? [], { from, to: now() }]);
     }
 
     async function changeConfiguration(): Promise<void> {
-        say("fault=\"configuration\"");
-        world.writeNextConfiguration();
+        logEvent("fault=\"configuration\"");
+        environment.writeNextConfiguration();
     }
 }
--- a/packages/testing/src/soak/restore-faults.ts
+++ b/packages/testing/src/soak/restore-faults.ts
@@ -1,9 +1,9 @@
 /**
- * Returns of the store from older copies of its own, as faults of a soak run: it is away for a
- * moment, has lost what was written in the last seconds, and the operators and the
- * servers write that again; at times it comes back a second time meanwhile.
+ * Faults in which the store is restored from an older snapshot: it is unreachable for a moment,
+ * has lost the writes of the last seconds, and the operators and servers write them again.
+ * A further restore may come before they have done so.
  *
- * Owns the copies; draws from a random source of its own, so that seeds of earlier sets stay what they were.
+ * Owns the snapshots. Draws from a separate random source, since seeds of the other sets must keep their draws.
  */
 
 import { createSeededRandom, milliseconds } from "@chalkdale/kernel";
@@ -11,59 +11,59 @@
 import type { StoreSnapshot } from "../standins/metadata-store.js";
 import type { SoakEnvironment } from "./soak-environment.js";
 
-/** Draws of seeds that follow on each other would begin alike. */
-const seedSpread = 49_979_687;
-/** Milliseconds between two copies of the store, and how many are kept: the oldest is some seconds old. */
-const copyInterval = 500;
-const keptCopies = 8;
-/** Milliseconds for which the store is away at least, and what chance adds at most. */
-const shortestAway = 200;
-const addedAway = 800;
-/** Milliseconds within which what was lost is written again. */
-const writtenAgainWithin = 2000;
-/** Milliseconds between two returns at least, and what chance adds at most. */
-const shortestPause = 1500;
-const addedPause = 4000;
+/** Spreads the runs' seeds: generators with consecutive seeds would begin with similar draws. */
+const seedMultiplier = 49_979_687;
+/** Milliseconds between two snapshots of the store, and how many are kept: the oldest is a few seconds old. */
+const snapshotInterval = 500;
+const keptSnapshots = 8;
+/** Minimum outage of the store and the maximum random addition, in milliseconds. */
+const minOutage = 200;
+const maxAddedOutage = 800;
+/** Milliseconds within which lost writes are repeated. */
+const maxReplayDelay = 2000;
+/** Minimum time between two restores and the maximum random addition, in milliseconds. */
+const minPause = 1500;
+const maxAddedPause = 4000;
 
-/** The store comes back again and again until a time of the run; resolves once all that was lost is written again. */
-export async function injectStoreRestores(world: SoakEnvironment, end: number): Promise<void> {
-    const { now, store, storeServer } = world;
-    const random = createSeededRandom(world.seed * seedSpread);
-    const copies: StoreSnapshot[] = [];
+/** Restores the store repeatedly until the time `end` of the run; resolves once all lost writes are repeated. */
+export async function injectStoreRestores(environment: SoakEnvironment, end: number): Promise<void> {
+    const { now, store, storeServer } = environment;
+    const random = createSeededRandom(environment.seed * seedMultiplier);
+    const snapshots: StoreSnapshot[] = [];
     const timer = setInterval(() => {
-        copies.push(store.takeSnapshot());
-        copies.splice(0, copies.length - keptCopies);
-    }, copyInterval);
-    const writes: Promise<void>[] = [];
+        snapshots.push(store.takeSnapshot());
+        snapshots.splice(0, snapshots.length - keptSnapshots);
+    }, snapshotInterval);
+    const replays: Promise<void>[] = [];
     while (now() < end) {
-        await pause(milliseconds(shortestPause + random() * addedPause));
+        await pause(milliseconds(minPause + random() * maxAddedPause));
         await restoreOnce();
     }
     clearInterval(timer);
-    await Promise.all(writes);
+    await Promise.all(replays);
     store.lostWrites().forEach(write => write.replay());
 
     async function restoreOnce(): Promise<void> {
-        const over = world.storeConnectivity.beginFault();
-        const away = milliseconds(shortestAway + random() * addedAway);
+        const endFault = environment.storeConnectivity.beginFault();
+        const outage = milliseconds(minOutage + random() * maxAddedOutage);
         storeServer.setFault(() => ({ kind: "reset" }));
         storeServer.dropConnections();
-        await pause(away);
-        const copy = copies[Math.floor(random() * copies.length)] ?? store.takeSnapshot();
-        const lostRevisions = store.revision() - copy.at;
-        store.restore(copy);
+        await pause(outage);
+        const snapshot = snapshots[Math.floor(random() * snapshots.length)] ?? store.takeSnapshot();
+        const lostRevisions = store.revision() - snapshot.at;
+        store.restore(snapshot);
         storeServer.setFault(() => ({ kind: "none" }));
-        world.logEvent(
+        environment.logEvent(
             `fault="store back older" away=${
-                Math.round(away)
+                Math.round(outage)
             } lost=${lostRevisions} writes=${store.lostWrites().length}`,
         );
-        writes.push(
+        replays.push(
             ...store.lostWrites().map(async write => {
-                await pause(milliseconds(random() * writtenAgainWithin));
+                await pause(milliseconds(random() * maxReplayDelay));
                 write.replay();
             }),
         );
-        void Promise.all(writes).then(over);
+        void Promise.all(replays).then(endFault);
     }
 }
--- a/packages/testing/src/soak/service-faults.ts
+++ b/packages/testing/src/soak/service-faults.ts
@@ -1,5 +1,5 @@
 /**
- * Faults of what the boxes talk to: the store and the backend servers.
+ * Faults of the services that boxes depend on: the store and the backend servers.
  */
 
 import type { StoreFault } from "../standins/metadata-store-server.js";
@@ -15,9 +15,10 @@
     { kind: "answerLost" },
     { kind: "late", afterMs: 900 },
 ];
-const turningAway = storeFaults.slice(0, 4);
-/** Part of the boxes that are turned away while others are served. */
-const turnedAwayShare = 0.6;
+/** Faults with which the store rejects the calls of some boxes. */
+const partialFaults = storeFaults.slice(0, 4);
+/** Probability that a box is rejected while others are served. */
+const rejectedFraction = 0.6;
 const serverFaults: readonly ServerBehaviour[] = [
     { kind: "shed" },
     { kind: "fail", status: 500 },
@@ -29,19 +30,19 @@
     { kind: "extra", afterMs: 40 },
     { kind: "garbage" },
 ];
-/** Least part of its requests with which a server misbehaves. */
-const leastShare = 0.1;
-/** What chance adds to it at most. */
-const addedShare = 0.6;
+/** Minimum fraction of its requests at which a server misbehaves. */
+const minMisbehaviour = 0.1;
+/** Maximum random addition to that fraction. */
+const maxAddedMisbehaviour = 0.6;
 
-/** The store fails for a while. */
-export function createStoreFailure(world: SoakEnvironment): Fault {
-    const { random, storeServer } = world;
+/** Creates the fault that makes the store fail for a while. */
+export function createStoreFailure(environment: SoakEnvironment): Fault {
+    const { random, storeServer } = environment;
 
     return async function failStore() {
         const fault = pickRandom(storeFaults, random);
         await injectTemporaryFault(
-            world,
+            environment,
             `store ${fault.kind}`,
             () => storeServer.setFault(() => fault),
             () => storeServer.setFault(() => ({ kind: "none" })),
@@ -49,40 +50,43 @@
     };
 }
 
-/** The store turns some boxes away for a while, and serves the others. */
-export function createPartialStoreFailure(world: SoakEnvironment): Fault {
-    const { random, storeServer } = world;
+/**
+ * Creates the fault that makes the store reject, reset or leave unanswered the calls of some boxes for a while;
+ * it serves the others.
+ */
+export function createPartialStoreFailure(environment: SoakEnvironment): Fault {
+    const { random, storeServer } = environment;
 
-    return async function turnAway() {
-        const fault = pickRandom(turningAway, random);
-        const turnedAway = new Map<string, boolean>();
+    return async function failStoreForSome() {
+        const fault = pickRandom(partialFaults, random);
+        const rejectionByCaller = new Map<string, boolean>();
         await injectTemporaryFault(
-            world,
+            environment,
             `store ${fault.kind} to some boxes`,
-            () => storeServer.setFault(({ caller }) => isTurnedAway(caller) ? fault : { kind: "none" }),
+            () => storeServer.setFault(({ caller }) => isRejected(caller) ? fault : { kind: "none" }),
             () => storeServer.setFault(() => ({ kind: "none" })),
         );
 
-        function isTurnedAway(caller: string): boolean {
-            const drawn = turnedAway.get(caller) ?? random() < turnedAwayShare;
-            turnedAway.set(caller, drawn);
-            return drawn;
+        function isRejected(caller: string): boolean {
+            const rejected = rejectionByCaller.get(caller) ?? random() < rejectedFraction;
+            rejectionByCaller.set(caller, rejected);
+            return rejected;
         }
     };
 }
 
-/** A server misbehaves at part of its requests for a while. */
-export function createMisbehaviour(world: SoakEnvironment): Fault {
-    const { random, servers } = world;
+/** Creates the fault that makes a random server misbehave at some of its requests for a while. */
+export function createMisbehaviour(environment: SoakEnvironment): Fault {
+    const { random, servers } = environment;
 
     return async function misbehave() {
         const { backend } = pickRandom(servers.filter(server => !server.isExcludedFromFaults), random);
         const behaviour = pickRandom(serverFaults, random);
-        const share = leastShare + random() * addedShare;
+        const fraction = minMisbehaviour + random() * maxAddedMisbehaviour;
         await injectTemporaryFault(
-            world,
+            environment,
             `${behaviour.kind} of ${backend.id}`,
-            () => backend.setBehaviour(() => random() < share ? behaviour : { kind: "serve" }),
+            () => backend.setBehaviour(() => random() < fraction ? behaviour : { kind: "serve" }),
             () => backend.setBehaviour(() => ({ kind: "serve" })),
         );
     };
