--- a/packages/testing/src/soak/checks.ts
+++ b/packages/testing/src/soak/checks.ts
@@ -1,5 +1,6 @@
 /**
- * What the soak checks, from what callers and servers see.
+ * Finds all breaches of a soak run in what its callers and servers observed: the
+ * checks of this module and those of the other `*-checks` modules.
  */
 
 import { connectedBoxBreaches } from "./connected-box-checks.js";
@@ -9,27 +10,33 @@
 import { pipeliningBreaches } from "./pipelining-checks.js";
 import { recoveryBreaches } from "./recovery-checks.js";
 
-/** Part of the requests that must be served once all faults are over. */
-const servedAfterRecovery = 0.9;
+/** Fraction of the requests that must be served once all faults are over. */
+const minServedAfterRecovery = 0.9;
 
-/** Bound of the boxes' settings on what a version may get that turns out bad: part of the service's requests, and requests besides. */
+/**
+ * Exposure bound in the boxes' settings: fraction of a service's requests that a version which turns out bad may
+ * get.
+ */
 export const exposedShare = 0.1;
-/** Requests besides. */
+/** Requests that such a version may get in addition to that fraction. */
 export const exposedAllowance = 50;
-/** Milliseconds after the state in the store in which a box may still send to a version, as for any other change. */
+/**
+ * Milliseconds after a final state was written to the store in which a box may still send to the version:
+ * `inForceWithin`, as for any other change.
+ */
 const stoppedWithin = 7000;
 
-/** Returns all breaches. */
+/** Returns the breaches of all checks. */
 export function findBreaches(seen: Observations): Breach[] {
     return [
-        ...wholeAnswers(seen),
-        ...atMostOnce(seen),
-        ...refusedUnrun(seen),
-        ...routed(seen),
-        ...ofTheirCustomer(seen),
-        ...drained(seen),
-        ...rolledOut(seen),
-        ...recovered(seen),
+        ...answerBreaches(seen),
+        ...atMostOnceBreaches(seen),
+        ...refusalBreaches(seen),
+        ...routeBreaches(seen),
+        ...customerBreaches(seen),
+        ...closedServerBreaches(seen),
+        ...rolloutBreaches(seen),
+        ...servedFractionBreaches(seen),
         ...pipeliningBreaches(seen),
         ...connectedBoxBreaches(seen),
         ...recoveryBreaches(seen),
@@ -38,7 +45,8 @@
     ];
 }
 
-function wholeAnswers({ attempts }: Observations): Breach[] {
+/** A 200 must carry the whole answer to the caller's own request. */
+function answerBreaches({ attempts }: Observations): Breach[] {
     const wrong = attempts.filter(({ answer, requestId }) => {
         const isOwn = answer.body.endsWith(` to ${requestId}`)
             && answer.headers["server-stamp"] === `stamp.${requestId}`;
@@ -51,7 +59,8 @@
     }));
 }
 
-function atMostOnce({ runs, attempts }: Observations): Breach[] {
+/** A request that is not idempotent must run at most once. */
+function atMostOnceBreaches({ runs, attempts }: Observations): Breach[] {
     const idempotent = new Map(attempts.map(attempt => [attempt.requestId, attempt.idempotent]));
     const first = new Map<string, ObservedRun>();
     const breaches: Breach[] = [];
@@ -66,7 +75,8 @@
     return breaches;
 }
 
-function refusedUnrun({ attempts, runs }: Observations): Breach[] {
+/** A request that is not idempotent and was refused must not have run. */
+function refusalBreaches({ attempts, runs }: Observations): Breach[] {
     const ran = new Map(runs.map(run => [run.requestId, run]));
     const refused = attempts.filter(attempt =>
         !attempt.idempotent && [408, 421, 429, 503].includes(attempt.answer.status)
@@ -78,7 +88,8 @@
     }));
 }
 
-function routed({ destinations, runs }: Observations): Breach[] {
+/** A request must run on a service that its path may go to at that time. */
+function routeBreaches({ destinations, runs }: Observations): Breach[] {
     const wrong = runs.filter(run => {
         const known = destinations.filter(entry => run.url.startsWith(entry.path));
         return !known.some(entry => entry.service === run.service && run.at >= entry.from && run.at <= entry.to);
@@ -90,8 +101,8 @@
     }));
 }
 
-/** Each run is for the customer of the caller's key, while that stands, and the key itself does not reach the server. */
-function ofTheirCustomer({ attempts, keyInvalidFrom: keyEndsAt, runs }: Observations): Breach[] {
+/** A request must run for the customer of its key, while the key is valid, and the key must not reach the server. */
+function customerBreaches({ attempts, keyInvalidFrom, runs }: Observations): Breach[] {
     const heldBy = new Map(attempts.map(({ held, requestId }) => [requestId, held]));
     return runs.flatMap((run): Breach[] => {
         const held = heldBy.get(run.requestId);
@@ -99,71 +110,79 @@
             return [];
         }
         const { credential, tenant } = run.headers;
-        const isAfterEnd = run.at > (keyEndsAt(held.key) ?? Infinity);
-        if (tenant === held.customer && credential === undefined && !isAfterEnd) {
+        const isKeyInvalid = run.at > (keyInvalidFrom(held.key) ?? Infinity);
+        if (tenant === held.customer && credential === undefined && !isKeyInvalid) {
             return [];
         }
-        const told = `for ${String(tenant)}, key ${credential === undefined ? "taken off" : "passed on"}`;
-        const detail = `${run.requestId} of ${held.customer} ran on ${run.server} ${told}${
-            isAfterEnd ? ", after its end" : ""
+        const received = `for ${String(tenant)}, key ${credential === undefined ? "removed" : "passed on"}`;
+        const detail = `${run.requestId} of ${held.customer} ran on ${run.server} ${received}${
+            isKeyInvalid ? ", after the key became invalid" : ""
         }`;
         return [{ promise: "customer", at: run.at, detail }];
     });
 }
 
-function drained({ drained, zoneClosures: evacuated, runs }: Observations): Breach[] {
-    const isIn = (interval: Interval, at: number) => at >= interval.from && at <= interval.to;
+/** Nothing must run on a server that has drained or whose availability zone is closed. */
+function closedServerBreaches({ drained, zoneClosures, runs }: Observations): Breach[] {
+    const isWithin = (interval: Interval, at: number) => at >= interval.from && at <= interval.to;
     return runs.flatMap((run): Breach[] => {
-        const gone = drained.get(run.server);
-        if (gone !== undefined && isIn(gone, run.at)) {
+        const drainInterval = drained.get(run.server);
+        if (drainInterval !== undefined && isWithin(drainInterval, run.at)) {
             return [{
                 promise: "drain",
                 at: run.at,
-                detail: `${run.requestId} on ${run.server}, leaving from ${gone.from}`,
+                detail: `${run.requestId} on ${run.server}, which must get nothing since ${drainInterval.from}`,
             }];
         }
-        const closed = evacuated.get(run.zone)?.find(interval => isIn(interval, run.at));
+        const closed = zoneClosures.get(run.zone)?.find(interval => isWithin(interval, run.at));
         if (closed === undefined) {
             return [];
         }
-        const detail = `${run.requestId} on ${run.server} in ${run.zone}, closed from ${closed.from}`;
+        const detail = `${run.requestId} on ${run.server} in ${run.zone}, which must be closed since ${closed.from}`;
         return [{ promise: "evacuation", at: run.at, detail }];
     });
 }
 
-/** A bad version stays within its bound, is never completed, and gets nothing more soon after; a state once final stays. */
-function rolledOut({ rollouts, runs }: Observations): Breach[] {
+/**
+ * A bad version stays within its exposure bound, never completes, and gets no requests soon after its roll-out
+ * ends; a final state stays.
+ */
+function rolloutBreaches({ rollouts, runs }: Observations): Breach[] {
     return rollouts.flatMap((rollout): Breach[] => {
         const { from, isBad, servers, service, states, to, version } = rollout;
         const breaches: Breach[] = [];
         const final = states.findIndex(({ state }) => state !== "running");
-        const told = states.map(({ at, state }) => `${state} at ${Math.round(at)}`).join(", ");
+        const history = states.map(({ at, state }) => `${state} at ${Math.round(at)}`).join(", ");
         const isCompletedBad = isBad && states[final]?.state === "completed";
         if (final >= 0 && final < states.length - 1 || isCompletedBad) {
-            const detail = `${isBad ? "bad" : "good"} ${version} of ${service}: ${told}`;
+            const detail = `${isBad ? "bad" : "good"} ${version} of ${service}: ${history}`;
             breaches.push({ promise: "one outcome", at: states[final].at, detail });
         }
         const during = runs.filter(run => run.service === service && run.at >= from && run.at <= to);
         const exposed = during.filter(run => servers.has(run.server)).length;
         const allowed = exposedShare * during.length + exposedAllowance;
         if (isBad && exposed > allowed) {
-            const detail = `${version} of ${service} had ${exposed} of ${during.length}, ${allowed} allowed; ${told}`;
+            const detail =
+                `${version} of ${service} got ${exposed} of ${during.length} requests, ${allowed} allowed; ${history}`;
             breaches.push({ promise: "exposure", at: from, detail });
         }
         const endsAt = states[final]?.at ?? to;
         const late = runs.filter(run => servers.has(run.server) && run.at > endsAt + stoppedWithin);
         if (isBad && late.length > 0) {
-            const detail = `${version} of ${service} had ${late.length} more, the last at ${late.at(-1)!.at}; ${told}`;
+            const detail = `${version} of ${service} got ${late.length} requests too late, the last at ${
+                late.at(-1)!.at
+            }; ${history}`;
             breaches.push({ promise: "roll-back", at: endsAt, detail });
         }
         return breaches;
     });
 }
 
-function recovered({ attempts, recoveredFrom }: Observations): Breach[] {
+/** Once all faults are over, nearly all requests must be served. */
+function servedFractionBreaches({ attempts, recoveredFrom }: Observations): Breach[] {
     const late = attempts.filter(attempt => attempt.at >= recoveredFrom);
     const served = late.filter(attempt => attempt.answer.status === 200).length;
-    if (late.length > 0 && served >= late.length * servedAfterRecovery) {
+    if (late.length > 0 && served >= late.length * minServedAfterRecovery) {
         return [];
     }
     return [{ promise: "recovery", at: recoveredFrom, detail: `${served} of ${late.length} attempts served` }];
--- a/packages/testing/src/soak/connected-box-checks.ts
+++ b/packages/testing/src/soak/connected-box-checks.ts
@@ -1,53 +1,58 @@
 /**
- * What holds for boxes in touch with the store: changes are in force there within the users'
- * bounds, which are tighter than those for boxes that faults have struck.
+ * Checks of boxes that are connected to the store: changes must be in force there within the
+ * bounds that the users require, which are tighter than the bound for boxes that had faults.
  */
 
 import type { Breach, Observations, ObservedRun } from "./observations.js";
 import { closedWithin, configuredWithin, drainedWithin, inForceWithin } from "./soak-bounds.js";
 
-/** Changes after which a box in touch sent something, so that the bound had something to be broken by. */
+/** Changes that a check could test: a connected box sent a request after the bound had passed. */
 export interface ConnectedBoxCounts {
-    /** Servers that left. */
+    /** Servers that drained. */
     readonly leaving: number;
-    /** Closings of availability zones. */
+    /** Closures of availability zones. */
     readonly closings: number;
-    /** Ends of keys, and of routes to a service. */
+    /** Keys that became invalid, and routes that moved to another service. */
     readonly configurations: number;
 }
 
-/** Counts what the checks of boxes in touch could see: a run with a zero says nothing of that bound. */
+/**
+ * Counts the changes that the checks of connected boxes could test: a run with a zero proves nothing about that
+ * bound.
+ */
 export function countConnectedBoxChecks(seen: Observations): ConnectedBoxCounts {
-    const times = seen.runs.filter(run => isInTouch(run, seen)).map(run => run.at);
-    const isSeen = (from: number, to: number) => times.some(at => at > from && at <= to);
+    const times = seen.runs.filter(run => isFromConnectedBox(run, seen)).map(run => run.at);
+    const isTested = (from: number, to: number) => times.some(at => at > from && at <= to);
     const leaving = [...seen.drained.values()];
     const closings = [...seen.zoneClosures.values()].flat();
-    const ends = [...new Set(seen.destinations.map(({ to }) => to)), ...keyEnds(seen)].filter(Number.isFinite);
+    const ends = [...new Set(seen.destinations.map(({ to }) => to)), ...invalidationTimes(seen)].filter(
+        Number.isFinite,
+    );
     return {
-        leaving: leaving.filter(({ from, to }) => isSeen(from - inForceWithin + drainedWithin, to)).length,
-        closings: closings.filter(({ from, to }) => isSeen(from - inForceWithin + closedWithin, to)).length,
-        configurations: ends.filter(end => isSeen(end - inForceWithin + configuredWithin, Infinity)).length,
+        leaving: leaving.filter(({ from, to }) => isTested(from - inForceWithin + drainedWithin, to)).length,
+        closings: closings.filter(({ from, to }) => isTested(from - inForceWithin + closedWithin, to)).length,
+        configurations: ends.filter(end => isTested(end - inForceWithin + configuredWithin, Infinity)).length,
     };
 }
 
-function keyEnds({ attempts, keyInvalidFrom: keyEndsAt }: Observations): number[] {
-    return [...new Set(attempts.map(({ held }) => keyEndsAt(held.key) ?? Infinity))];
+function invalidationTimes({ attempts, keyInvalidFrom }: Observations): number[] {
+    return [...new Set(attempts.map(({ held }) => keyInvalidFrom(held.key) ?? Infinity))];
 }
 
-/** Returns the breaches of boxes in touch. */
+/** Returns the breaches by boxes that were connected to the store. */
 export function connectedBoxBreaches(seen: Observations): Breach[] {
-    return seen.runs.filter(run => isInTouch(run, seen)).flatMap(run => [
-        ...atLeavingServer(run, seen),
-        ...inClosedZone(run, seen),
-        ...underOldConfiguration(run, seen),
+    return seen.runs.filter(run => isFromConnectedBox(run, seen)).flatMap(run => [
+        ...drainBreaches(run, seen),
+        ...zoneClosureBreaches(run, seen),
+        ...configurationBreaches(run, seen),
     ]);
 }
 
-function isInTouch({ at, boxAddress: caller }: ObservedRun, { isConnected: isInTouch }: Observations): boolean {
-    return caller !== undefined && isInTouch !== undefined && isInTouch(caller, at);
+function isFromConnectedBox({ at, boxAddress }: ObservedRun, { isConnected }: Observations): boolean {
+    return boxAddress !== undefined && isConnected !== undefined && isConnected(boxAddress, at);
 }
 
-function atLeavingServer(run: ObservedRun, { drained }: Observations): Breach[] {
+function drainBreaches(run: ObservedRun, { drained }: Observations): Breach[] {
     const interval = drained.get(run.server);
     const since = (interval?.from ?? Infinity) - inForceWithin;
     if (run.at <= since + drainedWithin || run.at > (interval?.to ?? Infinity)) {
@@ -55,13 +60,13 @@
     }
     const detail = `${run.requestId} on ${run.server} ${
         Math.round(run.at - since)
-    } ms after it was to leave, by ${run.boxAddress}`;
+    } ms after it began to drain, by ${run.boxAddress}`;
     return [{ promise: "drain in touch", at: run.at, detail }];
 }
 
-function inClosedZone(run: ObservedRun, { zoneClosures: evacuated }: Observations): Breach[] {
-    const closings = evacuated.get(run.zone) ?? [];
-    const closed = closings.find(({ from, to }) => run.at > from - inForceWithin + closedWithin && run.at <= to);
+function zoneClosureBreaches(run: ObservedRun, { zoneClosures }: Observations): Breach[] {
+    const closures = zoneClosures.get(run.zone) ?? [];
+    const closed = closures.find(({ from, to }) => run.at > from - inForceWithin + closedWithin && run.at <= to);
     if (closed === undefined) {
         return [];
     }
@@ -71,10 +76,13 @@
     return [{ promise: "evacuation in touch", at: run.at, detail }];
 }
 
-/** By when the request was sent: one that is under way when the configuration changes may still be served by the old one. */
-function underOldConfiguration(
+/**
+ * Goes by when the request was sent: one in progress when the configuration changes may still be served under
+ * the old one.
+ */
+function configurationBreaches(
     run: ObservedRun,
-    { attempts, destinations, keyInvalidFrom: keyEndsAt }: Observations,
+    { attempts, destinations, keyInvalidFrom }: Observations,
 ): Breach[] {
     const attempt = attempts.find(({ requestId }) => requestId === run.requestId);
     if (attempt === undefined) {
@@ -82,13 +90,15 @@
     }
     const isLate = (end: number) => attempt.at > end - inForceWithin + configuredWithin;
     const breaches: Breach[] = [];
-    if (isLate(keyEndsAt(attempt.held.key) ?? Infinity)) {
-        const detail = `${run.requestId} ran under the key ${attempt.held.key} that had ended, by ${run.boxAddress}`;
+    if (isLate(keyInvalidFrom(attempt.held.key) ?? Infinity)) {
+        const detail =
+            `${run.requestId} ran under the key ${attempt.held.key}, which was no longer valid, by ${run.boxAddress}`;
         breaches.push({ promise: "customer in touch", at: run.at, detail });
     }
     const known = destinations.filter(({ path, service }) => run.url.startsWith(path) && service === run.service);
     if (known.length > 0 && known.every(({ to }) => isLate(to))) {
-        const detail = `${run.requestId} for ${run.url} ran on ${run.service}, by ${run.boxAddress}`;
+        const detail =
+            `${run.requestId} for ${run.url} ran on ${run.service}, its former service, by ${run.boxAddress}`;
         breaches.push({ promise: "route in touch", at: run.at, detail });
     }
     return breaches;
--- a/packages/testing/src/soak/notice-checks.ts
+++ b/packages/testing/src/soak/notice-checks.ts
@@ -1,87 +1,103 @@
 /**
- * What servers get that tell of themselves in their answers, by the users' words: nothing that a caller sent
- * later than a while after the box had passed on that the server leaves, and two requests of a box at most in
- * the rest that it was asked for.
+ * Checks that boxes follow what servers announce in their answers, as the users require. Once a box has passed
+ * on an answer in which a server announced that it is leaving, the box sends the server no request that a caller
+ * sent later than a short time after that. During a back-off that a server asked a box for, the box sends it at
+ * most two requests.
  *
- * A box that a fault has struck itself is excused.
+ * Boxes that had a fault themselves are excused.
  */
 
 import type { Breach, Observations, ObservedArrival, ObservedBackoff } from "./observations.js";
 
-/** Milliseconds after it has passed on that a server leaves from which a box must send it nothing more. The longer `drain` of the users. */
-const drain = 2500;
-/** Milliseconds from the beginning of a request at a server until its answer has been passed on, at most on a link that is not harmed. */
+/**
+ * Milliseconds after a box has passed on that a server is leaving from which the box must send it nothing: the
+ * longer of the users' `drain` bounds.
+ */
+const drainWithin = 2500;
+/**
+ * Maximum time in milliseconds from the beginning of a request at a server until its answer is passed on, on a
+ * link without a fault.
+ */
 const passedOnWithin = 1000;
-/** Milliseconds after which a rest must be kept, and requests of a box that are borne in it. */
-const toldAfter = 500;
-const borneInRest = 2;
+/**
+ * Milliseconds after the rejection from which a back-off must be kept, and the requests of a box that are
+ * allowed in it.
+ */
+const keptAfter = 500;
+const allowedInBackoff = 2;
 
-/** How much the checks could see. */
+/** How much the checks could test. */
 export interface NoticeCounts {
-    /** Pairs of a box and a server of which the box had passed on that it leaves. */
+    /** Pairs of a box and a server where the box passed on that the server is leaving. */
     readonly leaving: number;
-    /** Answers that asked a box for rest. */
+    /** Answers that asked a box for back-off. */
     readonly rests: number;
 }
 
-/** Returns the breaches. */
+/** Returns the breaches of what servers announced. */
 export function noticeBreaches(seen: Observations): Breach[] {
-    return [...leavingBreaches(seen), ...(seen.backoffs ?? []).flatMap(rest => restBreaches(rest, seen))];
+    return [...leavingBreaches(seen), ...(seen.backoffs ?? []).flatMap(backoff => backoffBreaches(backoff, seen))];
 }
 
-/** Counts what was said to boxes. */
+/** Counts the announcements that reached boxes. */
 export function countNotices(seen: Observations): NoticeCounts {
-    const rests = (seen.backoffs ?? []).reduce((sum, { rejections: asked }) => sum + asked.length, 0);
-    return { leaving: passedOn(seen).length, rests };
+    const rejectionCount = (seen.backoffs ?? []).reduce((sum, { rejections }) => sum + rejections.length, 0);
+    return { leaving: passedOnNotices(seen).length, rests: rejectionCount };
 }
 
-/** A box that has passed on that a server leaves, and by when. */
-interface PassedOn {
+/** A box that passed on an answer in which a server announced that it is leaving. */
+interface PassedOnNotice {
     readonly server: string;
-    readonly caller: string;
+    readonly boxAddress: string;
+    /** Latest time at which the box had passed it on. */
     readonly at: number;
 }
 
-function passedOn({ attempts, leaving = [], runs }: Observations): readonly PassedOn[] {
+function passedOnNotices({ attempts, leaving = [], runs }: Observations): readonly PassedOnNotice[] {
     const served = new Set(attempts.filter(({ answer }) => answer.status === 200).map(({ requestId }) => requestId));
     return leaving.flatMap(({ from, server }) => {
-        const told = new Map<string, number>();
-        const heard = runs.filter(run => run.server === server && run.at >= from && served.has(run.requestId));
-        for (const { at, boxAddress: caller = "" } of heard) {
-            told.set(caller, Math.min(told.get(caller) ?? Infinity, at + passedOnWithin));
+        const timeByBox = new Map<string, number>();
+        const announced = runs.filter(run => run.server === server && run.at >= from && served.has(run.requestId));
+        for (const { at, boxAddress = "" } of announced) {
+            timeByBox.set(boxAddress, Math.min(timeByBox.get(boxAddress) ?? Infinity, at + passedOnWithin));
         }
-        return [...told].map(([caller, at]) => ({ server, caller, at }));
+        return [...timeByBox].map(([boxAddress, at]) => ({ server, boxAddress, at }));
     });
 }
 
 function leavingBreaches(seen: Observations): Breach[] {
     const sentAt = new Map(seen.attempts.map(({ at, requestId }) => [requestId, at]));
-    return passedOn(seen).flatMap(({ at, caller, server }) => {
+    return passedOnNotices(seen).flatMap(({ at, boxAddress, server }) => {
         const late = seen.runs.filter(run =>
-            run.server === server && run.boxAddress === caller && (sentAt.get(run.requestId) ?? 0) > at + drain
+            run.server === server && run.boxAddress === boxAddress
+            && (sentAt.get(run.requestId) ?? 0) > at + drainWithin
         );
-        const unexcused = late.filter(run => seen.hadBoxFault?.(caller, run.at) !== true);
+        const unexcused = late.filter(run => seen.hadBoxFault?.(boxAddress, run.at) !== true);
         return unexcused.map((run): Breach => ({
             promise: "leaving",
             at: run.at,
-            detail: `${run.requestId} at ${server} from ${caller}, told by ${Math.round(at)} that it leaves`,
+            detail: `${run.requestId} at ${server} from ${boxAddress}, which by ${
+                Math.round(at)
+            } had passed on that it is leaving`,
         }));
     });
 }
 
-function restBreaches(
-    { arrivals: arrived, rejections: asked, backoffMilliseconds: rest, server }: ObservedBackoff,
-    { hadBoxFault: wasStruck }: Observations,
+function backoffBreaches(
+    { arrivals, rejections, backoffMilliseconds, server }: ObservedBackoff,
+    { hadBoxFault }: Observations,
 ): Breach[] {
-    const isExcused = ({ at, boxAddress: caller }: ObservedArrival) => wasStruck?.(caller, at) === true;
-    return asked.filter(told => !isExcused(told)).flatMap((told): Breach[] => {
-        const inRest = arrived.filter(({ at, boxAddress: caller }) =>
-            caller === told.boxAddress && at > told.at + toldAfter && at < told.at + rest
+    const isExcused = ({ at, boxAddress }: ObservedArrival) => hadBoxFault?.(boxAddress, at) === true;
+    return rejections.filter(rejection => !isExcused(rejection)).flatMap((rejection): Breach[] => {
+        const inBackoff = arrivals.filter(({ at, boxAddress }) =>
+            boxAddress === rejection.boxAddress && at > rejection.at + keptAfter
+            && at < rejection.at + backoffMilliseconds
         );
-        if (inRest.length <= borneInRest || inRest.some(isExcused)) {
+        if (inBackoff.length <= allowedInBackoff || inBackoff.some(isExcused)) {
             return [];
         }
-        const detail = `${server} got ${inRest.length} of ${told.boxAddress} in the ${rest} ms that it had asked for`;
-        return [{ promise: "rest", at: inRest[borneInRest].at, detail }];
+        const detail =
+            `${server} got ${inBackoff.length} from ${rejection.boxAddress} in a back-off of ${backoffMilliseconds} ms`;
+        return [{ promise: "rest", at: inBackoff[allowedInBackoff].at, detail }];
     });
 }
--- a/packages/testing/src/soak/observations.ts
+++ b/packages/testing/src/soak/observations.ts
@@ -1,14 +1,14 @@
 /**
- * What a run of the soak saw, and the breaches that checks find in it.
+ * Types of what a soak run observed and of the breaches that the checks find in it.
  *
- * Owns nothing; the run fills it in, and each check reads it.
+ * The run fills them in; each check reads them.
  */
 
 import type { ServerRun } from "../standins/backend-server.js";
 import type { ClientAnswer } from "../standins/client.js";
 import type { CallerKey } from "./soak-customers.js";
 
-/** A promise that was not kept. */
+/** A promise that was not kept, and when. */
 export interface Breach {
     readonly promise:
         | "whole answers"
@@ -33,38 +33,42 @@
         | "leaving"
         | "rest"
         | "return";
+    /** Milliseconds since the start of the run. */
     readonly at: number;
     readonly detail: string;
 }
 
-/** One attempt of a caller. */
+/** One attempt of a caller; `at` is when it was sent. */
 export interface ObservedAttempt {
     readonly requestId: string;
     readonly idempotent: boolean;
     readonly at: number;
     readonly box: string;
     readonly answer: ClientAnswer;
-    /** The key that it was made with. */
+    /** Customer and key with which it was sent. */
     readonly held: CallerKey;
-    /** A pipelined request got no answer: one before it ended the connection, or the connection was lost. */
+    /**
+     * Set if a pipelined request got no answer: an earlier answer ended the connection (`unread`), or the
+     * connection was lost.
+     */
     readonly unanswered?: { readonly kind: "unread" | "lost"; readonly at: number; };
 }
 
-/** A signal that ended a box; `box` is where callers reach it. */
+/** A signal that ended a box; `box` is its address for callers. */
 export interface BoxTermination {
     readonly box: string;
     readonly signal: NodeJS.Signals;
     readonly at: number;
 }
 
-/** What a box sent while no request waited for an answer. */
+/** Bytes that a box sent while no request waited for an answer. */
 export interface UnsolicitedBytes {
     readonly at: number;
     readonly box: string;
     readonly bytes: string;
 }
 
-/** A run at a server, with when it began. */
+/** A request that ran at a server; `at` is when it began. */
 export interface ObservedRun extends ServerRun {
     readonly at: number;
     readonly server: string;
@@ -72,42 +76,43 @@
     readonly zone: string;
 }
 
-/** A time in which something must not get requests, or a configuration was in force. */
+/** Times between which something must not get requests, or a configuration was in force. */
 export interface Interval {
     readonly from: number;
     readonly to: number;
 }
 
-/** A rate that a server named, from when and until when; `to` is the end of its life if that came first. */
+/** A rate limit that a server announced, and when; `to` is the end of the server's incarnation if that came first. */
 export interface ObservedLimit extends Interval {
     readonly server: string;
-    /** Requests a second. */
+    /** Requests per second. */
     readonly rate: number;
 }
 
-/** A server that says in its answers that it is leaving, from when on. */
+/** A server that announces in its answers, since `from`, that it is leaving. */
 export interface ObservedLeaving {
     readonly server: string;
     readonly from: number;
 }
 
-/** Requests that came to a server which asks for rest. */
+/** Requests that arrived at a server which asked for back-off. */
 export interface ObservedBackoff {
     readonly server: string;
-    /** Milliseconds of each rest. */
+    /** Duration of each back-off. */
     readonly backoffMilliseconds: number;
-    /** Those that it turned away and answered so, and all that came; which box sent them, and when. */
+    /** Requests that it rejected with that back-off. */
     readonly rejections: readonly ObservedArrival[];
+    /** All requests that arrived. */
     readonly arrivals: readonly ObservedArrival[];
 }
 
-/** A request that came to a server. */
+/** A request that arrived at a server: from which box, and when. */
 export interface ObservedArrival {
     readonly boxAddress: string;
     readonly at: number;
 }
 
-/** An order to move a service onto servers of a version, and the states that were seen in the store. */
+/** An order to move a service onto servers of a version, and the states that the store showed. */
 export interface ObservedRollout extends Interval {
     readonly service: string;
     readonly version: string;
@@ -117,40 +122,44 @@
     readonly states: { readonly state: string; readonly at: number; }[];
 }
 
-/** What must serve again once the faults of a run are over. */
+/** What must serve again once the faults of a run are over, and whether the boxes do. */
 export interface RecoveryProbe {
-    /** Zones with servers that may have requests. */
+    /** Availability zones with servers that may get requests. */
     readonly zones: readonly string[];
-    /** Boxes by the address where callers reach them, with the status of a request that was sent to each. */
+    /** Boxes by their address for callers, each with the status of a request that was sent to it. */
     readonly boxes: readonly { readonly box: string; readonly status: number; }[];
 }
 
-/** All that a run of the soak saw. Times are milliseconds since its start. */
+/** Everything that a soak run observed. Times are milliseconds since its start. */
 export interface Observations {
     readonly attempts: readonly ObservedAttempt[];
     readonly runs: readonly ObservedRun[];
     readonly boxTerminations: readonly BoxTermination[];
     readonly unsolicitedBytes: readonly UnsolicitedBytes[];
-    /** By server: when it must not get requests. */
+    /** By server id: when it must not get requests. */
     readonly drained: ReadonlyMap<string, Interval>;
-    /** By zone: when it must not get requests. */
+    /** By availability zone: when it must not get requests. */
     readonly zoneClosures: ReadonlyMap<string, readonly Interval[]>;
-    /** Services that a path may go to, by time. */
+    /** Services that a path may go to, and when. */
     readonly destinations: readonly (Interval & { readonly path: string; readonly service: string; })[];
-    /** From when on a key must not be honoured; undefined for one that stands. */
+    /** Time from which a key must not be accepted; undefined for a valid key. */
     readonly keyInvalidFrom: (key: string) => number | undefined;
     readonly rollouts: readonly ObservedRollout[];
-    /** Limits that servers named; undefined where none was drawn. */
+    /** Limits that servers announced; undefined if the faults include none. */
     readonly limits?: readonly ObservedLimit[];
-    /** What servers said of themselves in their answers; undefined where none was drawn. */
+    /** Servers that announced that they are leaving; undefined if the faults include none. */
     readonly leaving?: readonly ObservedLeaving[];
+    /** Back-offs that servers asked for; undefined if the faults include none. */
     readonly backoffs?: readonly ObservedBackoff[];
-    /** From here on all faults are over, and enough time has passed to recover. */
+    /** Time from which all faults are over and boxes must have recovered. */
     readonly recoveredFrom: number;
-    /** True if no fault has struck the box of an address for a while; undefined where that was not noted. */
+    /**
+     * True if the box at an address was not affected by a fault for `connectedAfter`; undefined if that was not
+     * recorded.
+     */
     readonly isConnected?: (host: string, at: number) => boolean;
-    /** True if a fault has struck the box of an address itself lately; undefined where that was not noted. */
+    /** True if the box at an address itself had a fault within `connectedAfter`; undefined if that was not recorded. */
     readonly hadBoxFault?: (host: string, at: number) => boolean;
-    /** What must serve once all faults are over; undefined where there were none. */
+    /** Result of the probe once all faults are over; undefined if there were none. */
     readonly recoveryProbe?: RecoveryProbe;
 }
--- a/packages/testing/src/soak/recovery-checks.ts
+++ b/packages/testing/src/soak/recovery-checks.ts
@@ -1,23 +1,23 @@
 /**
- * What must come back once the faults of a run are over: work in each availability zone that is open and has
- * servers, an answer of each box, and at any time what a customer may ask within its quota.
+ * Checks that the system recovers once the faults of a run are over: each open availability zone that has servers
+ * runs requests, and each box serves. Also checks that no request within a customer's quota is ever refused for it.
  */
 
 import type { Breach, Observations } from "./observations.js";
 
-/** Returns the breaches of what must come back. */
+/** Returns the breaches of recovery and of quotas. */
 export function recoveryBreaches(seen: Observations): Breach[] {
-    return [...zonesWithoutWork(seen), ...boxesWithoutAnswer(seen), ...refusedWithinQuota(seen)];
+    return [...idleZoneBreaches(seen), ...failingBoxBreaches(seen), ...quotaBreaches(seen)];
 }
 
-function zonesWithoutWork({ recoveryProbe: back, recoveredFrom, runs }: Observations): Breach[] {
+function idleZoneBreaches({ recoveryProbe, recoveredFrom, runs }: Observations): Breach[] {
     const served = new Set(runs.filter(run => run.at >= recoveredFrom).map(run => run.zone));
-    const idle = back?.zones.filter(zone => !served.has(zone)) ?? [];
-    return idle.map(zone => ({ promise: "return", at: recoveredFrom, detail: `nothing runs in ${zone}` }));
+    const idleZones = recoveryProbe?.zones.filter(zone => !served.has(zone)) ?? [];
+    return idleZones.map(zone => ({ promise: "return", at: recoveredFrom, detail: `no request runs in ${zone}` }));
 }
 
-function boxesWithoutAnswer({ recoveryProbe: back, recoveredFrom }: Observations): Breach[] {
-    const failed = back?.boxes.filter(({ status }) => status !== 200) ?? [];
+function failingBoxBreaches({ recoveryProbe, recoveredFrom }: Observations): Breach[] {
+    const failed = recoveryProbe?.boxes.filter(({ status }) => status !== 200) ?? [];
     return failed.map(({ box, status }) => ({
         promise: "return",
         at: recoveredFrom,
@@ -25,13 +25,13 @@
     }));
 }
 
-/** The callers of a run ask far less than their customers' quotas. */
-function refusedWithinQuota({ attempts }: Observations): Breach[] {
+/** Callers stay far below their customers' quotas, so any 429 is a breach. */
+function quotaBreaches({ attempts }: Observations): Breach[] {
     const refused = attempts.filter(({ answer }) => answer.status === 429);
     return refused.map(({ answer, at, box, held, requestId }) => ({
         promise: "quota",
         at,
-        detail: `${requestId} of ${held.customer} got 429 from ${box}, to come back after ${
+        detail: `${requestId} of ${held.customer} got 429 from ${box}, with Retry-After of ${
             answer.headers["retry-after"]
         } s`,
     }));
--- a/packages/testing/src/soak/recovery-probe.ts
+++ b/packages/testing/src/soak/recovery-probe.ts
@@ -1,5 +1,5 @@
 /**
- * Asks what must serve again once the faults of a run are over.
+ * Probes, once the faults of a run are over, whether each box serves again.
  */
 
 import { milliseconds } from "@chalkdale/kernel";
@@ -10,33 +10,34 @@
 import { customerNames } from "./soak-customers.js";
 import { type SoakEnvironment, soakHost } from "./soak-environment.js";
 
-/** Requests to a box until one is served at most: a server may be full for a moment. */
-const mostTries = 3;
-const pauseBetween = milliseconds(200);
+/** Maximum number of requests to a box until one is served: a server may be full for a moment. */
+const maxTries = 3;
+/** Pause before each request. */
+const tryPause = milliseconds(200);
 
-/** Sends a request to each box, and lists the zones that have servers. */
-export async function probeRecovery(world: SoakEnvironment): Promise<RecoveryProbe> {
-    const usable = world.servers.filter(({ gone, isDown, isPermanentlyStopped: isEnded }) =>
-        !gone && !isDown && !isEnded
+/** Sends requests to each box until one is served, and lists the zones that have usable servers. */
+export async function probeRecovery(environment: SoakEnvironment): Promise<RecoveryProbe> {
+    const usableServers = environment.servers.filter(({ gone, isDown, isPermanentlyStopped }) =>
+        !gone && !isDown && !isPermanentlyStopped
     );
-    const zones = [...new Set(usable.map(({ zone }) => zone))];
+    const zones = [...new Set(usableServers.map(({ zone }) => zone))];
     const boxes = await Promise.all(
-        world.boxes.map(async box => ({ box: box.callerAddress, status: await statusOf(world, box) })),
+        environment.boxes.map(async box => ({ box: box.callerAddress, status: await probeBox(environment, box) })),
     );
     return { zones, boxes };
 }
 
-async function statusOf(world: SoakEnvironment, box: BoxProcess): Promise<number> {
+async function probeBox(environment: SoakEnvironment, box: BoxProcess): Promise<number> {
     let status = 0;
-    for (let count = 0; count < mostTries && status !== 200; count++) {
-        await pause(pauseBetween);
+    for (let count = 0; count < maxTries && status !== 200; count++) {
+        await pause(tryPause);
         const answer = await sendRequest({
             address: box.callerAddress,
             host: soakHost,
             path: "/lookup/",
             requestId: `back-${box.name}-${count}`,
             affinityKey: box.name,
-            credential: world.customers.callerKeyOf(customerNames[0]).key,
+            credential: environment.customers.callerKeyOf(customerNames[0]).key,
         });
         status = answer.status;
     }
--- a/packages/testing/src/soak/soak-bounds.ts
+++ b/packages/testing/src/soak/soak-bounds.ts
@@ -1,17 +1,24 @@
 /**
- * The bounds within which a change must be in force, as the users state them, and
- * the wider one that holds whatever has happened to the store and to a box.
- *
- * Owns nothing.
+ * Bounds within which a change must be in force: those that the users require of boxes
+ * connected to the store, and a wider one that holds after any faults of the store or a box.
  */
 
-/** Milliseconds after which a change must be in force at every box once the store answers again, whatever faults there were before. */
+/**
+ * Milliseconds after which a change must be in force at every box once the store answers again, whatever faults
+ * came before.
+ */
 export const inForceWithin = 7000;
-/** Milliseconds from the store's answer after which a leaving server gets nothing more from a box in touch with the store. The users' `drain`. */
+/**
+ * Milliseconds after the store's answer from which a draining server gets nothing from a connected box; the
+ * users' bound `drain`.
+ */
 export const drainedWithin = 2000;
-/** The same for a closed availability zone; the users' `evacuate`. */
+/** The same for a closed availability zone; the users' bound `evacuate`. */
 export const closedWithin = 5000;
-/** Milliseconds after which a request is handled by the new configuration at a box in touch with the store. The users' `config`. */
+/**
+ * Milliseconds after which a connected box handles new requests under the new configuration; the users' bound
+ * `config`.
+ */
 export const configuredWithin = 3000;
-/** Milliseconds without a fault after which a box counts as in touch with the store. The users' `contact`. */
+/** Milliseconds without a fault after which a box counts as connected to the store; the users' bound `contact`. */
 export const connectedAfter = 4000;
--- a/packages/testing/src/soak/store-connectivity.ts
+++ b/packages/testing/src/soak/store-connectivity.ts
@@ -1,47 +1,49 @@
 /**
- * Which boxes are in touch with the store: the users' bounds on changes hold for these, while
- * a box that was struck, or whose store was, has longer.
+ * Which boxes are connected to the store: the users' bounds on changes hold for these. A box
+ * that had a fault, or whose store or links had one, gets more time.
  *
- * Owns the times of all faults that strike a box, its links or the store; the
- * faults tell them.
+ * Owns the times of all faults that affect a box, its links or the store; the faults report them.
  */
 
 import { connectedAfter } from "./soak-bounds.js";
 
-/** A fault of one box, or of all of them if `host` is undefined. */
-interface Disturbance {
+/** A fault that affects one box, or all boxes if `host` is undefined. */
+interface FaultPeriod {
     readonly host: string | undefined;
     readonly from: number;
     to: number;
 }
 
-/** What has struck the boxes, and who is in touch. */
+/** The faults of a run, and which boxes are connected to the store. */
 export interface StoreConnectivity {
-    /** A fault begins; returns the function that ends it. `host`: the address of the box that is struck, or undefined for all. */
+    /**
+     * Records the beginning of a fault; returns the function that records its end. `host`: address of the
+     * affected box, or undefined for all.
+     */
     readonly beginFault: (host?: string) => () => void;
-    /** True if nothing has struck the box of an address for a while. */
+    /** True if no fault has affected the box at an address for `connectedAfter`. */
     readonly isConnected: (host: string, at: number) => boolean;
-    /** True if a fault has struck the box itself lately: a restart, a pause, or its own path to the store. */
+    /** True if the box itself had a fault within `connectedAfter`: a restart or a pause. */
     readonly hadBoxFault: (host: string, at: number) => boolean;
 }
 
-/** Creates the record of a run whose time is `now`. */
+/** Creates the record of a run. `now`: milliseconds since its start. */
 export function createStoreConnectivity(now: () => number): StoreConnectivity {
-    const disturbances: Disturbance[] = [];
+    const faults: FaultPeriod[] = [];
 
     return {
         beginFault(host) {
-            const disturbance: Disturbance = { host, from: now(), to: Infinity };
-            disturbances.push(disturbance);
+            const period: FaultPeriod = { host, from: now(), to: Infinity };
+            faults.push(period);
             return () => {
-                disturbance.to = now();
+                period.to = now();
             };
         },
-        isConnected: (host, at) => !disturbances.some(fault => (fault.host ?? host) === host && isRecent(fault, at)),
-        hadBoxFault: (host, at) => disturbances.some(fault => fault.host === host && isRecent(fault, at)),
+        isConnected: (host, at) => !faults.some(fault => (fault.host ?? host) === host && isRecent(fault, at)),
+        hadBoxFault: (host, at) => faults.some(fault => fault.host === host && isRecent(fault, at)),
     };
 }
 
-function isRecent({ from, to }: Disturbance, at: number): boolean {
+function isRecent({ from, to }: FaultPeriod, at: number): boolean {
     return from <= at && to >= at - connectedAfter;
 }
--- a/packages/testing/test/soak.test.ts
+++ b/packages/testing/test/soak.test.ts
@@ -1,5 +1,5 @@
 /**
- * A short run of the fault soak, and its checks.
+ * Short runs of the fault soak, and tests of the checks that find breaches in what a run observed.
  */
 
 import { expect } from "chai";
@@ -7,7 +7,10 @@
 import type { Breach, Observations, ObservedRollout, ObservedRun } from "../src/soak/observations.js";
 import { runSoak, type SoakOptions } from "../src/soak/soak.js";
 
-/** Seeds that ever failed stay here as they were drawn, each with its cause in the page of findings; 202 is one that did not. */
+/**
+ * Runs that failed once, with the options under which they failed, kept as regressions; seed 202 is one that
+ * never did.
+ */
 const runs: readonly Omit<SoakOptions, "onEvent">[] = [
     { seed: 1, faultDuration: 6000, faults: "first", boxes: 4, callers: 4 },
     { seed: 106, faultDuration: 12_000, faults: "silences" },
@@ -73,11 +76,11 @@
     });
     const found = (changes: Partial<Observations>) => findBreaches(seen(changes)).map(breach => breach.promise);
 
-    it("find nothing where all is kept", () => {
+    it("report nothing when every promise is kept", () => {
         expect(found({})).to.deep.equal([]);
     });
 
-    it("find each broken promise", () => {
+    it("report each broken promise", () => {
         expect(found({ attempts: [attempt(200, "answer of i-1 to r-9")] })).to.deep.equal(["whole answers"]);
         expect(found({ runs: [run(), run({ server: "i-2" })] })).to.deep.equal(["at most once"]);
         expect(found({ attempts: [attempt(503)], recoveredFrom: 0 })).to.include("refused unrun");
@@ -93,95 +96,94 @@
         ]);
     });
 
-    it("find pipelined requests that ran in vain, and those lost to a planned stop", () => {
+    it("report pipelined requests that ran without an answer, and those lost in a planned stop", () => {
         const unanswered = (kind: "unread" | "lost") => [{ ...attempt(0, ""), unanswered: { kind, at: 1000 } }];
-        const end = (signal: NodeJS.Signals, at: number) => ({ box: "box", signal, at });
-        const lost = (...boxEnds: Observations["boxTerminations"]) =>
-            found({ attempts: unanswered("lost"), boxTerminations: boxEnds, recoveredFrom: Infinity });
+        const termination = (signal: NodeJS.Signals, at: number) => ({ box: "box", signal, at });
+        const lost = (...boxTerminations: Observations["boxTerminations"]) =>
+            found({ attempts: unanswered("lost"), boxTerminations, recoveredFrom: Infinity });
         expect(found({ attempts: unanswered("unread") })).to.deep.equal(["recovery", "unread"]);
         expect(found({ attempts: unanswered("unread"), runs: [] })).to.deep.equal(["recovery"]);
-        expect(lost(end("SIGTERM", 500))).to.deep.equal(["recovery", "planned stop"]);
-        expect(lost(end("SIGTERM", 1500))).to.deep.equal(["recovery"]);
-        expect(lost(end("SIGTERM", 500), end("SIGKILL", 900))).to.deep.equal(["recovery"]);
-        expect(lost({ ...end("SIGTERM", 500), box: "another" })).to.deep.equal(["recovery"]);
+        expect(lost(termination("SIGTERM", 500))).to.deep.equal(["recovery", "planned stop"]);
+        expect(lost(termination("SIGTERM", 1500))).to.deep.equal(["recovery"]);
+        expect(lost(termination("SIGTERM", 500), termination("SIGKILL", 900))).to.deep.equal(["recovery"]);
+        expect(lost({ ...termination("SIGTERM", 500), box: "another" })).to.deep.equal(["recovery"]);
     });
 
-    it("find what boxes in touch with the store do later than the users' bounds, and no others", () => {
-        const later = (promise: Breach["promise"], changes: Partial<Observations>, at: number) => {
+    it("report requests later than the users' bounds only from boxes connected to the store", () => {
+        const expectBreach = (promise: Breach["promise"], changes: Partial<Observations>, at: number) => {
             const runs = [run({ at, boxAddress: "127.0.0.9" })];
-            const inTouch = found({ ...changes, runs, isConnected: () => true });
-            expect(inTouch.includes(promise), `${promise} at ${at}`).to.equal(true);
+            const fromConnectedBox = found({ ...changes, runs, isConnected: () => true });
+            expect(fromConnectedBox.includes(promise), `${promise} at ${at}`).to.equal(true);
             expect(found({ ...changes, runs, isConnected: () => false })).not.to.include(promise);
             expect(found({ ...changes, runs })).not.to.include(promise);
         };
-        // What is noted is by when any box must have followed, 7 s after the change.
-        later("drain in touch", { drained: new Map([["i-1", { from: 7000, to: Infinity }]]) }, 2100);
-        later("evacuation in touch", { zoneClosures: new Map([["north-a", [{ from: 7000, to: 9000 }]]]) }, 5100);
+        // The recorded times are those by which any box must have followed: 7 s after the change.
+        expectBreach("drain in touch", { drained: new Map([["i-1", { from: 7000, to: Infinity }]]) }, 2100);
+        expectBreach("evacuation in touch", { zoneClosures: new Map([["north-a", [{ from: 7000, to: 9000 }]]]) }, 5100);
         const sentAt = (at: number) => [{ ...attempt(200), at }];
-        later("customer in touch", { keyInvalidFrom: () => 7000, attempts: sentAt(3100) }, 3200);
-        const ended = [{ path: "/save/", service: "profiles", from: 0, to: 7000 }];
-        later("route in touch", { destinations: ended, attempts: sentAt(3100) }, 3200);
-        const soon = { runs: [run({ at: 2900, boxAddress: "127.0.0.9" })], isConnected: () => true };
-        expect(found({ ...soon, keyInvalidFrom: () => 7000, attempts: sentAt(2900) })).to.deep.equal([]);
+        expectBreach("customer in touch", { keyInvalidFrom: () => 7000, attempts: sentAt(3100) }, 3200);
+        const formerDestinations = [{ path: "/save/", service: "profiles", from: 0, to: 7000 }];
+        expectBreach("route in touch", { destinations: formerDestinations, attempts: sentAt(3100) }, 3200);
+        const withinBound = { runs: [run({ at: 2900, boxAddress: "127.0.0.9" })], isConnected: () => true };
+        expect(found({ ...withinBound, keyInvalidFrom: () => 7000, attempts: sentAt(2900) })).to.deep.equal([]);
     });
 
-    it("find too much at a server that names a limit, from boxes that know of it", () => {
+    it("report too many requests at a server that announced a limit, from boxes that know it", () => {
         const limits = [{ server: "i-1", rate: 1, from: 0, to: 20_000 }];
-        const runsEach = (interval: number, caller: string) =>
+        const runsEach = (interval: number, boxAddress: string) =>
             Array.from(
                 { length: Math.ceil(12_000 / interval) },
-                (_, index) => run({ requestId: `l-${caller}-${index}`, at: index * interval, boxAddress: caller }),
+                (_, index) => run({ requestId: `l-${boxAddress}-${index}`, at: index * interval, boxAddress }),
             );
-        const limitsBroken = (runs: readonly ObservedRun[], wasStruck = () => false) =>
-            found({ limits, runs, hadBoxFault: wasStruck }).filter(promise => promise === "limit").length;
-        expect(limitsBroken(runsEach(400, "127.0.0.9"))).to.equal(0);
-        expect(limitsBroken(runsEach(300, "127.0.0.9"))).to.equal(1);
-        expect(limitsBroken([...runsEach(600, "127.0.0.8"), ...runsEach(600, "127.0.0.9")])).to.equal(1);
-        expect(limitsBroken(runsEach(300, "127.0.0.9"), () => true)).to.equal(0);
-        expect(limitsBroken(runsEach(300, "127.0.0.9").filter(({ at }) => at < 2900))).to.equal(0);
+        const limitBreachCount = (runs: readonly ObservedRun[], hadBoxFault = () => false) =>
+            found({ limits, runs, hadBoxFault }).filter(promise => promise === "limit").length;
+        expect(limitBreachCount(runsEach(400, "127.0.0.9"))).to.equal(0);
+        expect(limitBreachCount(runsEach(300, "127.0.0.9"))).to.equal(1);
+        expect(limitBreachCount([...runsEach(600, "127.0.0.8"), ...runsEach(600, "127.0.0.9")])).to.equal(1);
+        expect(limitBreachCount(runsEach(300, "127.0.0.9"), () => true)).to.equal(0);
+        expect(limitBreachCount(runsEach(300, "127.0.0.9").filter(({ at }) => at < 2900))).to.equal(0);
     });
 
-    it("find requests at a server that leaves by its answers, from a box that has passed one on", () => {
+    it("report requests at a server that announced its leaving, from a box that passed that on", () => {
         const leaving = [{ server: "i-1", from: 0 }];
-        const asked = (requestId: string, at: number) => ({ ...attempt(200), requestId, at });
-        const runAt = (requestId: string, at: number, caller = "127.0.0.9") =>
-            run({ requestId, at, boxAddress: caller });
-        const broken = (sentAt: number, caller: string, wasStruck = false) =>
+        const attemptAt = (requestId: string, at: number) => ({ ...attempt(200), requestId, at });
+        const runAt = (requestId: string, at: number, boxAddress = "127.0.0.9") => run({ requestId, at, boxAddress });
+        const isReported = (sentAt: number, boxAddress: string, hadBoxFault = false) =>
             found({
                 leaving,
-                attempts: [asked("r-1", 90), asked("r-2", sentAt)],
-                runs: [runAt("r-1", 100), runAt("r-2", sentAt + 10, caller)],
-                hadBoxFault: () => wasStruck,
+                attempts: [attemptAt("r-1", 90), attemptAt("r-2", sentAt)],
+                runs: [runAt("r-1", 100), runAt("r-2", sentAt + 10, boxAddress)],
+                hadBoxFault: () => hadBoxFault,
             }).includes("leaving");
-        expect(broken(3700, "127.0.0.9")).to.equal(true);
-        expect(broken(3500, "127.0.0.9")).to.equal(false);
-        expect(broken(3700, "127.0.0.8")).to.equal(false);
-        expect(broken(3700, "127.0.0.9", true)).to.equal(false);
+        expect(isReported(3700, "127.0.0.9")).to.equal(true);
+        expect(isReported(3500, "127.0.0.9")).to.equal(false);
+        expect(isReported(3700, "127.0.0.8")).to.equal(false);
+        expect(isReported(3700, "127.0.0.9", true)).to.equal(false);
     });
 
-    it("find more than two requests of a box in the rest that a server asked it for", () => {
-        const arrival = (at: number, caller = "127.0.0.9") => ({ at, boxAddress: caller });
-        const broken = (times: readonly number[], caller?: string, wasStruck = false) =>
+    it("report more than two requests of a box during the back-off that a server asked it for", () => {
+        const arrival = (at: number, boxAddress = "127.0.0.9") => ({ at, boxAddress });
+        const isReported = (times: readonly number[], boxAddress?: string, hadBoxFault = false) =>
             found({
                 backoffs: [{
                     server: "i-1",
                     backoffMilliseconds: 3000,
                     rejections: [arrival(100)],
-                    arrivals: times.map(at => arrival(at, caller)),
+                    arrivals: times.map(at => arrival(at, boxAddress)),
                 }],
-                hadBoxFault: () => wasStruck,
+                hadBoxFault: () => hadBoxFault,
             }).includes("rest");
-        expect(broken([700, 800, 3000])).to.equal(true);
-        expect(broken([700, 800, 3100])).to.equal(false);
-        expect(broken([300, 500, 700, 800])).to.equal(false);
-        expect(broken([700, 800, 3000], "127.0.0.8")).to.equal(false);
-        expect(broken([700, 800, 3000], undefined, true)).to.equal(false);
+        expect(isReported([700, 800, 3000])).to.equal(true);
+        expect(isReported([700, 800, 3100])).to.equal(false);
+        expect(isReported([300, 500, 700, 800])).to.equal(false);
+        expect(isReported([700, 800, 3000], "127.0.0.8")).to.equal(false);
+        expect(isReported([700, 800, 3000], undefined, true)).to.equal(false);
     });
 
-    it("find what does not come back", () => {
-        const back = { zones: ["north-a", "north-b"], boxes: [{ box: "box", status: 200 }] };
-        expect(found({ recoveryProbe: back })).to.deep.equal(["return"]);
-        expect(found({ recoveryProbe: { ...back, zones: ["north-a"] } })).to.deep.equal([]);
+    it("report what does not recover, and a refusal within the quota", () => {
+        const recoveryProbe = { zones: ["north-a", "north-b"], boxes: [{ box: "box", status: 200 }] };
+        expect(found({ recoveryProbe })).to.deep.equal(["return"]);
+        expect(found({ recoveryProbe: { ...recoveryProbe, zones: ["north-a"] } })).to.deep.equal([]);
         expect(found({ recoveryProbe: { zones: [], boxes: [{ box: "box", status: 503 }] } })).to.deep.equal(["return"]);
         expect(found({ attempts: [attempt(429)], runs: [], recoveredFrom: Infinity })).to.include("quota");
     });
@@ -200,19 +202,19 @@
             Array.from({ length: count }, (_, index) => run({ requestId: `x-${index}`, server: "i-new", at }));
         const rolledBack = rollout(["running", 100], ["rolled_back", 900]);
 
-        it("find nothing where the version had little and was rolled back", () => {
+        it("report nothing when the version got few requests and was rolled back", () => {
             expect(found({ rollouts: [rolledBack], runs: runsOfTarget(40) })).to.deep.equal([]);
         });
 
-        it("find too much of a bad version, and what it got afterwards", () => {
+        it("report too many requests to a bad version, and any after its roll-back", () => {
             expect(found({ rollouts: [rolledBack], runs: runsOfTarget(60) })).to.deep.equal(["exposure"]);
             expect(found({ rollouts: [{ ...rolledBack, isBad: false }], runs: runsOfTarget(60) })).to.deep.equal([]);
             expect(found({ rollouts: [rolledBack], runs: runsOfTarget(3, 12_000) })).to.deep.equal(["roll-back"]);
         });
 
-        it("find two outcomes, and a bad version that was completed", () => {
-            const twice = rollout(["rolled_back", 900], ["completed", 950]);
-            expect(found({ rollouts: [{ ...twice, isBad: false }] })).to.deep.equal(["one outcome"]);
+        it("report two outcomes, and a bad version that was completed", () => {
+            const twoOutcomes = rollout(["rolled_back", 900], ["completed", 950]);
+            expect(found({ rollouts: [{ ...twoOutcomes, isBad: false }] })).to.deep.equal(["one outcome"]);
             expect(found({ rollouts: [rollout(["running", 100], ["completed", 900])] })).to.deep.equal(["one outcome"]);
         });
     });
