--- a/packages/testing/src/soak/box-process.ts
+++ b/packages/testing/src/soak/box-process.ts
@@ -1,5 +1,7 @@
 /**
- * One box as a process of its own, started, stopped, paused and killed by the soak.
+ * Runs one box as a separate process that the soak starts, stops, pauses and kills.
+ *
+ * Owns the box's settings file, its log file and the process.
  */
 
 import { type ChildProcess, spawn } from "node:child_process";
@@ -8,51 +10,58 @@
 import { workspaceRoot } from "../workspace-root.js";
 import { exposedAllowance, exposedShare } from "./checks.js";
 
-/** Where a box listens, and where its settings and log lie. */
+/** Where a box listens, which locality and peers it has, and where its files go. */
 export interface BoxProcessOptions {
     readonly name: string;
     readonly host: string;
+    /** First of four successive ports: callers, readiness, directory and peers. */
     readonly firstPort: number;
     readonly zone: string;
     readonly region: string;
+    /** Regions by availability zone. */
     readonly zones: Readonly<Record<string, string>>;
+    /** Address of the store, `host:port`. */
     readonly store: string;
+    /** Peer addresses through which the box finds the other boxes. */
     readonly seeds: readonly string[];
+    /** Directory of the settings file and the log file. */
     readonly folder: string;
-    /** False: nobody reads what the box writes. */
+    /** False to leave the box's output unread; the default writes it to the log file. */
     readonly readLog?: boolean;
 }
 
-/** A box that can be started again. */
+/** A box process; `start` may be called again once it has ended. */
 export interface BoxProcess {
     readonly name: string;
-    /** Its address, without a port. */
+    /** The box's address without a port. */
     readonly host: string;
     readonly callerAddress: string;
     readonly directoryAddress: string;
     readonly start: () => void;
+    /** Sends a signal to the process, if it was started. */
     readonly signal: (signal: NodeJS.Signals) => void;
     readonly isRunning: () => boolean;
-    /** Resolves with its exit code once the process has ended, or undefined if a signal ended it. */
+    /** Resolves once the process has ended: with its exit code, or undefined if a signal ended it. */
     readonly waitForExit: () => Promise<number | undefined>;
 }
 
+/** Time that a stopping box gives open requests; `pipelining-checks.ts` relies on it. */
 const grace = "2s";
 const exposureBounds = `expose_share=${exposedShare},expose_slack=${exposedAllowance},rollback=5s`;
 
-/** Writes the settings of a box; it isn't started yet. */
-export function createBoxProcess(place: BoxProcessOptions): BoxProcess {
+/** Writes the settings file of a box without starting it. */
+export function createBoxProcess(options: BoxProcessOptions): BoxProcess {
     const [callers, readiness, directory, peers] = [0, 1, 2, 3].map(index =>
-        `${place.host}:${place.firstPort + index}`
+        `${options.host}:${options.firstPort + index}`
     );
-    const file = join(place.folder, `${place.name}.conf`);
-    writeFileSync(file, settingsOf(place, { callers, readiness, directory, peers }));
-    const log: WriteStream = createWriteStream(join(place.folder, `${place.name}.log`), { flags: "a" });
+    const file = join(options.folder, `${options.name}.conf`);
+    writeFileSync(file, settingsOf(options, { callers, readiness, directory, peers }));
+    const log: WriteStream = createWriteStream(join(options.folder, `${options.name}.log`), { flags: "a" });
     let child: ChildProcess | undefined;
 
     return {
-        name: place.name,
-        host: place.host,
+        name: options.name,
+        host: options.host,
         callerAddress: callers,
         directoryAddress: directory,
         start() {
@@ -60,7 +69,7 @@
                 env: { ...process.env, CHALKDALE_SETTINGS: file },
                 stdio: ["ignore", "pipe", "pipe"],
             });
-            if (place.readLog !== false) {
+            if (options.readLog !== false) {
                 child.stdout!.pipe(log, { end: false });
                 child.stderr!.pipe(log, { end: false });
             }
@@ -79,18 +88,18 @@
     };
 }
 
-function settingsOf(place: BoxProcessOptions, listen: Readonly<Record<string, string>>): string {
+function settingsOf(options: BoxProcessOptions, listen: Readonly<Record<string, string>>): string {
     return [
-        `node_name=${place.name}`,
-        `region=${place.region}`,
-        `zone=${place.zone}`,
-        ...Object.entries(place.zones).map(([zone, region]) => `zones.${zone}=${region}`),
+        `node_name=${options.name}`,
+        `region=${options.region}`,
+        `zone=${options.zone}`,
+        ...Object.entries(options.zones).map(([zone, region]) => `zones.${zone}=${region}`),
         `listen.front=${listen.callers}`,
         `listen.ready=${listen.readiness}`,
         `listen.directory=${listen.directory}`,
         `listen.control=${listen.peers}`,
-        `seeds=${place.seeds.join(",")}`,
+        `seeds=${options.seeds.join(",")}`,
         `bounds=budget_ratio=0.2,budget_window=10s,budget_slack=58,grace=${grace},ttl_max=5s,${exposureBounds}`,
-        `platform.address=${place.store}`,
+        `platform.address=${options.store}`,
     ].join("\n");
 }
--- a/packages/testing/src/soak/callers.ts
+++ b/packages/testing/src/soak/callers.ts
@@ -1,6 +1,6 @@
 /**
- * Callers without pause: each looks up, sends one request after the other on
- * every route, and notes what it got.
+ * Callers that send requests one after the other: each looks up a box, goes
+ * through all routes in turn, and records every answer.
  */
 
 import { milliseconds } from "@chalkdale/kernel";
@@ -10,50 +10,53 @@
 import { customerNames } from "./soak-customers.js";
 import { type SoakEnvironment, soakHost, soakRequests } from "./soak-environment.js";
 
-/** Callers that run. */
+/** Running callers. */
 export interface Callers {
-    /** All attempts so far. */
+    /** Finished attempts so far. */
     readonly attempts: readonly ObservedAttempt[];
-    /** Resolves once every caller has its last answer. */
+    /** Sends no further requests; resolves once every caller has its last answer. */
     readonly stop: () => Promise<void>;
 }
 
 export interface CallersOptions {
     readonly count: number;
-    /** Prefix of the callers' names, so that request ids of different runs differ. */
+    /** Prefix of the callers' names; it makes request ids of different runs differ. */
     readonly prefix: string;
-    /** Part of the requests whose caller leaves long before the answer, from 0 to 1. */
+    /** Fraction of the requests whose caller disconnects long before the answer, from 0 to 1. */
     readonly disconnectShare: number;
 }
 
-const longestFirstWait = 20_000;
+/** Maximum wait in milliseconds until a box serves. */
+const maxStartWait = 20_000;
+/** Deadline of a request in milliseconds. */
 const deadline = 2000;
-const keys = 17;
-/** Milliseconds after which a caller leaves: one that leaves early, and one that does not. */
-const earlyLeave = 60;
-const lateLeave = 4000;
+/** Number of different affinity keys. */
+const keyCount = 17;
+/** Milliseconds after which a caller disconnects: one that gives up early, and any other. */
+const earlyDisconnect = 60;
+const lateDisconnect = 4000;
 
-/** Waits until some box serves, then starts the callers. Rejects when no box does. */
-export async function startCallers(world: SoakEnvironment, options: CallersOptions): Promise<Callers> {
-    const { now, random } = world;
+/** Waits until a box serves, then starts the callers. Rejects if none does within `maxStartWait`. */
+export async function startCallers(environment: SoakEnvironment, options: CallersOptions): Promise<Callers> {
+    const { now, random } = environment;
     const attempts: ObservedAttempt[] = [];
-    let isOver = false;
+    let isStopped = false;
 
     await waitUntilServed();
     const callers = Array.from({ length: options.count }, (_, index) => runCaller(index));
     return {
         attempts,
         async stop() {
-            isOver = true;
+            isStopped = true;
             await Promise.all(callers);
         },
     };
 
     async function waitUntilServed(): Promise<void> {
         const client = createCaller("wait", true);
-        const end = now() + longestFirstWait;
+        const end = now() + maxStartWait;
         while (now() < end) {
-            const credential = world.customers.callerKeyOf(customerNames[0]).key;
+            const credential = environment.customers.callerKeyOf(customerNames[0]).key;
             const answer = await client.call({ host: soakHost, path: "/lookup/", credential }, { idempotent: true });
             if (answer.status === 200) {
                 client.close();
@@ -61,14 +64,14 @@
             }
             await pause(milliseconds(100));
         }
-        throw new Error(`no box served within ${longestFirstWait} ms`);
+        throw new Error(`no box served a request within ${maxStartWait} ms`);
     }
 
     function createCaller(name: string, pooled: boolean): Client {
-        const directories = world.boxes.map(box => box.directoryAddress);
-        const shift = Math.floor(random() * directories.length);
+        const directories = environment.boxes.map(box => box.directoryAddress);
+        const offset = Math.floor(random() * directories.length);
         return createClient({
-            directories: [...directories.slice(shift), ...directories.slice(0, shift)],
+            directories: [...directories.slice(offset), ...directories.slice(0, offset)],
             region: "north",
             zone: "north-a",
             pooled,
@@ -80,22 +83,22 @@
 
     async function runCaller(index: number): Promise<void> {
         const client = createCaller(`c${index}`, index % 2 === 0);
-        for (let count = 0; !isOver; count++) {
+        for (let count = 0; !isStopped; count++) {
             const { body, path } = soakRequests[count % soakRequests.length];
             const idempotent = body === undefined;
             const before = client.attempts();
             const at = now();
-            const held = world.customers.callerKeyOf(customerNames[index % customerNames.length]);
+            const held = environment.customers.callerKeyOf(customerNames[index % customerNames.length]);
             const answer = await client.call({
                 host: soakHost,
                 path,
                 method: idempotent ? "GET" : "POST",
                 body,
-                affinityKey: `k${count % keys}`,
+                affinityKey: `k${count % keyCount}`,
                 credential: held.key,
                 extraHeaders: { Tenant: "forged" },
                 deadlineMs: deadline,
-                disconnectAfterMs: random() < options.disconnectShare ? earlyLeave : lateLeave,
+                disconnectAfterMs: random() < options.disconnectShare ? earlyDisconnect : lateDisconnect,
             }, { idempotent });
             if (client.attempts() > before) {
                 const requestId = `${options.prefix}-c${index}-${client.attempts()}`;
--- a/packages/testing/src/soak/main.ts
+++ b/packages/testing/src/soak/main.ts
@@ -1,5 +1,7 @@
 /**
- * `npm run soak`: the fault soak over a range of seeds.
+ * Command-line program of the fault soak (`npm run soak`): one run for each of a range of seeds.
+ *
+ * Owns the command line, the printed lines and the exit code.
  */
 
 import meow from "meow";
@@ -33,16 +35,18 @@
 async function main(): Promise<void> {
     const [first, last = first] = cli.flags.seeds.split("-").map(Number);
     if (!Number.isInteger(first) || !Number.isInteger(last) || last < first) {
-        process.stderr.write(`--seeds ${cli.flags.seeds} is no seed or range of seeds, such as 4 or 1-50\n`);
+        process.stderr.write(
+            `--seeds must be a seed or a range of seeds, such as 4 or 1-50, and not ${cli.flags.seeds}\n`,
+        );
         process.exitCode = 2;
         return;
     }
-    let failed = 0;
+    let failedSeeds = 0;
     for (let seed = first; seed <= last; seed++) {
         const result = await runSoak({
             seed,
             faultDuration: cli.flags.seconds * 1000,
-            faults: faultSetOf(),
+            faults: selectFaultSet(),
             boxes: cli.flags.boxes,
             onEvent: line => {
                 if (!cli.flags.quiet || line.includes("breach=")) {
@@ -54,32 +58,34 @@
             attempts,
             breaches,
             faults,
-            logFolder: folder,
-            connectedBoxes: inTouch,
-            extendedFaults: later,
+            logFolder,
+            connectedBoxes,
+            extendedFaults,
             limits,
             notices,
             rollouts,
             served,
         } = result;
-        const counts = later === undefined ? "none" : Object.entries(later).map(pair => pair.join(":")).join(",");
+        const extendedFaultCounts = extendedFaults === undefined
+            ? "none"
+            : Object.entries(extendedFaults).map(pair => pair.join(":")).join(",");
         const outcomes = rollouts.map(({ isBad, states }) =>
             `${isBad ? "bad" : "good"}:${states.at(-1)?.state ?? "none"}`
         );
-        failed += breaches.length > 0 ? 1 : 0;
+        failedSeeds += breaches.length > 0 ? 1 : 0;
         process.stdout.write(
-            `seed=${seed} attempts=${attempts} served=${served} faults=${faults} later=${counts} inTouch=${
-                Object.entries(inTouch).map(pair => pair.join(":")).join(",")
+            `seed=${seed} attempts=${attempts} served=${served} faults=${faults} later=${extendedFaultCounts} inTouch=${
+                Object.entries(connectedBoxes).map(pair => pair.join(":")).join(",")
             } limits=${limits.checked}/${limits.named} notices=${
                 Object.entries(notices).map(pair => pair.join(":")).join(",")
-            } rollouts=${outcomes.join(",")} breaches=${breaches.length} logs=${folder}\n`,
+            } rollouts=${outcomes.join(",")} breaches=${breaches.length} logs=${logFolder}\n`,
         );
     }
-    process.stdout.write(`${last - first + 1 - failed} seeds without a breach, ${failed} with one\n`);
-    process.exitCode = failed > 0 ? 1 : 0;
+    process.stdout.write(`${last - first + 1 - failedSeeds} seeds without a breach, ${failedSeeds} with one\n`);
+    process.exitCode = failedSeeds > 0 ? 1 : 0;
 }
 
-function faultSetOf(): FaultSet {
+function selectFaultSet(): FaultSet {
     if (cli.flags.firstFaults) {
         return "first";
     }
--- a/packages/testing/src/soak/pipelining-callers.ts
+++ b/packages/testing/src/soak/pipelining-callers.ts
@@ -1,6 +1,6 @@
 /**
- * Callers that send several reads over one connection before the first one has
- * its answer, and note what became of each.
+ * Callers that pipeline requests: they send several reads over one connection without
+ * waiting for answers, and record the outcome of each.
  */
 
 import { createSeededRandom, milliseconds, type RandomSource } from "@chalkdale/kernel";
@@ -12,44 +12,52 @@
 import { customerNames } from "./soak-customers.js";
 import { type SoakEnvironment, soakHost } from "./soak-environment.js";
 
-/** Pipelining callers that run. */
+/** Running pipelining callers. */
 export interface PipeliningCallers extends Callers {
-    /** What came while no request waited for an answer. */
+    /** Bytes that boxes sent while no request waited for an answer. */
     readonly unsolicitedBytes: readonly UnsolicitedBytes[];
 }
 
 export interface PipeliningCallersOptions {
     readonly count: number;
     readonly seed: number;
-    /** Part of the connections whose caller leaves while requests are in progress, from 0 to 1. */
+    /** Fraction of the rounds in which the caller disconnects while requests are in progress, from 0 to 1. */
     readonly disconnectShare: number;
 }
 
 const paths = ["/lookup/", "/pack/"];
-const keys = 17;
+/** Number of different affinity keys. */
+const keyCount = 17;
+/** Deadline of a request in milliseconds. */
 const deadline = 2000;
-/** Requests that are sent together at most, and times that a connection is used at most. */
-const mostTogether = 6;
-const mostRounds = 12;
-/** Milliseconds between two rounds at least, and what chance adds at most: all callers stay within their customers' quotas. */
-const shortestRest = 40;
-const longestAddition = 40;
-/** Milliseconds after which a caller leaves. */
-const leavesAfter = 30;
+/** Maximum number of requests that are sent together, and of such rounds on a connection. */
+const maxBatchSize = 6;
+const maxRounds = 12;
+/**
+ * Minimum time between two rounds and the maximum random addition, in milliseconds: long enough for all callers to
+ * stay within their customers' quotas.
+ */
+const minPause = 40;
+const maxAddedPause = 40;
+/** Milliseconds after which a caller that disconnects early does so. */
+const disconnectAfter = 30;
 
-/** Starts the callers; boxes may still be starting. */
-export function startPipeliningCallers(world: SoakEnvironment, options: PipeliningCallersOptions): PipeliningCallers {
-    const { now } = world;
+/** Starts the callers; they wait for boxes that are still starting. */
+export function startPipeliningCallers(
+    environment: SoakEnvironment,
+    options: PipeliningCallersOptions,
+): PipeliningCallers {
+    const { now } = environment;
     const attempts: ObservedAttempt[] = [];
-    const surplus: UnsolicitedBytes[] = [];
-    let isOver = false;
+    const unsolicitedBytes: UnsolicitedBytes[] = [];
+    let isStopped = false;
 
     const callers = Array.from({ length: options.count }, (_, index) => runCaller(index));
     return {
         attempts,
-        unsolicitedBytes: surplus,
+        unsolicitedBytes,
         async stop() {
-            isOver = true;
+            isStopped = true;
             await Promise.all(callers);
         },
     };
@@ -57,67 +65,77 @@
     async function runCaller(index: number): Promise<void> {
         const random = createSeededRandom(options.seed * options.count + index);
         let sent = 0;
-        while (!isOver) {
+        while (!isStopped) {
             const box = await chooseBox(random);
             if (box !== undefined) {
                 await useConnection(box);
             }
-            await rest();
+            await pauseBetweenRounds();
         }
 
-        function rest(): Promise<void> {
-            return pause(milliseconds(shortestRest + random() * longestAddition));
+        function pauseBetweenRounds(): Promise<void> {
+            return pause(milliseconds(minPause + random() * maxAddedPause));
         }
 
         async function useConnection(box: string): Promise<void> {
             const connection = openPipeline(box);
-            for (let round = 0; round < mostRounds && connection.isOpen() && !isOver; round++) {
-                await askTogether(connection, box);
-                await rest();
+            for (let round = 0; round < maxRounds && connection.isOpen() && !isStopped; round++) {
+                await sendBatch(connection, box);
+                await pauseBetweenRounds();
             }
             connection.leave("close");
             await connection.ended;
             if (connection.unsolicitedBytes() !== "") {
-                surplus.push({ at: now(), box, bytes: connection.unsolicitedBytes() });
+                unsolicitedBytes.push({ at: now(), box, bytes: connection.unsolicitedBytes() });
             }
         }
 
-        async function askTogether(connection: PipeliningConnection, box: string): Promise<void> {
-            const held = world.customers.callerKeyOf(customerNames[index % customerNames.length]);
-            const ids = Array.from({ length: 1 + Math.floor(random() * mostTogether) }, () => `pipe${index}-${sent++}`);
+        async function sendBatch(connection: PipeliningConnection, box: string): Promise<void> {
+            const held = environment.customers.callerKeyOf(customerNames[index % customerNames.length]);
+            const requestIds = Array.from(
+                { length: 1 + Math.floor(random() * maxBatchSize) },
+                () => `pipe${index}-${sent++}`,
+            );
             const at = now();
-            const outcomes = connection.send(ids.map(requestId => ({
+            const outcomes = connection.send(requestIds.map(requestId => ({
                 host: soakHost,
                 path: paths[Math.floor(random() * paths.length)],
                 requestId,
                 headers: {
-                    "Affinity-Key": `k${Math.floor(random() * keys)}`,
+                    "Affinity-Key": `k${Math.floor(random() * keyCount)}`,
                     "Credential": held.key,
                     "Tenant": "forged",
                     "Deadline-Ms": String(deadline),
                 },
             })));
             if (random() < options.disconnectShare) {
-                await pause(milliseconds(leavesAfter));
+                await pause(milliseconds(disconnectAfter));
                 connection.leave(random() < 0.5 ? "close" : "reset");
                 await Promise.all(outcomes);
                 return;
             }
-            await Promise.all(outcomes.map(async (outcome, place) => {
-                attempts.push({ requestId: ids[place], idempotent: true, at, box, held, ...observe(await outcome) });
+            await Promise.all(outcomes.map(async (outcome, position) => {
+                attempts.push({
+                    requestId: requestIds[position],
+                    idempotent: true,
+                    at,
+                    box,
+                    held,
+                    ...describeOutcome(await outcome),
+                });
             }));
         }
     }
 
-    function observe(outcome: PipelinedOutcome): Pick<ObservedAttempt, "answer" | "unanswered"> {
+    function describeOutcome(outcome: PipelinedOutcome): Pick<ObservedAttempt, "answer" | "unanswered"> {
         return outcome.kind === "answered"
             ? { answer: outcome.answer }
             : { answer: { status: 0, headers: {}, body: "" }, unanswered: { kind: outcome.kind, at: now() } };
     }
 
     async function chooseBox(random: RandomSource): Promise<string | undefined> {
-        const { directoryAddress: directory } = world.boxes[Math.floor(random() * world.boxes.length)];
-        const { addresses } = await lookUp(directory, { name: soakHost, region: "north", zone: "north-a" });
+        const { directoryAddress } = environment.boxes[Math.floor(random() * environment.boxes.length)];
+        const { addresses } = await lookUp(directoryAddress, { name: soakHost, region: "north", zone: "north-a" });
         return addresses[Math.floor(random() * addresses.length)];
     }
 }
--- a/packages/testing/src/soak/soak-customers.ts
+++ b/packages/testing/src/soak/soak-customers.ts
@@ -2,28 +2,28 @@
  * The customers of a soak run: their keys change with each version of the
  * configuration, and one of them has a quota.
  *
- * Owns which key is given out now, and from when on an older one must not be honoured.
+ * Owns the current key of each customer and when an earlier key becomes invalid.
  */
 
 import type { TenantOptions } from "../standins/platform-objects.js";
 
-/** A key as a caller holds it. */
+/** A key and the customer whose callers use it. */
 export interface CallerKey {
     readonly customer: string;
     readonly key: string;
 }
 
-/** Customers of one run. */
+/** The customers of one run. */
 export interface SoakCustomers {
-    /** The key that a caller of a customer has now. */
+    /** Returns the customer's current key. */
     readonly callerKeyOf: (customer: string) => CallerKey;
-    /** Gives out new keys; returns the customers as operators write them. */
+    /** Gives each customer a new key; returns the customers as operators write them into the configuration. */
     readonly rotateKeys: (version: number) => readonly TenantOptions[];
-    /** From when on an earlier key must not be honoured; undefined for one that stands. */
+    /** Time from which an earlier key must not be accepted; undefined for a valid key. */
     readonly keyInvalidFrom: (key: string) => number | undefined;
 }
 
-/** Customers by name with their quotas; the callers of a run ask some 100 requests a second together. */
+/** Quotas by customer; a rate of 0 is no quota. All callers of a run together send about 100 requests per second. */
 const quotas: Readonly<Record<string, { readonly rate: number; readonly burst: number; }>> = {
     club: { rate: 0, burst: 0 },
     school: { rate: 200, burst: 200 },
@@ -31,24 +31,24 @@
 /** Names of the customers. */
 export const customerNames = Object.keys(quotas);
 
-/** Creates customers without keys. `inForceWithin`: milliseconds for which an earlier key may still be honoured. */
+/** Creates customers without keys. `inForceWithin`: milliseconds for which an earlier key may still be accepted. */
 export function createSoakCustomers(now: () => number, inForceWithin: number): SoakCustomers {
-    const current = new Map<string, string>();
-    const ends = new Map<string, number>();
+    const currentKeys = new Map<string, string>();
+    const invalidFrom = new Map<string, number>();
 
     return {
-        callerKeyOf: customer => ({ customer, key: current.get(customer) ?? "" }),
+        callerKeyOf: customer => ({ customer, key: currentKeys.get(customer) ?? "" }),
         rotateKeys(version) {
             return customerNames.map(name => {
-                const earlier = current.get(name);
+                const earlier = currentKeys.get(name);
                 if (earlier !== undefined) {
-                    ends.set(earlier, now() + inForceWithin);
+                    invalidFrom.set(earlier, now() + inForceWithin);
                 }
                 const key = `key-of-${name}-${version}`;
-                current.set(name, key);
+                currentKeys.set(name, key);
                 return { name, keys: [key], ...quotas[name] };
             });
         },
-        keyInvalidFrom: key => ends.get(key),
+        keyInvalidFrom: key => invalidFrom.get(key),
     };
 }
--- a/packages/testing/src/soak/soak-environment.ts
+++ b/packages/testing/src/soak/soak-environment.ts
@@ -1,6 +1,8 @@
 /**
- * What one run of the soak consists of: the store, servers and boxes, and the
- * links between them, with what the run has told them so far.
+ * The environment of one soak run: store, servers and boxes, the links between them, and
+ * the configuration that the run has written so far.
+ *
+ * Owns them all: starts them, and stops them in `stopAll`.
  */
 
 import { milliseconds, type RandomSource } from "@chalkdale/kernel";
@@ -18,25 +20,26 @@
 import { createSoakServers, type SoakServers } from "./soak-servers.js";
 import { createStoreConnectivity, type StoreConnectivity } from "./store-connectivity.js";
 
-/** Zones and their regions. */
+/** Regions by availability zone. */
 const zones: Readonly<Record<string, string>> = { "north-a": "north", "north-b": "north", "south-a": "south" };
+/** Names of the availability zones. */
 export const zoneNames = Object.keys(zones);
-/** Routes and the services that they begin with. */
+/** Services by path of the route, as the first configuration has them; that of `/lookup/` changes. */
 const servicesByPath: Readonly<Record<string, string>> = {
     "/lookup/": "profiles",
     "/save/": "profiles",
     "/pack/": "packs",
     "/photos/": "packs",
 };
-/** Routes and their kinds; those that are not here are for requests that may be repeated. */
+/** Request kinds by path of the route; the kind of any other path is `safe`: its requests may be repeated. */
 const kindsByPath: Readonly<Record<string, RuleOptions["kind"]>> = {
     "/save/": "unsafe",
     "/pack/": "download",
     "/photos/": "upload",
 };
-/** Bytes of an upload. */
+/** Size of an upload in bytes. */
 const uploadSize = 60_000;
-/** What callers ask for, in turn; `body` is there for what may run only once. */
+/** Requests that callers send in turn; only those that may run just once have a body. */
 export const soakRequests = Object.keys(servicesByPath).map(path => ({ path, body: bodyOf(path) }));
 
 function bodyOf(path: string): string | undefined {
@@ -49,34 +52,42 @@
             return undefined;
     }
 }
+/** Host of all requests and of the configuration. */
 export const soakHost = "app.example";
 const serversPerService = 4;
-/** First port of each box, below the range from which the kernel takes ports for outgoing connections. */
+/** First port of each box, below the range from which the operating system takes ports for outgoing connections. */
 const firstPort = 20_000;
-/** When which service may run the requests of a path. */
+/** A service that may run the requests of a path, and when. */
 type Destination = Interval & { readonly path: string; readonly service: string; };
 
-/** The parts of a run. */
+/** Everything that one run consists of. */
 export interface SoakEnvironment extends SoakServers {
     readonly seed: number;
     readonly random: RandomSource;
     /** Milliseconds since the run began. */
     readonly now: () => number;
+    /** Reports an event line with the run's seed and time. */
     readonly logEvent: (text: string) => void;
-    /** Where the logs of the boxes lie. */
+    /** Directory of the boxes' settings and logs. */
     readonly logFolder: string;
     readonly store: MetadataStore;
     readonly storeServer: MetadataStoreServer;
+    /** Links of the boxes to the store, one for each box. */
     readonly storeLinks: readonly FaultProxy[];
-    /** Servers beyond which none is replaced, since each release adds a process' worth of sockets. */
+    /** Number of servers above which none is replaced, since each replacement adds a server with its sockets. */
     readonly mostServers: number;
     readonly boxes: readonly BoxProcess[];
+    /** Services that a path may go to, and when. */
     readonly destinations: readonly Destination[];
     readonly customers: SoakCustomers;
-    /** Which boxes are in touch with the store; faults tell it whom they strike. */
+    /** Which boxes are connected to the store; faults report to it which boxes they affect. */
     readonly storeConnectivity: StoreConnectivity;
-    /** Writes the next version: each customer has a new key, and the lookups' service changes with every other one. */
+    /**
+     * Writes the next version of the configuration: each customer gets a new key, and the parity of the version
+     * selects the service of `/lookup/`.
+     */
     readonly writeNextConfiguration: () => void;
+    /** Ends all boxes, links, servers and the store; resolves once the boxes have exited. */
     readonly stopAll: () => Promise<void>;
 }
 
@@ -85,15 +96,16 @@
     readonly random: RandomSource;
     readonly boxes: number;
     readonly mostServers: number;
+    /** Called with each event line. */
     readonly onEvent: ((line: string) => void) | undefined;
 }
 
-/** Starts everything; boxes may still be starting when it resolves. */
+/** Starts store, servers and boxes; resolves while boxes may still be starting. */
 export async function startSoakEnvironment(options: SoakEnvironmentOptions): Promise<SoakEnvironment> {
     const { random } = options;
     const startedAt = performance.now();
     const now = () => performance.now() - startedAt;
-    const say = (text: string) => options.onEvent?.(`seed=${options.seed} at=${Math.round(now())} ${text}`);
+    const logEvent = (text: string) => options.onEvent?.(`seed=${options.seed} at=${Math.round(now())} ${text}`);
     const store = createMetadataStore({ clock: () => milliseconds(now()) });
     const storeServer = await serveMetadataStore(store);
     const folder = mkdtempSync(join(tmpdir(), `chalkdale-soak-${options.seed}-`));
@@ -104,13 +116,13 @@
     let version = 1;
 
     await startServers();
-    configure();
+    writeNextConfiguration();
     const boxes = await startBoxes();
     return {
         seed: options.seed,
         random,
         now,
-        logEvent: say,
+        logEvent,
         logFolder: folder,
         store,
         storeServer,
@@ -121,7 +133,7 @@
         destinations,
         customers,
         storeConnectivity: createStoreConnectivity(now),
-        writeNextConfiguration: configure,
+        writeNextConfiguration,
         stopAll,
     };
 
@@ -133,35 +145,38 @@
         }
     }
 
-    function configure(): void {
+    function writeNextConfiguration(): void {
         version += 1 + Math.floor(random() * 5);
-        const lookups = version % 2 === 0 ? "profiles" : "packs";
+        const lookupService = version % 2 === 0 ? "profiles" : "packs";
         const rules = Object.entries(servicesByPath).map(([path, service]): RuleOptions => ({
             name: path,
             path,
             kind: kindsByPath[path] ?? "safe",
-            service: path === "/lookup/" ? lookups : service,
+            service: path === "/lookup/" ? lookupService : service,
         }));
-        rules.forEach(noteDestination);
+        rules.forEach(recordDestination);
         store.put("config", "main", configurationObject(version, soakHost, rules, customers.rotateKeys(version)));
     }
 
-    /** Notes from when on a path's requests may run at a service, and until when they still may at the one before. */
-    function noteDestination({ path, service = "" }: RuleOptions): void {
-        const old = destinations.findIndex(entry => entry.path === path && entry.to === Infinity);
-        if (old >= 0 && destinations[old].service !== service) {
-            destinations[old] = { ...destinations[old], to: now() + inForceWithin };
+    /**
+     * Records from when a path's requests may run at a service, and until when they may still run at the
+     * previous one.
+     */
+    function recordDestination({ path, service = "" }: RuleOptions): void {
+        const current = destinations.findIndex(entry => entry.path === path && entry.to === Infinity);
+        if (current >= 0 && destinations[current].service !== service) {
+            destinations[current] = { ...destinations[current], to: now() + inForceWithin };
         }
-        if (old < 0 || destinations[old].to !== Infinity) {
+        if (current < 0 || destinations[current].to !== Infinity) {
             destinations.push({ path, service, from: now(), to: Infinity });
         }
     }
 
     async function startBoxes(): Promise<BoxProcess[]> {
         const created: BoxProcess[] = [];
-        const network = ownNetwork();
+        const network = loopbackNetwork();
         for (let index = 0; index < options.boxes; index++) {
-            // So the store can tell the boxes apart.
+            // The store tells boxes apart by their source address.
             const link = await startFaultProxy(storeServer.address(), {
                 kind: "fixed",
                 host: `${network}.${index + 1}`,
@@ -194,12 +209,12 @@
     }
 }
 
-/** Loopback addresses of this process alone: two soaks at once would take each other's ports. */
-function ownNetwork(): string {
+/** Loopback network of this process alone: two soaks at once would otherwise collide on ports. */
+function loopbackNetwork(): string {
     const { pid } = process;
-    return `127.${firstOwnNetwork + (pid >> 8) % ownNetworks}.${pid % 256}`;
+    return `127.${firstNetwork + (pid >> 8) % networkCount}.${pid % 256}`;
 }
 
-/** Second bytes of such addresses: those below are for other tests. */
-const firstOwnNetwork = 100;
-const ownNetworks = 128;
+/** Second bytes of these addresses; lower ones belong to other tests. */
+const firstNetwork = 100;
+const networkCount = 128;
--- a/packages/testing/src/soak/soak-rollouts.ts
+++ b/packages/testing/src/soak/soak-rollouts.ts
@@ -1,9 +1,9 @@
 /**
- * Roll-outs in a soak run: operators start servers of a new version beside the
- * old ones and order the service onto them; then they stop the old servers at
- * once, or empty the new ones, as the state in the store says.
+ * Roll-outs in a soak run: operators start servers of a new version beside the old ones
+ * and order the service to move onto them. Once the state in the store is final, they stop
+ * the old servers at once (completed) or drain the new ones (any other outcome).
  *
- * Owns what was ordered and which states were seen; the checks read it.
+ * Owns the orders and the observed states; the checks read them.
  */
 
 import { createSeededRandom, milliseconds } from "@chalkdale/kernel";
@@ -17,132 +17,141 @@
 
 /** The roll-outs of one run. */
 export interface SoakRollouts {
+    /** All orders so far, with the states that the store showed. */
     readonly observed: readonly ObservedRollout[];
-    /** Orders one version after the other until a time of the run. Resolves when the servers that lost are gone. */
+    /**
+     * Orders one version after the other until the time `end` of the run; resolves once the servers of the
+     * losing versions are removed.
+     */
     readonly startRolloutsUntil: (end: number) => Promise<void>;
-    /** Notes the states until the run is over. */
+    /** Ends the observation of states. */
     readonly stopObserving: () => void;
 }
 
 const services = ["profiles", "packs"];
-const over = milliseconds(8000);
-/** Milliseconds beyond that in which a state may still be written: the store may be out as long. */
-const lateBy = 6000;
-/** Part of the requests that a bad version fails. */
-const failedPart = 0.6;
+/** Duration over which a roll-out is ordered. */
+const rolloutDuration = milliseconds(8000);
+/** Milliseconds after that in which a state may still be written: the store may be unavailable as long. */
+const maxStateDelay = 6000;
+/** Fraction of its requests that a bad version fails. */
+const failureFraction = 0.6;
+/** Time between two reads of the state. */
 const pollInterval = milliseconds(20);
-/** Longest pause between two orders, in milliseconds. */
-const longestPause = 3000;
-/** Draws of seeds that follow on each other would begin alike. */
-const seedSpread = 7919;
+/** Maximum pause before an order, in milliseconds. */
+const maxPause = 3000;
+/** Spreads the runs' seeds: generators with consecutive seeds would begin with similar draws. */
+const seedMultiplier = 7919;
 
-/** Creates it; nothing is ordered yet. `drained`: from when on a server must get nothing, by its id. */
-export function createSoakRollouts(world: SoakEnvironment, drained: Map<string, Interval>): SoakRollouts {
-    const { now, logEvent: say, servers, store } = world;
-    // Its own, so that what else is drawn from a seed stays as it is.
-    const random = createSeededRandom(world.seed * seedSpread);
+/**
+ * Creates the roll-outs without ordering any. `drained`: by server id, when the server must get no requests;
+ * entries are added.
+ */
+export function createSoakRollouts(environment: SoakEnvironment, drained: Map<string, Interval>): SoakRollouts {
+    const { now, logEvent, servers, store } = environment;
+    // A separate source, so that the other draws from a seed stay the same.
+    const random = createSeededRandom(environment.seed * seedMultiplier);
     const observed: ObservedRollout[] = [];
-    const moving = new Set<string>();
-    let isOver = false;
+    const movingServices = new Set<string>();
+    let isStopped = false;
 
     return {
         observed,
         async startRolloutsUntil(end) {
-            const moves: Promise<void>[] = [];
+            const rollouts: Promise<void>[] = [];
             while (now() < end) {
-                await pause(milliseconds(longestPause * random()));
+                await pause(milliseconds(maxPause * random()));
                 const service = pickRandom(services, random);
-                if (now() < end && !moving.has(service)) {
-                    moves.push(rollOut(service));
+                if (now() < end && !movingServices.has(service)) {
+                    rollouts.push(rollOut(service));
                 }
             }
-            await Promise.all(moves);
+            await Promise.all(rollouts);
         },
         stopObserving() {
-            isOver = true;
+            isStopped = true;
         },
     };
 
     async function rollOut(service: string): Promise<void> {
-        moving.add(service);
+        movingServices.add(service);
         await moveTo(service, `v${observed.length + 2}`, random() < 0.5);
-        moving.delete(service);
+        movingServices.delete(service);
     }
 
     async function moveTo(service: string, version: string, isBad: boolean): Promise<void> {
         const target: SoakServer[] = [];
         for (const zone of zoneNames) {
-            target.push(await world.addServer(service, zone, version));
+            target.push(await environment.addServer(service, zone, version));
         }
         if (isBad) {
             target.forEach(server => {
                 server.isExcludedFromFaults = true;
                 server.backend.setBehaviour(() =>
-                    random() < failedPart ? { kind: "fail", status: 500 } : { kind: "serve" }
+                    random() < failureFraction ? { kind: "fail", status: 500 } : { kind: "serve" }
                 );
             });
         }
-        say(`fault="order of ${isBad ? "bad" : "good"} ${version} for ${service}"`);
-        store.put("rollouts", service, rolloutObject(service, version, `${over}ms`));
-        const ids = new Set(target.map(({ backend }) => backend.id));
+        logEvent(`fault="order of ${isBad ? "bad" : "good"} ${version} for ${service}"`);
+        store.put("rollouts", service, rolloutObject(service, version, `${rolloutDuration}ms`));
+        const serverIds = new Set(target.map(({ backend }) => backend.id));
         const order: ObservedRollout = {
             service,
             version,
             isBad,
             from: now(),
-            to: now() + over,
-            servers: ids,
+            to: now() + rolloutDuration,
+            servers: serverIds,
             states: [],
         };
         observed.push(order);
-        void noteStates(order);
-        while (finalState(order) === undefined && now() < order.to + lateBy) {
+        void observeStates(order);
+        while (finalState(order) === undefined && now() < order.to + maxStateDelay) {
             await pause(pollInterval);
         }
-        say(`rollout=${version} service=${service} state=${finalState(order) ?? "undecided"}`);
+        logEvent(`rollout=${version} service=${service} state=${finalState(order) ?? "undecided"}`);
         if (finalState(order) === "completed") {
-            stopOthers(service, version);
+            stopOtherVersions(service, version);
         }
         else {
-            await empty(target);
+            await drainTarget(target);
         }
     }
 
-    /** The old servers are stopped at once. */
-    function stopOthers(service: string, version: string): void {
-        world.setVersion(service, version);
+    /** Stops the servers of other versions at once. */
+    function stopOtherVersions(service: string, version: string): void {
+        environment.setVersion(service, version);
         for (const server of servers.filter(other => other.service === service && other.version !== version)) {
-            retire(server);
+            markDrained(server);
             server.isPermanentlyStopped = true;
             store.delete("servers", server.backend.id);
             server.backend.close();
         }
     }
 
-    /** The new servers drain for some seconds. */
-    async function empty(target: readonly SoakServer[]): Promise<void> {
+    /** Drains the servers of the new version for some seconds, then removes their records. */
+    async function drainTarget(target: readonly SoakServer[]): Promise<void> {
         target.forEach(server => {
-            world.writeRecord(server, "draining");
-            retire(server);
+            environment.writeRecord(server, "draining");
+            markDrained(server);
         });
         await pause(milliseconds(inForceWithin));
         target.forEach(({ backend }) => store.delete("servers", backend.id));
     }
 
-    function retire(server: SoakServer): void {
+    function markDrained(server: SoakServer): void {
         server.gone = true;
         drained.set(server.backend.id, { from: now() + inForceWithin, to: Infinity });
     }
 
-    /** A store that came back from an older copy may show an earlier state once more. */
-    function isNews(state: string, states: ObservedRollout["states"]): boolean {
+    /** Once the store was restored from an older snapshot, it may show an earlier state again, which is not new. */
+    function isNewState(state: string, states: ObservedRollout["states"]): boolean {
         return store.epoch() === undefined
             ? state !== states.at(-1)?.state
-            : !states.some(known => known.state === state);
+            : !states.some(seen => seen.state === state);
     }
 
-    async function noteStates({ service, states, version }: ObservedRollout): Promise<void> {
-        while (!isOver) {
+    async function observeStates({ service, states, version }: ObservedRollout): Promise<void> {
+        while (!isStopped) {
             const { body } = store.get("rollouts", service);
             const { spec, status } = (body ?? {}) as {
                 spec?: { target_version: string; };
@@ -152,7 +161,7 @@
             if (isReplaced && store.lostWrites().every(({ kind }) => kind !== "rollouts")) {
                 return;
             }
-            if (status?.target_version === version && isNews(status.state, states)) {
+            if (status?.target_version === version && isNewState(status.state, states)) {
                 states.push({ state: status.state, at: now() });
             }
             await pause(pollInterval);
--- a/packages/testing/src/soak/soak-servers.ts
+++ b/packages/testing/src/soak/soak-servers.ts
@@ -1,6 +1,6 @@
 /**
- * The backend servers of a soak run: each behind its link, listed in the store,
- * and watched for what begins to run there.
+ * The backend servers of a soak run: each is reached through its link and listed in the
+ * store, and every request that begins to run there is recorded.
  *
  * Owns the stand-ins and their links; relies on the store for the records.
  */
@@ -13,45 +13,48 @@
 import { type FaultProxy, startFaultProxy } from "./fault-proxy.js";
 import type { ObservedRun } from "./observations.js";
 
-/** Work of a request on an object that the server does not know, in milliseconds. */
+/** Milliseconds of work for a request with a key that the server does not know yet. */
 const serverWork = 40;
-/** Id, service and zone of a server that no sound record names. */
-const trapName = "i-trap";
+/** Id, service and zone of servers that no valid record lists. */
+const unlistedName = "i-trap";
 
-/** One server behind its link. */
+/** One server and its link. */
 export interface SoakServer {
-    /** Its present life. */
+    /** The stand-in of the server's present incarnation. */
     backend: ServerStandIn;
-    /** Unix milliseconds of its present start. */
+    /** Start of the present incarnation, in Unix milliseconds. */
     born: number;
     readonly proxy: FaultProxy;
     readonly service: string;
     readonly zone: string;
     readonly version: string;
+    /** It drains or was removed, or is about to. */
     gone: boolean;
-    /** It has ended, and is about to start again unless its service has moved on. */
+    /** It has ended and will restart, unless its service moves to another version meanwhile. */
     isDown: boolean;
     /** It was stopped for good. */
     isPermanentlyStopped: boolean;
-    /** Its behaviour is part of a bad version, and other faults leave it alone. */
+    /** Its behaviour belongs to a bad version or to an announcement, so other faults must not change it. */
     isExcludedFromFaults: boolean;
 }
 
 /** The servers of a run. */
 export interface SoakServers {
     readonly servers: readonly SoakServer[];
+    /** Requests that began to run at any of the servers. */
     readonly runs: readonly ObservedRun[];
-    /** Adds a server; without a version it is of the one that the service runs. */
+    /** Starts and lists a server; its version defaults to the one that the service runs. */
     readonly addServer: (service: string, zone: string, version?: string) => Promise<SoakServer>;
     /**
-     * The server ends without a word, and starts again after a while under its id and address; it knows nothing of before. False
-     * if it was stopped for good meanwhile.
+     * Ends the server abruptly, and starts it again after `downFor` under its id and address, without any state.
+     * Resolves with false if it was stopped for good meanwhile.
      */
     readonly restartServer: (server: SoakServer, downFor: Milliseconds) => Promise<boolean>;
-    /** Starts a server that no sound record names; whatever runs there is a breach. */
+    /** Starts a server that no valid record lists: any request that runs there is a breach. */
     readonly startUnlistedServer: () => Promise<ServerStandIn>;
-    /** The service runs another version from now on. */
+    /** Sets the version that the service runs from now on. */
     readonly setVersion: (service: string, version: string) => void;
+    /** Writes the server's record to the store. */
     readonly writeRecord: (server: SoakServer, state: "ready" | "draining") => void;
     readonly closeServers: () => void;
 }
@@ -62,10 +65,10 @@
     readonly store: MetadataStore;
 }
 
-/** Creates the servers of a run; none is started. */
+/** Creates the server set of a run without any server. */
 export function createSoakServers({ now, store }: SoakServersOptions): SoakServers {
     const servers: SoakServer[] = [];
-    const traps: ServerStandIn[] = [];
+    const unlistedServers: ServerStandIn[] = [];
     const runs: ObservedRun[] = [];
     const versions = new Map<string, string>();
 
@@ -74,12 +77,12 @@
         runs,
         addServer,
         restartServer,
-        startUnlistedServer: startTrap,
+        startUnlistedServer,
         setVersion: (service, next) => versions.set(service, next),
-        writeRecord: record,
+        writeRecord,
         closeServers() {
             servers.forEach(({ proxy }) => proxy.close());
-            [...servers.map(({ backend }) => backend), ...traps].forEach(backend => backend.close());
+            [...servers.map(({ backend }) => backend), ...unlistedServers].forEach(backend => backend.close());
         },
     };
 
@@ -105,7 +108,7 @@
         };
         servers.push(server);
         observeRuns(server);
-        record(server, "ready");
+        writeRecord(server, "ready");
         return server;
     }
 
@@ -123,22 +126,22 @@
         server.backend.setWork(serverWork);
         server.born = Date.now();
         observeRuns(server);
-        record(server, "ready");
+        writeRecord(server, "ready");
         return true;
     }
 
-    async function startTrap(): Promise<ServerStandIn> {
-        const backend = await startServerStandIn({ id: trapName });
-        observeRuns({ backend, service: trapName, zone: trapName });
-        traps.push(backend);
+    async function startUnlistedServer(): Promise<ServerStandIn> {
+        const backend = await startServerStandIn({ id: unlistedName });
+        observeRuns({ backend, service: unlistedName, zone: unlistedName });
+        unlistedServers.push(backend);
         return backend;
     }
 
-    /** Notes each run when it begins. */
+    /** Records each run when it begins. */
     function observeRuns(server: Pick<SoakServer, "backend" | "service" | "zone">): void {
-        const list = server.backend.runs as ObservedRun[];
-        const push = list.push.bind(list);
-        list.push = (...begun) => {
+        const serverRuns = server.backend.runs as ObservedRun[];
+        const push = serverRuns.push.bind(serverRuns);
+        serverRuns.push = (...begun) => {
             for (const run of begun) {
                 runs.push({ ...run, at: now(), server: server.backend.id, service: server.service, zone: server.zone });
             }
@@ -146,9 +149,9 @@
         };
     }
 
-    function record(server: SoakServer, state: "ready" | "draining"): void {
+    function writeRecord(server: SoakServer, state: "ready" | "draining"): void {
         const { born, proxy, service, version: serverVersion, zone } = server;
-        const place = { born, service, zone, state, version: serverVersion };
-        store.put("servers", server.backend.id, serverObject(proxy.address(), place));
+        const record = { born, service, zone, state, version: serverVersion };
+        store.put("servers", server.backend.id, serverObject(proxy.address(), record));
     }
 }
--- a/packages/testing/src/soak/soak.ts
+++ b/packages/testing/src/soak/soak.ts
@@ -1,7 +1,7 @@
 /**
- * One run of the fault soak: boxes as processes of their own, a store and
- * servers behind harmful links, callers without pause, and faults drawn from a
- * seed. All waiting is real time; the verdict rests on promises with wide bounds.
+ * One run of the fault soak: boxes as separate processes, a store and servers behind
+ * links that can fail, callers that send requests all the time, and faults drawn from a
+ * seed. It runs in real time, so the promises that it checks have wide bounds.
  */
 
 import { createSeededRandom, milliseconds } from "@chalkdale/kernel";
@@ -20,130 +20,137 @@
 import { connectedAfter } from "./soak-bounds.js";
 import { type SoakEnvironment, startSoakEnvironment } from "./soak-environment.js";
 
+/** What to run. */
 export interface SoakOptions {
     readonly seed: number;
     /** Time with faults, in milliseconds. */
     readonly faultDuration: number;
-    /** Which faults are drawn; see `injectFaults`. */
+    /** Which faults are drawn. */
     readonly faults: FaultSet;
     readonly boxes?: number;
     readonly callers?: number;
-    /** Told of each fault and breach. */
+    /** Called with a line for each fault and breach. */
     readonly onEvent?: (line: string) => void;
 }
 
-/** What came of a run. */
+/** The outcome of a run. */
 export interface SoakResult {
     readonly seed: number;
     readonly attempts: number;
     readonly served: number;
     readonly faults: number;
-    /** Faults of the later set, by what they are; undefined if none were drawn. */
+    /** Number of extended faults by kind; undefined if the set has none. */
     readonly extendedFaults: ExtendedFaultCounts | undefined;
     readonly rollouts: readonly ObservedRollout[];
     readonly breaches: readonly Breach[];
-    /** What the checks of boxes in touch with the store could see. */
+    /** Changes that the checks of boxes connected to the store could test. */
     readonly connectedBoxes: ConnectedBoxCounts;
-    /** Limits that the check could see kept or broken, and all that were named. */
+    /** Number of limits that the check could test, and of all that servers announced. */
     readonly limits: { readonly checked: number; readonly named: number; };
-    /** What servers said, as far as the checks could see boxes that had been told, and how often the store came back older. */
+    /** Announcements of servers that reached boxes, and how often the store was restored. */
     readonly notices: NoticeCounts & { readonly restores: number; };
-    /** Where the logs of the boxes lie. */
+    /** Directory of the boxes' settings and logs. */
     readonly logFolder: string;
 }
 
+/** Milliseconds after the faults in which the system may recover. */
 const recoverWithin = 9000;
-/** All boxes count as in touch with the store again so long after the faults, and a moment more. */
-const inTouchAgain = milliseconds(connectedAfter + 200);
+/** Time after the faults until all boxes count as connected to the store again, with a margin. */
+const reconnectTime = milliseconds(connectedAfter + 200);
+/** Milliseconds for which the run goes on after the recovery time. */
 const observedAfterRecovery = 2500;
 const defaultBoxes = 5;
 const defaultCallers = 6;
-/** Servers in a run of each set of faults beyond which none is replaced. */
-const mostServers: Readonly<Record<FaultSet, number>> = {
+/** Number of servers above which none is replaced, by set of faults. */
+const maxServers: Readonly<Record<FaultSet, number>> = {
     first: 24,
     silences: 60,
     all: 60,
     limits: 60,
     notices: 80,
 };
-const pipeliningCallers = 2;
-/** Part of the callers' requests that are given up early. */
-const leavingShare = 0.05;
+const pipeliningCallerCount = 2;
+/** Fraction of the callers' requests, and of the pipelining callers' rounds, that are abandoned early. */
+const abandonedFraction = 0.05;
 
-/** Plays one run. */
+/** Runs the soak once with one seed. */
 export async function runSoak(options: SoakOptions): Promise<SoakResult> {
     const random = createSeededRandom(options.seed);
     const { boxes = defaultBoxes, onEvent, seed } = options;
-    const world = await startSoakEnvironment({
+    const environment = await startSoakEnvironment({
         seed,
         random,
         boxes,
-        mostServers: mostServers[options.faults],
+        mostServers: maxServers[options.faults],
         onEvent,
     });
     try {
-        return await play(world, options);
+        return await runInEnvironment(environment, options);
     }
     catch (error) {
-        // Nothing that a failed run has started may go on: its boxes are processes of their own.
-        await world.stopAll();
+        // The boxes are separate processes and would outlive a failed run.
+        await environment.stopAll();
         throw error;
     }
 }
 
-async function play(world: SoakEnvironment, options: SoakOptions): Promise<SoakResult> {
+async function runInEnvironment(environment: SoakEnvironment, options: SoakOptions): Promise<SoakResult> {
     const { callers: count = defaultCallers, seed } = options;
-    const { now, logEvent: say } = world;
-    const callers = await startCallers(world, { count, prefix: `s${seed}`, disconnectShare: leavingShare });
-    const pipelining = startPipeliningCallers(world, { count: pipeliningCallers, seed, disconnectShare: leavingShare });
-    const injecting = await injectFaults(world, options.faultDuration, options.faults);
-    const { changeAfterFaults: changeInCalm, count: faults, extendedFaults: later, rollouts, ...injected } = injecting;
+    const { now, logEvent } = environment;
+    const callers = await startCallers(environment, { count, prefix: `s${seed}`, disconnectShare: abandonedFraction });
+    const pipelining = startPipeliningCallers(environment, {
+        count: pipeliningCallerCount,
+        seed,
+        disconnectShare: abandonedFraction,
+    });
+    const injection = await injectFaults(environment, options.faultDuration, options.faults);
+    const { changeAfterFaults, count: faults, extendedFaults, rollouts, ...injected } = injection;
     const recoveredFrom = now() + recoverWithin;
-    await pause(inTouchAgain);
-    const changing = changeInCalm();
+    await pause(reconnectTime);
+    const changing = changeAfterFaults();
     await pause(milliseconds(recoveredFrom - now()));
-    const back = await probeRecovery(world);
+    const recoveryProbe = await probeRecovery(environment);
     await pause(milliseconds(recoveredFrom + observedAfterRecovery - now()));
     await changing;
     await Promise.all([callers.stop(), pipelining.stop()]);
     rollouts.stopObserving();
-    await world.stopAll();
+    await environment.stopAll();
 
     const attempts = [...callers.attempts, ...pipelining.attempts];
-    const { destinations, logFolder: folder, runs } = world;
-    const keyEndsAt = world.customers.keyInvalidFrom;
-    const { unsolicitedBytes: surplus } = pipelining;
+    const { destinations, logFolder, runs } = environment;
+    const invalidFrom = environment.customers.keyInvalidFrom;
+    const { unsolicitedBytes } = pipelining;
     const seen = {
         attempts,
         runs,
-        unsolicitedBytes: surplus,
+        unsolicitedBytes,
         ...injected,
         destinations,
-        keyInvalidFrom: keyEndsAt,
+        keyInvalidFrom: invalidFrom,
         rollouts: rollouts.observed,
         recoveredFrom,
-        isConnected: world.storeConnectivity.isConnected,
-        hadBoxFault: world.storeConnectivity.hadBoxFault,
-        recoveryProbe: back,
+        isConnected: environment.storeConnectivity.isConnected,
+        hadBoxFault: environment.storeConnectivity.hadBoxFault,
+        recoveryProbe,
     };
     const breaches = findBreaches(seen);
-    breaches.forEach(breach => say(`breach="${breach.promise}" at=${Math.round(breach.at)} ${breach.detail}`));
+    breaches.forEach(breach => logEvent(`breach="${breach.promise}" at=${Math.round(breach.at)} ${breach.detail}`));
     const served = attempts.filter(attempt => attempt.answer.status === 200).length;
     const { observed } = rollouts;
-    const inTouch = countConnectedBoxChecks(seen);
+    const connectedBoxes = countConnectedBoxChecks(seen);
     const limits = { checked: countCheckedLimits(seen), named: seen.limits?.length ?? 0 };
-    const notices = { ...countNotices(seen), restores: world.store.epoch() ?? 0 };
+    const notices = { ...countNotices(seen), restores: environment.store.epoch() ?? 0 };
     return {
         seed,
         attempts: attempts.length,
         served,
         faults,
-        extendedFaults: later,
+        extendedFaults,
         rollouts: observed,
         breaches,
-        connectedBoxes: inTouch,
+        connectedBoxes,
         limits,
         notices,
-        logFolder: folder,
+        logFolder,
     };
 }
