--- a/packages/testing/test/box-program.test.ts
+++ b/packages/testing/test/box-program.test.ts
@@ -1,5 +1,6 @@
 /**
- * The box's program as the platform starts it.
+ * The box's program as the platform starts it: its exit codes, and that it serves
+ * while nobody reads its log.
  */
 
 import { expect } from "chai";
@@ -28,7 +29,7 @@
 
 describe("the box's program", () => {
     let folder: string;
-    /** What a test has started; it ends also when the test fails, or the run of all tests would not end. */
+    /** Stop what a test has started, also when the test fails; otherwise the test process would not exit. */
     let cleanUps: (() => Promise<void>)[];
 
     beforeEach(() => {
@@ -53,7 +54,7 @@
         expect(output).to.include("event=settings.unreadable");
     });
 
-    it("serves on while nobody reads its log", async () => {
+    it("keeps serving while nobody reads its log", async () => {
         const deployment = await startTestDeployment();
         await deployment.addServer({ id: "i-1" });
         deployment.configure(2, [{ name: "lookup", path: "/lookup/", kind: "safe" }]);
@@ -78,7 +79,7 @@
         const ask = (path: string) =>
             sendRequest({ address: box.callerAddress, host: testHost, path, requestId: "p-1" });
         await waitUntil(async () => (await ask("/lookup/")).status === 200, "it serves");
-        // Each line names the path, so that the lines of one second fill the pipe.
+        // Each log line contains the path, so the lines of one second fill the pipe.
         const longPath = `/nowhere/${"x".repeat(60_000)}`;
         for (let count = 0; count < 20; count++) {
             expect((await ask(longPath)).status).to.equal(404);
--- a/packages/testing/test/box-silence.test.ts
+++ b/packages/testing/test/box-silence.test.ts
@@ -1,8 +1,8 @@
 /**
- * Connections that rested fell silent without an end, all of a server at once. Each
- * request that took one of them waited for its whole limit: the record of a run has
- * `request.refused … refusal=timedOut sent=1 after=1101` for two requests in a row at
- * `i-f167dfd5` and at `i-dd9da7eb`, while both servers served on new connections.
+ * Guards against idle connections that stop passing bytes without being closed, all of a
+ * server at once, as when a middlebox drops their state. Each request that a box sent on
+ * one of them waited for its whole timeout (`refusal=timedOut sent=1`), one request after
+ * the other, although the server served on new connections.
  */
 
 import { expect } from "chai";
@@ -18,7 +18,7 @@
 } from "../src/standins/deployment.js";
 import { serverObject } from "../src/standins/platform-objects.js";
 
-describe("connections to a server that fall silent for good", () => {
+describe("connections to a server that stop passing bytes for good", () => {
     let deployment: TestDeployment;
     let box: TestBox;
     let server: ServerStandIn;
@@ -49,7 +49,7 @@
         return sendRequest({ address: box.callerAddress, host: testHost, path, requestId: `r-${requests}` });
     }
 
-    it("cost one request its answer, and not each of those that follow", async () => {
+    it("cost one request its answer, but not those that follow", async () => {
         server.setWork(40);
         for (let round = 0; round < 5; round++) {
             await Promise.all([ask(), ask(), ask(), ask()]);
