--- a/packages/testing/src/demo/demo.ts
+++ b/packages/testing/src/demo/demo.ts
@@ -23,11 +23,11 @@
 /** Callers of the demo. */
 export const callerCount = 6;
 /** Milliseconds for which each step is watched once it must be in force. */
-const watched = milliseconds(2000);
+const observationTime = milliseconds(2000);
 /** Part of the requests that may be refused: boxes that stop are still known to some callers. */
-const mostRefused = 0.01;
+const maxRefusedFraction = 0.01;
 /** Work of a pack during the stop, in milliseconds: longer than a stopping box takes new work. */
-const longDownload = 900;
+const longDownloadWork = 900;
 const zone = "north-b";
 
 /** One thing that must come out right, and whether it did. */
@@ -57,7 +57,7 @@
     const check = (isRight: boolean, text: string, details: readonly string[] = []) =>
         onCheck({ passed: isRight, text, details: isRight ? [] : details });
     const callers = await startCallers(world, { count: callerCount, prefix: "demo", disconnectShare: 0 });
-    await pause(watched);
+    await pause(observationTime);
 
     const drained = await drainServer(world, check);
     const evacuated = await emptyZone(world, check);
@@ -75,7 +75,7 @@
             `${requestId} of ${held.customer} got ${answer.status} at ${Math.round(at)} ms`
         ),
     );
-    check(refused <= attempts.length * mostRefused, `at most ${mostRefused * 100}% refused`);
+    check(refused <= attempts.length * maxRefusedFraction, `at most ${maxRefusedFraction * 100}% refused`);
     const { destinations, runs } = world;
     const breaches = findBreaches({
         attempts,
@@ -104,8 +104,8 @@
     const { id } = server.backend;
     world.writeRecord(server, "draining");
     const from = world.now() + inForceWithin;
-    await pause(milliseconds(inForceWithin + watched));
-    check(runsSince(world, from, run => run.server === id) === 0, `nothing more runs on ${id}, which drains`);
+    await pause(milliseconds(inForceWithin + observationTime));
+    check(countRunsSince(world, from, run => run.server === id) === 0, `nothing more runs on ${id}, which drains`);
     world.store.delete("servers", id);
     return new Map([[id, { from, to: Infinity }]]);
 }
@@ -113,18 +113,21 @@
 async function emptyZone(world: SoakEnvironment, check: Check): Promise<ReadonlyMap<string, readonly Interval[]>> {
     world.store.put("evacuations", zone, {});
     const from = world.now() + inForceWithin;
-    await pause(milliseconds(inForceWithin + watched));
+    await pause(milliseconds(inForceWithin + observationTime));
     const to = world.now();
-    check(runsSince(world, from, run => run.zone === zone) === 0, `nothing more runs in ${zone}, which is emptied`);
+    check(
+        countRunsSince(world, from, run => run.zone === zone) === 0,
+        `nothing more runs in ${zone}, which is emptied`,
+    );
     world.store.delete("evacuations", zone);
     await pause(milliseconds(inForceWithin));
-    check(runsSince(world, to, run => run.zone === zone) > 0, `${zone} serves again after it was taken back`);
+    check(countRunsSince(world, to, run => run.zone === zone) > 0, `${zone} serves again after it was taken back`);
     return new Map([[zone, [{ from, to }]]]);
 }
 
 async function stopBox(world: SoakEnvironment, check: Check): Promise<void> {
     const box = world.boxes[0];
-    world.servers.forEach(server => server.backend.setWork(longDownload));
+    world.servers.forEach(server => server.backend.setWork(longDownloadWork));
     const credential = world.customers.callerKeyOf(customerNames[0]).key;
     const download = sendRequest({
         address: box.callerAddress,
@@ -142,7 +145,7 @@
     check(isWhole && code === 0, `${box.name} ended with ${code} after its running download was whole`);
 }
 
-function runsSince(
+function countRunsSince(
     world: SoakEnvironment,
     from: number,
     isMeant: (run: SoakEnvironment["runs"][number]) => boolean,
--- a/packages/testing/src/emulator/deployments.ts
+++ b/packages/testing/src/emulator/deployments.ts
@@ -1,11 +1,11 @@
 /**
- * The deployments that the emulator plays, after the users' site sheets.
+ * Two small deployments that the emulator runs. Their figures follow descriptions of users' deployments.
  */
 
 import { milliseconds } from "@chalkdale/kernel";
 import type { EmulatedDeployment } from "./deployment.js";
 
-/** Pedala's sheet: 36 servers in six zones of three regions. */
+/** 36 servers in six zones of three regions; one region has about a tenth of them. */
 export const pedala: EmulatedDeployment = {
     name: "pedala",
     zones: {
@@ -22,15 +22,15 @@
             name: "profil-api",
             servers: { "ro-nord-a": 6, "ro-nord-b": 6, "eu-vest-a": 1, "eu-vest-b": 1, "eu-sud-a": 5, "eu-sud-b": 5 },
             slots: 9,
-            queueLength: 27,
-            rememberedKeys: 66,
+            queueCapacity: 27,
+            keyCacheSize: 66,
         },
         {
             name: "tura-depot",
             servers: { "ro-nord-a": 3, "ro-nord-b": 3, "eu-vest-a": 1, "eu-vest-b": 1, "eu-sud-a": 2, "eu-sud-b": 2 },
             slots: 3,
-            queueLength: 9,
-            rememberedKeys: 50,
+            queueCapacity: 9,
+            keyCacheSize: 50,
         },
     ],
     classes: [
@@ -91,7 +91,10 @@
     callerLatency: 8,
 };
 
-/** Kodeyard's sheet: fewer slots, shorter ways. */
+/**
+ * 36 servers in six zones of three regions, with fewer slots than `pedala`, and lower
+ * latencies between regions and to callers.
+ */
 export const kodeyard: EmulatedDeployment = {
     name: "kodeyard",
     zones: {
@@ -122,8 +125,8 @@
                 "ph-rumuola": 6,
             },
             slots: 3,
-            queueLength: 9,
-            rememberedKeys: 25,
+            queueCapacity: 9,
+            keyCacheSize: 25,
         },
         {
             name: "archive-svc",
@@ -136,8 +139,8 @@
                 "ph-rumuola": 3,
             },
             slots: 3,
-            queueLength: 9,
-            rememberedKeys: 50,
+            queueCapacity: 9,
+            keyCacheSize: 50,
         },
     ],
     classes: [
--- a/packages/testing/src/emulator/emulated-attempts.ts
+++ b/packages/testing/src/emulator/emulated-attempts.ts
@@ -1,9 +1,9 @@
 /**
- * The attempts of an emulated box: sends a request to one server after the other
- * until it is answered or given up, and learns from each answer.
+ * The attempts of an emulated box: sends a request to one server after another until it is answered, refused or
+ * timed out, and updates the box's estimates with each answer.
  *
- * Owns the requests in progress and the retry budgets; relies on the product's
- * decisions for everything that is decided.
+ * Owns the requests in progress and the retry budgets; relies on the decisions package for the choice of servers
+ * and for retries.
  */
 
 import {
@@ -33,38 +33,41 @@
 import type { EmulatedServer, ServerOutcome } from "./emulated-server.js";
 import type { EventQueue } from "./event-queue.js";
 
-/** How a request ended for its caller. */
+/** How a request ended at a box. */
 export type EmulatedRequestOutcome = "answered" | "refused" | "timedOut";
 
-/** A request as a caller sends it. */
+/** A request as a box receives it. */
 export interface EmulatedRequest {
     readonly route: Route;
     readonly service: ServiceId;
     readonly key: string;
-    /** Work at a server that does not know the key. */
+    /** Processing time in milliseconds at a server that has not cached the key. */
     readonly work: number;
+    /** Time left until the deadline. */
     readonly deadline: Milliseconds;
-    /** Bytes that the request and its answer move, if the deployment tells. */
+    /** Bytes of the request and its answer together; undefined if the deployment does not specify them. */
     readonly bytes: number | undefined;
-    /** The caller was refused before. */
+    /** The caller repeats a request that a box refused. */
     readonly isCallerRetry: boolean;
 }
 
 export interface EmulatedAttemptsOptions {
     readonly id: BoxId;
+    /** All boxes of the deployment, this one included. */
     readonly boxes: readonly BoxId[];
     readonly events: EventQueue;
     readonly server: (id: BackendServerId) => EmulatedServer;
+    /** Milliseconds from this box to the servers of a zone and back. */
     readonly roundTrip: (zone: AvailabilityZoneId) => number;
-    /** Called for each arrival at a server, with its number for the request. */
+    /** Called for each attempt with its number within the request, from 1. */
     readonly onArrival: (server: BackendServerId, count: number) => void;
-    /** Called with the bytes that each attempt moves between the box and the server's zone. */
+    /** Called for each attempt with the bytes transferred between the box and the server's zone. */
     readonly onTransferred: (zone: AvailabilityZoneId, bytes: number) => void;
-    /** Called with each decision, for sessions that are kept as golden files. */
+    /** Called with each decision as a line of text, which golden files record. */
     readonly onDecision: (line: string) => void;
 }
 
-/** What the attempts go by and teach. */
+/** The box's choice of servers, and the estimates behind it that the attempts update. */
 export interface EmulatedAttemptsContext {
     readonly choose: (request: ChoiceRequest) => Choice;
     readonly recentKeys: RecentKeys;
@@ -73,22 +76,24 @@
     readonly transferSizes: TransferSizes;
 }
 
-/** A request between its arrival and its end. */
+/** A request between its arrival at the box and its outcome. */
 interface RequestInProgress extends EmulatedRequest {
     readonly keyHash: number;
-    readonly endsAt: number;
+    /** Simulated time of the deadline. */
+    readonly deadlineAt: number;
+    /** Servers that the request was sent to. */
     readonly tried: Set<BackendServerId>;
-    readonly done: (ending: EmulatedRequestOutcome) => void;
+    readonly done: (outcome: EmulatedRequestOutcome) => void;
 }
 
-/** Retry bounds of the sites' sheets. */
-const retryBounds = { ratio: 0.2, window: milliseconds(10_000), allowance: 58 };
+/** Bounds of each service's retry budget, as the users' deployments configure them. */
+const retryBudgetBounds = { ratio: 0.2, window: milliseconds(10_000), allowance: 58 };
 
-/** Returns the function that serves a request. */
+/** Returns the function that serves a request and reports its outcome to `done`. */
 export function createEmulatedAttempts(
     options: EmulatedAttemptsOptions & EmulatedAttemptsContext,
-): (request: EmulatedRequest, done: (ending: EmulatedRequestOutcome) => void) => void {
-    const { events, transferSizes: movedBytes, recentKeys, workEstimate: work } = options;
+): (request: EmulatedRequest, done: (outcome: EmulatedRequestOutcome) => void) => void {
+    const { events, transferSizes, recentKeys, workEstimate } = options;
     const budgets = new Map<ServiceId, RetryBudget>();
 
     return function serve(request, done) {
@@ -96,7 +101,7 @@
         attempt({
             ...request,
             keyHash: hashKey(request.service, `${request.route.name} ${request.key}`),
-            endsAt: events.now() + request.deadline,
+            deadlineAt: events.now() + request.deadline,
             tried: new Set(),
             done,
         });
@@ -109,7 +114,7 @@
             return;
         }
         const { server } = choice;
-        noteDecision(request, `to ${server.id} rank ${choice.rank}`);
+        reportDecision(request, `to ${server.id} rank ${choice.rank}`);
         request.tried.add(server.id);
         send(request, choice, events.now());
     }
@@ -119,30 +124,30 @@
         const oneWay = options.roundTrip(server.state.record().zone) / 2;
         server.state.onChosen(sentAt);
         server.state.onSent();
-        work.onSent(request.service, request.route);
+        workEstimate.onSent(request.service, request.route);
         options.onArrival(server.id, request.tried.size);
-        options.onTransferred(server.state.record().zone, movedBytes.expected(request.route));
-        const onAnswer = (ending: ServerOutcome) =>
-            events.after(oneWay, () => onEnding(request, choice, ending, sentAt));
+        options.onTransferred(server.state.record().zone, transferSizes.expected(request.route));
+        const onAnswer = (outcome: ServerOutcome) =>
+            events.after(oneWay, () => onOutcome(request, choice, outcome, sentAt));
         events.after(oneWay, () => options.server(server.id).receive(request.key, request.work, onAnswer));
     }
 
-    function onEnding(
+    function onOutcome(
         request: RequestInProgress,
         choice: ChosenServer,
-        ending: ServerOutcome,
+        outcome: ServerOutcome,
         sentAt: Milliseconds,
     ): void {
         const { state } = choice.server;
         const now = events.now();
-        state.onEnded(now, ending.load);
-        options.serviceLoad.onReport(request.service, ending.load);
-        if (now > request.endsAt) {
+        state.onEnded(now, outcome.load);
+        options.serviceLoad.onReport(request.service, outcome.load);
+        if (now > request.deadlineAt) {
             request.done("timedOut");
             return;
         }
-        if (ending.kind === "answered") {
-            learn(request, choice, sentAt);
+        if (outcome.kind === "answered") {
+            updateEstimates(request, choice, sentAt);
             request.done("answered");
             return;
         }
@@ -157,7 +162,7 @@
             maxAttempts: request.route.maxAttempts,
             sent: request.tried.size,
             notSent: 0,
-            timeLeft: milliseconds(request.endsAt - now),
+            timeLeft: milliseconds(request.deadlineAt - now),
             consumeRetry: () => budgetOf(request.service).tryConsume(now, combinedPriority(request.route, undefined)),
         });
         if (decision.kind === "giveUp") {
@@ -167,29 +172,29 @@
         attempt(request);
     }
 
-    function learn(request: RequestInProgress, choice: ChosenServer, sentAt: Milliseconds): void {
+    function updateEstimates(request: RequestInProgress, choice: ChosenServer, sentAt: Milliseconds): void {
         const { server } = choice;
         const now = events.now();
         const duration = milliseconds(now - sentAt - options.roundTrip(server.state.record().zone));
         server.state.onHealthy();
-        server.state.onAnswerTime(now, work.onMeasured(request.route, choice.warm, duration));
+        server.state.onAnswerTime(now, workEstimate.onMeasured(request.route, choice.warm, duration));
         recentKeys.add(server.id, request.keyHash, now);
         if (request.bytes !== undefined) {
-            movedBytes.onTransferred(request.route, request.bytes);
+            transferSizes.onTransferred(request.route, request.bytes);
         }
     }
 
     function choiceRequest(request: RequestInProgress): ChoiceRequest {
-        const { endsAt, isCallerRetry: isReturning, keyHash, route, service, tried } = request;
+        const { deadlineAt, isCallerRetry, keyHash, route, service, tried } = request;
         const at = events.now();
-        const timeLeft = milliseconds(endsAt - at);
+        const timeLeft = milliseconds(deadlineAt - at);
         return {
             route,
             service,
             keyHash,
             allowedRegions: undefined,
             tried,
-            isCallerRetry: isReturning,
+            isCallerRetry,
             isTrial: false,
             timeLeft,
             at,
@@ -197,18 +202,18 @@
     }
 
     function refuse(request: RequestInProgress, reason: string): void {
-        noteDecision(request, `refused ${reason}`);
+        reportDecision(request, `refused ${reason}`);
         request.done("refused");
     }
 
-    function noteDecision({ key, route }: RequestInProgress, decision: string): void {
+    function reportDecision({ key, route }: RequestInProgress, decision: string): void {
         options.onDecision(`${options.id} ${route.name} ${key} ${decision}`);
     }
 
     function budgetOf(service: ServiceId): RetryBudget {
         let budget = budgets.get(service);
         if (budget === undefined) {
-            budget = createRetryBudget({ ...retryBounds, boxCount: () => options.boxes.length });
+            budget = createRetryBudget({ ...retryBudgetBounds, boxCount: () => options.boxes.length });
             budgets.set(service, budget);
         }
         return budget;
--- a/packages/testing/src/emulator/emulated-box.ts
+++ b/packages/testing/src/emulator/emulated-box.ts
@@ -1,8 +1,7 @@
 /**
- * A box in the emulator: the product's own decisions with the emulator's
- * servers and links instead of sockets.
+ * An emulated box: the decisions package with emulated servers and links instead of sockets.
  *
- * Owns what the box believes of servers, keys and work; its attempts use it.
+ * Owns the box's catalog of servers and its estimates of keys, load, work and transfer sizes.
  */
 
 import {
@@ -27,14 +26,17 @@
 } from "./emulated-attempts.js";
 import { createPolicy, type PolicyName } from "./policies.js";
 
-/** A box. */
+/** An emulated box. */
 export interface EmulatedBox {
     readonly id: BoxId;
     readonly region: RegionId;
     readonly zone: AvailabilityZoneId;
+    /** Replaces the list of servers. */
     readonly applyServers: (records: readonly BackendServerRecord[]) => void;
+    /** Sets the closed availability zones; they replace those set before. */
     readonly closeZones: (zones: ReadonlySet<AvailabilityZoneId>) => void;
-    readonly serve: (request: EmulatedRequest, done: (ending: EmulatedRequestOutcome) => void) => void;
+    /** Serves a caller's request and reports its outcome to `done`. */
+    readonly serve: (request: EmulatedRequest, done: (outcome: EmulatedRequestOutcome) => void) => void;
 }
 
 export interface EmulatedBoxOptions extends EmulatedAttemptsOptions {
@@ -42,30 +44,30 @@
     readonly zone: AvailabilityZoneId;
     readonly policy: PolicyName;
     readonly random: RandomSource;
-    /** Requests a second that a cold server can serve. */
+    /** Requests a second that a cold server can serve, from all boxes together. */
     readonly coldRate: number;
 }
 
-/** Creates a box that knows no servers yet. */
+/** Creates a box without servers. */
 export function createEmulatedBox(options: EmulatedBoxOptions): EmulatedBox {
     const { events, id, region, zone } = options;
     const catalog = createCatalog(options);
     const recentKeys = createRecentKeys();
     const serviceLoad = createServiceLoad();
-    const work = createWorkEstimate();
-    const movedBytes = createTransferSizes();
-    let closed: ReadonlySet<AvailabilityZoneId> = new Set();
+    const workEstimate = createWorkEstimate();
+    const transferSizes = createTransferSizes();
+    let closedZones: ReadonlySet<AvailabilityZoneId> = new Set();
     const choose = createPolicy(options.policy, {
         region,
         zone,
         catalog,
         recentKeys,
-        workEstimate: work,
-        transferSizes: movedBytes,
+        workEstimate,
+        transferSizes,
         roundTrip: (_region, to) => milliseconds(options.roundTrip(to)),
         loadPerSlot: serviceLoad.perSlot,
         severity: (server, at) => server.state.severity(at),
-        admitsZone: candidate => !closed.has(candidate),
+        admitsZone: candidate => !closedZones.has(candidate),
         admitsVersion: () => true,
         admissionVersion: () => 0,
     }, options.random);
@@ -78,22 +80,22 @@
             catalog.applyList(records, events.now());
         },
         closeZones: zones => {
-            closed = zones;
+            closedZones = zones;
         },
         serve: createEmulatedAttempts({
             ...options,
             choose,
             recentKeys,
             serviceLoad,
-            workEstimate: work,
-            transferSizes: movedBytes,
+            workEstimate,
+            transferSizes,
         }),
     };
 }
 
 function createCatalog(options: EmulatedBoxOptions): ServerCatalog {
     return createServerCatalog((record, at) => {
-        const sharing = {
+        const sharingOptions = {
             self: options.id,
             server: record.id,
             boxes: () => options.boxes,
@@ -101,8 +103,8 @@
         };
         return createServerState(record, at, {
             recordPropagationDelay,
-            slowStart: createSlowStart({ ...sharing, rate: () => options.coldRate }),
-            createLimitShare: known => createLimitShare(sharing, known),
+            slowStart: createSlowStart({ ...sharingOptions, rate: () => options.coldRate }),
+            createLimitShare: limit => createLimitShare(sharingOptions, limit),
         });
     });
 }
--- a/packages/testing/src/emulator/emulated-server.ts
+++ b/packages/testing/src/emulator/emulated-server.ts
@@ -1,57 +1,62 @@
 /**
- * A backend server in the emulator: slots, a queue, warm keys, speed.
+ * An emulated backend server: runs requests in a fixed number of slots, queues those that find none free, and needs
+ * less time for keys that it has cached.
+ *
+ * Owns its slots, queue and cache; relies on the event queue for time.
  */
 
 import type { BackendServerRecord, LoadReport } from "@chalkdale/decisions";
 import type { BackendServerId } from "@chalkdale/kernel";
 import type { EventQueue } from "./event-queue.js";
 
-/** How a request at a server ended. */
+/** How a request at a server ended. `notRun` means that no slot and no place in the queue was free. */
 export type ServerOutcome =
     | { readonly kind: "answered"; readonly load: LoadReport; readonly warm: boolean; }
     | { readonly kind: "notRun"; readonly load: LoadReport; };
 
-/** A server. */
+/** An emulated backend server. */
 export interface EmulatedServer {
     readonly id: BackendServerId;
     readonly record: () => BackendServerRecord;
     readonly setRecord: (record: BackendServerRecord) => void;
-    /** Works times as long as others. */
+    /** Sets the factor on the processing time of requests that start from now on; 1 is normal speed. */
     readonly setSlowness: (factor: number) => void;
-    /** Takes a request; `done` is told when it ends. `work` is the time with a key that is not known. */
-    readonly receive: (key: string, work: number, done: (ending: ServerOutcome) => void) => void;
+    /** Runs, queues or rejects a request, and reports its outcome to `done`. `work` is the milliseconds that a cold key takes. */
+    readonly receive: (key: string, work: number, done: (outcome: ServerOutcome) => void) => void;
+    /** Number of requests received. */
     readonly arrivals: () => number;
-    /** Requests that found every slot and every place in the queue taken. */
+    /** Number of requests rejected because no slot and no place in the queue was free. */
     readonly turnedAway: () => number;
+    /** Number of runs whose key was cached. */
     readonly warmRuns: () => number;
 }
 
 export interface EmulatedServerOptions {
     readonly record: BackendServerRecord;
-    readonly queueLength: number;
-    readonly rememberedKeys: number;
-    /** Part of the work that a known key saves. */
+    readonly queueCapacity: number;
+    readonly keyCacheSize: number;
+    /** Fraction of the work that a cached key saves. */
     readonly warmSaving: number;
     readonly events: EventQueue;
 }
 
-/** Creates an idle server that knows no key. */
+/** Creates an idle server with an empty cache. */
 export function createEmulatedServer(options: EmulatedServerOptions): EmulatedServer {
     const { events } = options;
-    const keys = new Set<string>();
+    const cachedKeys = new Set<string>();
     const waiting: (() => void)[] = [];
     let { record } = options;
     let slowness = 1;
     let running = 0;
     let arrivals = 0;
-    let turnedAway = 0;
+    let rejections = 0;
     let warmRuns = 0;
 
     return {
         id: record.id,
         record: () => record,
-        setRecord: next => {
-            record = next;
+        setRecord: newRecord => {
+            record = newRecord;
         },
         setSlowness: factor => {
             slowness = factor;
@@ -61,22 +66,22 @@
             if (running < record.slots) {
                 run(key, work, done);
             }
-            else if (waiting.length < options.queueLength) {
+            else if (waiting.length < options.queueCapacity) {
                 waiting.push(() => run(key, work, done));
             }
             else {
-                turnedAway += 1;
+                rejections += 1;
                 done({ kind: "notRun", load: loadReport() });
             }
         },
         arrivals: () => arrivals,
-        turnedAway: () => turnedAway,
+        turnedAway: () => rejections,
         warmRuns: () => warmRuns,
     };
 
-    function run(key: string, work: number, done: (ending: ServerOutcome) => void): void {
+    function run(key: string, work: number, done: (outcome: ServerOutcome) => void): void {
         running += 1;
-        const warm = remember(key);
+        const warm = addToCache(key);
         warmRuns += warm ? 1 : 0;
         events.after(work * slowness * (warm ? 1 - options.warmSaving : 1), () => {
             running -= 1;
@@ -85,14 +90,15 @@
         });
     }
 
-    function remember(key: string): boolean {
-        const known = keys.delete(key);
-        keys.add(key);
-        if (keys.size > options.rememberedKeys) {
-            const [oldest] = keys;
-            keys.delete(oldest);
+    /** Makes a key the most recently used one; returns whether it was cached already. */
+    function addToCache(key: string): boolean {
+        const wasCached = cachedKeys.delete(key);
+        cachedKeys.add(key);
+        if (cachedKeys.size > options.keyCacheSize) {
+            const [leastRecent] = cachedKeys;
+            cachedKeys.delete(leastRecent);
         }
-        return known;
+        return wasCached;
     }
 
     function loadReport(): LoadReport {
--- a/packages/testing/src/emulator/emulation.ts
+++ b/packages/testing/src/emulator/emulation.ts
@@ -1,5 +1,8 @@
 /**
- * A day in the emulator: callers in waves, and troubles.
+ * Emulates a deployment over some simulated time: callers whose load rises and falls, boxes with a policy that
+ * chooses servers, and faults.
+ *
+ * Owns the callers, the schedule of the faults and all random draws; relies on `fleet` for boxes and servers.
  */
 
 import type { Route } from "@chalkdale/decisions";
@@ -20,51 +23,56 @@
 import type { PolicyName } from "./policies.js";
 import { createTally, type TallySummary } from "./tally.js";
 
-/** What goes wrong. */
+/**
+ * A fault, or a burst of load. `at` is the simulated time at which it begins, `duration` its length, both in
+ * milliseconds. `share` is the probability that it hits a server. `factor` multiplies processing times or request rates.
+ */
 export type EmulatedFault =
     | {
         readonly kind: "slowServers";
         readonly at: number;
-        readonly lasts: number;
+        readonly duration: number;
         readonly share: number;
         readonly factor: number;
     }
-    | { readonly kind: "closedZone"; readonly at: number; readonly lasts: number; readonly zone: string; }
+    | { readonly kind: "closedZone"; readonly at: number; readonly duration: number; readonly zone: string; }
     | { readonly kind: "lostServers"; readonly at: number; readonly share: number; }
-    | { readonly kind: "burst"; readonly at: number; readonly lasts: number; readonly factor: number; };
+    | { readonly kind: "burst"; readonly at: number; readonly duration: number; readonly factor: number; };
 
 export interface EmulationOptions {
     readonly deployment: EmulatedDeployment;
     readonly policy: PolicyName;
     readonly seed: number;
     readonly duration: Milliseconds;
-    /** Whether callers are named the boxes of their zone or of their region. */
+    /** Whether a lookup returns the boxes of the caller's zone or of its region; the region if undefined. */
     readonly lookupScope?: "zone" | "region";
-    /** 1 for the deployment's own rates. */
+    /** Factor on the deployment's request rates. */
     readonly load: number;
     readonly faults?: readonly EmulatedFault[];
+    /** Called with each decision of a box, preceded by the simulated time. */
     readonly onDecision?: (line: string) => void;
 }
 
-/** What came of a day. */
+/** Counts of an emulation. */
 export interface EmulationResult extends TallySummary {
+    /** Fraction of the attempts that ran at a server which had cached the key. */
     readonly warmShare: number;
-    /** Part of the requests at servers that found every slot and every place in the queue taken. */
-    readonly turnedAwayShare: number;
-    /** Arrivals beyond the first of each request. */
+    /** Fraction of the attempts that a server rejected because no slot and no place in its queue was free. */
+    readonly rejectedShare: number;
+    /** Attempts beyond the first of each request. */
     readonly retries: number;
 }
 
-/** Plays a day. The same options give the same result. */
+/** Runs an emulation. The same options give the same result. */
 export function runEmulation(options: EmulationOptions): EmulationResult {
     const { deployment } = options;
     const events = createEventQueue();
     const random = createSeededRandom(options.seed);
-    // What a policy draws, and how often its callers come back, must not change who asks or which servers are struck: days of one seed
-    // would differ by more than their policies.
-    const policyRandom = createSeededRandom(options.seed * seedSpread);
-    const returnRandom = createSeededRandom(options.seed * seedSpread + 1);
-    const troubleRandom = createSeededRandom(options.seed * seedSpread + 2);
+    // Separate sources: the draws of a policy and the retries of its callers must not change which requests are sent or which
+    // servers a fault hits. Otherwise emulations of one seed would differ by more than their policies.
+    const policyRandom = createSeededRandom(options.seed * seedStride);
+    const callerRetryRandom = createSeededRandom(options.seed * seedStride + 1);
+    const faultRandom = createSeededRandom(options.seed * seedStride + 2);
     const tally = createTally();
     let retries = 0;
     let burst = 1;
@@ -73,14 +81,14 @@
         policy: options.policy,
         random: policyRandom,
         events,
-        onTransferred: onMoved,
+        onTransferred: countTransfer,
         onArrival: count => {
             retries += count > 1 ? 1 : 0;
         },
         onDecision: line => options.onDecision?.(`${events.now().toFixed(1)} ${line}`),
     });
 
-    options.faults?.forEach(scheduleTrouble);
+    options.faults?.forEach(scheduleFault);
     for (const zone of Object.keys(deployment.zones)) {
         for (const requestClass of deployment.classes) {
             scheduleNext(zone, requestClass);
@@ -90,28 +98,28 @@
     return { ...tally.summarize(), ...summarizeServers(fleet.servers), retries };
 
     function scheduleNext(zone: string, requestClass: RequestClass): void {
-        const rate = requestClass.requestsPerSecond * options.load * burst * waveOf(zone);
+        const rate = requestClass.requestsPerSecond * options.load * burst * loadFactorOf(zone);
         events.after(-Math.log(1 - random()) / rate * 1000, () => {
             send(zone, requestClass);
             scheduleNext(zone, requestClass);
         });
     }
 
-    /** Load of a zone as a part of its mean: regions swing one after the other. */
-    function waveOf(zone: string): number {
+    /** Load of a zone relative to its mean. The sine waves of the regions are out of phase with each other. */
+    function loadFactorOf(zone: string): number {
         const regions = [...new Set(Object.values(deployment.zones))];
         const phase = regions.indexOf(deployment.zones[zone]) / regions.length;
         return 1 + deployment.loadAmplitude * Math.sin(2 * Math.PI * (events.now() / deployment.loadPeriod + phase));
     }
 
-    function onMoved(from: string, to: string, bytes: number): void {
+    function countTransfer(from: string, to: string, bytes: number): void {
         if (from !== to) {
             tally.onTransferred(deployment.zones[from] === deployment.zones[to] ? "zone" : "region", bytes);
         }
     }
 
     function send(zone: string, requestClass: RequestClass): void {
-        const near = fleet.boxes.filter(box =>
+        const reachableBoxes = fleet.boxes.filter(box =>
             options.lookupScope === "zone" ? box.zone === zone : box.region === deployment.zones[zone]
         );
         const startedAt = events.now();
@@ -121,87 +129,85 @@
             service: serviceId(requestClass.service),
             key: `${zone}/${Math.floor(random() * requestClass.keys)}`,
             bytes: requestClass.bytes,
-            work: requestClass.work * (1 + workSpread * (random() + random() - 1)),
+            work: requestClass.work * (1 + workVariation * (random() + random() - 1)),
         };
-        ask(false);
+        sendToBox(false);
 
-        /** Asks one box of the caller's region; a caller that is refused comes back once, as the refusal says. */
-        function ask(isReturning: boolean): void {
-            const drawn = isReturning ? returnRandom() : random();
-            const box = near[Math.floor(drawn * near.length)];
-            onMoved(zone, box.zone, requestClass.bytes ?? 0);
+        /** Sends the request to a random box that the lookup returned. A refused caller retries once, after a delay. */
+        function sendToBox(isCallerRetry: boolean): void {
+            const drawn = isCallerRetry ? callerRetryRandom() : random();
+            const box = reachableBoxes[Math.floor(drawn * reachableBoxes.length)];
+            countTransfer(zone, box.zone, requestClass.bytes ?? 0);
             const deadline = milliseconds(requestClass.deadline - (events.now() - startedAt));
-            const onEnding = (ending: EmulatedRequestOutcome) => {
-                if (ending === "answered") {
+            const onOutcome = (outcome: EmulatedRequestOutcome) => {
+                if (outcome === "answered") {
                     tally.onAnswered(zone, requestClass, milliseconds(events.now() - startedAt));
                     return;
                 }
-                const pause = Math.min(comeBackAfter, deadline * longestPausePart);
-                if (ending === "refused" && !isReturning) {
-                    events.after(pause, () => ask(true));
+                const delay = Math.min(callerRetryDelay, deadline * maxRetryDelayFraction);
+                if (outcome === "refused" && !isCallerRetry) {
+                    events.after(delay, () => sendToBox(true));
                     return;
                 }
                 tally.onRefused(zone);
             };
             events.after(deployment.callerLatency, () =>
                 box.serve(
-                    { ...request, deadline, isCallerRetry: isReturning },
-                    ending => events.after(deployment.callerLatency, () => onEnding(ending)),
+                    { ...request, deadline, isCallerRetry },
+                    outcome => events.after(deployment.callerLatency, () => onOutcome(outcome)),
                 ));
         }
     }
 
-    function scheduleTrouble(trouble: EmulatedFault): void {
-        events.after(trouble.at, () => begin(trouble));
-        if ("lasts" in trouble) {
-            events.after(trouble.at + trouble.lasts, () => end(trouble));
+    function scheduleFault(fault: EmulatedFault): void {
+        events.after(fault.at, () => beginFault(fault));
+        if ("duration" in fault) {
+            events.after(fault.at + fault.duration, () => endFault(fault));
         }
     }
 
-    function begin(trouble: EmulatedFault): void {
-        switch (trouble.kind) {
+    function beginFault(fault: EmulatedFault): void {
+        switch (fault.kind) {
             case "slowServers":
-                pickPart(fleet.servers, trouble.share, troubleRandom).forEach(server =>
-                    server.setSlowness(trouble.factor)
-                );
+                drawSample(fleet.servers, fault.share, faultRandom).forEach(server => server.setSlowness(fault.factor));
                 return;
             case "closedZone":
-                fleet.closeZones(new Set([availabilityZoneId(trouble.zone)]));
+                fleet.closeZones(new Set([availabilityZoneId(fault.zone)]));
                 return;
             case "lostServers":
-                fleet.unlist(pickPart(fleet.servers, trouble.share, troubleRandom));
+                fleet.removeServers(drawSample(fleet.servers, fault.share, faultRandom));
                 return;
             case "burst":
-                burst = trouble.factor;
+                burst = fault.factor;
                 return;
         }
     }
 
-    function end(trouble: EmulatedFault): void {
+    function endFault(fault: EmulatedFault): void {
         fleet.servers.forEach(server => server.setSlowness(1));
         fleet.closeZones(new Set());
-        burst = trouble.kind === "burst" ? 1 : burst;
+        burst = fault.kind === "burst" ? 1 : burst;
     }
 }
 
-function summarizeServers(servers: readonly EmulatedServer[]): Pick<EmulationResult, "warmShare" | "turnedAwayShare"> {
+function summarizeServers(servers: readonly EmulatedServer[]): Pick<EmulationResult, "warmShare" | "rejectedShare"> {
     const sum = (count: (server: EmulatedServer) => number) =>
         servers.reduce((total, server) => total + count(server), 0);
     const arrivals = Math.max(1, sum(server => server.arrivals()));
     return {
         warmShare: sum(server => server.warmRuns()) / arrivals,
-        turnedAwayShare: sum(server => server.turnedAway()) / arrivals,
+        rejectedShare: sum(server => server.turnedAway()) / arrivals,
     };
 }
 
-/** Draws of seeds that follow on each other would begin alike. */
-const seedSpread = 6151;
-/** Milliseconds after which refused callers come back: the box's answer to overload. */
-const comeBackAfter = 700;
-/** Part of the time left that a caller waits at most before it comes back, as on the sites. */
-const longestPausePart = 1 / 3;
-/** Part by which the work of one request may differ from its kind's. */
-const workSpread = 0.3;
+/** Factor between a seed and the seeds derived from it: random sources with consecutive seeds begin with similar draws. */
+const seedStride = 6151;
+/** Milliseconds after which a refused caller retries: the Retry-After of a box's answer to overload. */
+const callerRetryDelay = 700;
+/** Fraction of the time left that a caller waits at most before its retry, as callers of the users' deployments do. */
+const maxRetryDelayFraction = 1 / 3;
+/** Fraction by which the work of one request may differ from the mean of its class. */
+const workVariation = 0.3;
 
 const routes = new Map<RequestClass, Route>();
 
@@ -228,6 +234,6 @@
     return route;
 }
 
-function pickPart<Item>(items: readonly Item[], share: number, random: RandomSource): Item[] {
+function drawSample<Item>(items: readonly Item[], share: number, random: RandomSource): Item[] {
     return items.filter(() => random() < share);
 }
--- a/packages/testing/src/emulator/event-queue.ts
+++ b/packages/testing/src/emulator/event-queue.ts
@@ -1,18 +1,22 @@
 /**
- * Events in the order of their times, on a clock that jumps from one to the next.
+ * Discrete-event scheduler: runs actions in the order of their times, on a clock that jumps from one to the next.
+ *
+ * Owns the simulated time.
  */
 
 import { type Clock, type Milliseconds, milliseconds } from "@chalkdale/kernel";
 
-/** A queue of things to do. */
+/** Actions that are due at simulated times. */
 export interface EventQueue {
+    /** The simulated time; 0 at the start. */
     readonly now: Clock;
-    /** Does something later; things due at the same time keep their order. */
+    /** Schedules an action after a delay in milliseconds; actions due at the same time run in the order of their scheduling. */
     readonly after: (delay: number, action: () => void) => void;
-    /** Runs until the queue is empty or the time is reached. */
+    /** Runs all actions that are due up to a time, and sets the clock to it. */
     readonly runUntil: (end: Milliseconds) => void;
 }
 
+/** A scheduled action. `order` breaks ties between actions that are due at the same time. */
 interface Entry {
     readonly at: number;
     readonly order: number;
@@ -68,18 +72,18 @@
         for (;;) {
             const left = 2 * index + 1;
             const right = left + 1;
-            let least = index;
-            if (left < heap.length && isBefore(heap[left], heap[least])) {
-                least = left;
+            let earliest = index;
+            if (left < heap.length && isBefore(heap[left], heap[earliest])) {
+                earliest = left;
             }
-            if (right < heap.length && isBefore(heap[right], heap[least])) {
-                least = right;
+            if (right < heap.length && isBefore(heap[right], heap[earliest])) {
+                earliest = right;
             }
-            if (least === index) {
+            if (earliest === index) {
                 return;
             }
-            swap(index, least);
-            index = least;
+            swap(index, earliest);
+            index = earliest;
         }
     }
 
--- a/packages/testing/src/emulator/fleet.ts
+++ b/packages/testing/src/emulator/fleet.ts
@@ -1,7 +1,7 @@
 /**
  * The servers and boxes of an emulated deployment.
  *
- * Owns which servers are listed; each box learns it at once.
+ * Owns the list of servers; each change reaches all boxes at once.
  */
 
 import type { BackendServerRecord } from "@chalkdale/decisions";
@@ -21,12 +21,13 @@
 import type { EventQueue } from "./event-queue.js";
 import type { PolicyName } from "./policies.js";
 
-/** Servers and boxes of one day. */
+/** Servers and boxes of one emulation. */
 export interface Fleet {
     readonly servers: readonly EmulatedServer[];
     readonly boxes: readonly EmulatedBox[];
-    /** Takes servers off the list for good. */
-    readonly unlist: (servers: readonly EmulatedServer[]) => void;
+    /** Removes servers from the list permanently; they still run what they receive. */
+    readonly removeServers: (servers: readonly EmulatedServer[]) => void;
+    /** Sets the closed availability zones on all boxes. */
     readonly closeZones: (closed: ReadonlySet<AvailabilityZoneId>) => void;
 }
 
@@ -35,53 +36,56 @@
     readonly policy: PolicyName;
     readonly random: RandomSource;
     readonly events: EventQueue;
-    /** Called with the bytes that move between two zones. */
+    /** Called for each attempt with the zones of the box and of the server, and the bytes transferred between them. */
     readonly onTransferred: (from: string, to: string, bytes: number) => void;
-    /** Called for each arrival at a server, with its number for the request. */
+    /** Called for each attempt with its number within the request, from 1. */
     readonly onArrival: (count: number) => void;
+    /** Called with each decision of a box as a line of text. */
     readonly onDecision: (line: string) => void;
 }
 
-/** One way within an availability zone, in milliseconds. */
-const sameZone = 0.2;
-/** Requests a second that a cold server can serve, as the users' sheets have it. */
+/** One-way latency within an availability zone, in milliseconds. */
+const sameZoneLatency = 0.2;
+/** Requests a second that a cold server can serve, as the users' deployments configure it. */
 const coldRate = 14;
 
-/** Creates the fleet; all servers are listed. */
+/** Creates the fleet with all servers listed. */
 export function createFleet(options: FleetOptions): Fleet {
     const { deployment } = options;
     const servers = new Map(
-        deployment.services.flatMap(serversOf).map(server => [server.id, server]),
+        deployment.services.flatMap(createServers).map(server => [server.id, server]),
     );
     const boxes = createBoxes();
-    const unlisted = new Set<EmulatedServer>();
+    const removedServers = new Set<EmulatedServer>();
 
-    publish();
+    publishServers();
     return {
         servers: [...servers.values()],
         boxes,
-        unlist(gone) {
-            gone.forEach(server => unlisted.add(server));
-            publish();
+        removeServers(removed) {
+            removed.forEach(server => removedServers.add(server));
+            publishServers();
         },
         closeZones: closed => boxes.forEach(box => box.closeZones(closed)),
     };
 
-    function publish(): void {
-        const records = [...servers.values()].filter(server => !unlisted.has(server)).map(server => server.record());
+    function publishServers(): void {
+        const records = [...servers.values()].filter(server => !removedServers.has(server)).map(server =>
+            server.record()
+        );
         boxes.forEach(box => box.applyServers(records));
     }
 
-    function serversOf(service: EmulatedService): EmulatedServer[] {
-        const { queueLength, rememberedKeys } = service;
-        const places = Object.entries(service.servers).flatMap(([zone, count]) =>
+    function createServers(service: EmulatedService): EmulatedServer[] {
+        const { queueCapacity, keyCacheSize } = service;
+        const positions = Object.entries(service.servers).flatMap(([zone, count]) =>
             Array.from({ length: count }, (_, index) => ({ zone, index }))
         );
-        return places.map(({ index, zone }) =>
+        return positions.map(({ index, zone }) =>
             createEmulatedServer({
                 record: recordOf(service, zone, index),
-                queueLength,
-                rememberedKeys,
+                queueCapacity,
+                keyCacheSize,
                 warmSaving: deployment.warmSaving,
                 events: options.events,
             })
@@ -103,11 +107,11 @@
     }
 
     function createBoxes(): EmulatedBox[] {
-        const places = Object.entries(deployment.boxesPerZone).flatMap(([zone, count]) =>
+        const identities = Object.entries(deployment.boxesPerZone).flatMap(([zone, count]) =>
             Array.from({ length: count }, (_, index) => ({ zone, id: boxId(`box-${zone}-${index}`) }))
         );
-        const ids = places.map(place => place.id);
-        return places.map(({ id, zone }) =>
+        const ids = identities.map(identity => identity.id);
+        return identities.map(({ id, zone }) =>
             createEmulatedBox({
                 id,
                 zone: availabilityZoneId(zone),
@@ -116,19 +120,19 @@
                 policy: options.policy,
                 random: options.random,
                 events: options.events,
-                server: found => servers.get(found)!,
-                roundTrip: other => 2 * oneWay(zone, other),
+                server: serverId => servers.get(serverId)!,
+                roundTrip: serverZone => 2 * oneWayLatency(zone, serverZone),
                 coldRate,
-                onTransferred: (other, bytes) => options.onTransferred(zone, other, bytes),
+                onTransferred: (serverZone, bytes) => options.onTransferred(zone, serverZone, bytes),
                 onArrival: (_server, count) => options.onArrival(count),
                 onDecision: options.onDecision,
             })
         );
     }
 
-    function oneWay(from: string, to: string): number {
+    function oneWayLatency(from: string, to: string): number {
         if (from === to) {
-            return sameZone;
+            return sameZoneLatency;
         }
         return deployment.zones[from] === deployment.zones[to]
             ? deployment.crossZoneLatency
--- a/packages/testing/src/emulator/main.ts
+++ b/packages/testing/src/emulator/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run experiment`: plays many days in the emulator and compares policies.
- * Prints a table.
+ * `npm run experiment`: emulates a deployment with several seeds, compares the policies that choose a server, and
+ * prints a table with a row for each policy and load.
  */
 
 import { milliseconds } from "@chalkdale/kernel";
@@ -15,17 +15,17 @@
 
 const cli = meow(
     `
-  Compares ways to choose a server over many emulated days.
+  Compares policies that choose a server, over several emulations each.
 
   Usage
     $ npm run experiment -- [--site pedala|kodeyard|tsereteli|pedala-now|odyn] [--named zone|region] [--seeds 10] [--loads 0.6,1,1.3] [--trouble none|slow|closed|lost|burst]
 
   Options
     --site     the deployment (pedala)
-    --seeds    days for each policy and load (10)
-    --loads    loads as parts of the sheet's rates (0.6,1,1.3)
-    --named    callers are named the boxes of their zone or their region (region)
-    --trouble  what goes wrong from the tenth second on (none)
+    --seeds    emulations for each policy and load (10)
+    --loads    factors on the deployment's request rates (0.6,1,1.3)
+    --named    whether lookups return the boxes of the caller's zone or region (region)
+    --trouble  fault that begins after 10 s (none)
 `,
     {
         importMeta: import.meta,
@@ -47,21 +47,21 @@
     odyn,
 };
 
-function troublesOf(name: string, deployment: EmulatedDeployment): EmulatedFault[] {
+function faultsOf(name: string, deployment: EmulatedDeployment): EmulatedFault[] {
     const [zone] = Object.keys(deployment.zones);
     switch (name) {
         case "none":
             return [];
         case "slow":
-            return [{ kind: "slowServers", at: 10_000, lasts: 8000, share: 0.16, factor: 5 }];
+            return [{ kind: "slowServers", at: 10_000, duration: 8000, share: 0.16, factor: 5 }];
         case "closed":
-            return [{ kind: "closedZone", at: 10_000, lasts: 8000, zone }];
+            return [{ kind: "closedZone", at: 10_000, duration: 8000, zone }];
         case "lost":
             return [{ kind: "lostServers", at: 10_000, share: 0.14 }];
         case "burst":
-            return [{ kind: "burst", at: 10_000, lasts: 5000, factor: 1.7 }];
+            return [{ kind: "burst", at: 10_000, duration: 5000, factor: 1.7 }];
         default:
-            throw new Error(`unknown trouble ${name}; see --help`);
+            throw new Error(`unknown value ${name} of --trouble; see --help`);
     }
 }
 
@@ -72,50 +72,52 @@
 function main(): void {
     const deployment = sites[cli.flags.site];
     if (deployment === undefined) {
-        process.stderr.write(`unknown site ${cli.flags.site}; one of ${Object.keys(sites).join(", ")}\n`);
+        process.stderr.write(
+            `unknown value ${cli.flags.site} of --site; use one of ${Object.keys(sites).join(", ")}\n`,
+        );
         process.exitCode = 2;
         return;
     }
-    const named = cli.flags.named === "zone" ? "zone" : "region";
+    const lookupScope = cli.flags.named === "zone" ? "zone" : "region";
     const loads = cli.flags.loads.split(",").map(Number);
-    const troubles = troublesOf(cli.flags.trouble, deployment);
+    const faults = faultsOf(cli.flags.trouble, deployment);
     process.stdout.write("policy          load  worth  worst zone   warm  refused  retries  zones MB  regions MB\n");
     for (const policy of policyNames) {
         for (const load of loads) {
-            const days = Array.from(
+            const results = Array.from(
                 { length: cli.flags.seeds },
                 (_, seed) =>
                     runEmulation({
                         deployment,
                         policy,
                         seed: seed + 1,
-                        duration: dayLength,
+                        duration: dayDuration,
                         load,
-                        faults: troubles,
-                        lookupScope: named,
+                        faults,
+                        lookupScope,
                     }),
             );
-            const worth = mean(days.map(day => day.worth));
-            printRow(policy, load, worth, days);
+            const worth = mean(results.map(result => result.worth));
+            printRow(policy, load, worth, results);
         }
     }
 }
 
-function printRow(policy: PolicyName, load: number, worth: number, days: readonly EmulationResult[]): void {
+function printRow(policy: PolicyName, load: number, worth: number, results: readonly EmulationResult[]): void {
     const columns = [
         policy.padEnd(14),
         load.toFixed(2).padStart(5),
         worth.toFixed(3).padStart(6),
-        mean(days.map(day => day.worstZoneWorth)).toFixed(3).padStart(11),
-        mean(days.map(day => day.warmShare)).toFixed(3).padStart(6),
-        mean(days.map(day => day.refused / day.requestCount)).toFixed(3).padStart(8),
-        mean(days.map(day => day.retries)).toFixed(0).padStart(8),
-        mean(days.map(day => day.crossZoneMegabytes)).toFixed(0).padStart(9),
-        mean(days.map(day => day.crossRegionMegabytes)).toFixed(0).padStart(11),
+        mean(results.map(result => result.worstZoneWorth)).toFixed(3).padStart(11),
+        mean(results.map(result => result.warmShare)).toFixed(3).padStart(6),
+        mean(results.map(result => result.refused / result.requestCount)).toFixed(3).padStart(8),
+        mean(results.map(result => result.retries)).toFixed(0).padStart(8),
+        mean(results.map(result => result.crossZoneMegabytes)).toFixed(0).padStart(9),
+        mean(results.map(result => result.crossRegionMegabytes)).toFixed(0).padStart(11),
     ];
     process.stdout.write(`${columns.join(" ")}\n`);
 }
 
-const dayLength = milliseconds(32_000);
+const dayDuration = milliseconds(32_000);
 
 main();
--- a/packages/testing/src/emulator/odyn.ts
+++ b/packages/testing/src/emulator/odyn.ts
@@ -1,14 +1,14 @@
 /**
- * Odyn's sheet: uploads of 60 KB, answers of 5 KB, and a region with a third of the callers
- * and a tenth of the slots.
+ * A large deployment for the emulator: uploads of 60 KB, other requests of 0.4 and 5 KB, and one region that has
+ * a third of the callers and a tenth of the slots.
  */
 
 import { milliseconds } from "@chalkdale/kernel";
 import type { EmulatedDeployment } from "./deployment.js";
 
-const boxesOfZone = 2;
+const boxesInEachZone = 2;
 
-/** The kiln bookings: 218 servers in six zones of three regions, with the boxes that carry most of the load. */
+/** 218 servers in six zones of three regions. Only the boxes that serve most of the requests are emulated. */
 export const odyn: EmulatedDeployment = {
     name: "odyn",
     zones: {
@@ -20,12 +20,12 @@
         "gwent-b": "gwent",
     },
     boxesPerZone: {
-        "gwynedd-a": boxesOfZone,
-        "gwynedd-b": boxesOfZone,
-        "dyfed-a": boxesOfZone,
-        "dyfed-b": boxesOfZone,
-        "gwent-a": boxesOfZone,
-        "gwent-b": boxesOfZone,
+        "gwynedd-a": boxesInEachZone,
+        "gwynedd-b": boxesInEachZone,
+        "dyfed-a": boxesInEachZone,
+        "dyfed-b": boxesInEachZone,
+        "gwent-a": boxesInEachZone,
+        "gwent-b": boxesInEachZone,
     },
     services: [
         {
@@ -39,22 +39,22 @@
                 "gwent-b": 28,
             },
             slots: 4,
-            queueLength: 12,
-            rememberedKeys: 22,
+            queueCapacity: 12,
+            keyCacheSize: 22,
         },
         {
             name: "bookkeep",
             servers: { "gwynedd-a": 15, "gwynedd-b": 15, "dyfed-a": 3, "dyfed-b": 3, "gwent-a": 13, "gwent-b": 13 },
             slots: 4,
-            queueLength: 12,
-            rememberedKeys: 17,
+            queueCapacity: 12,
+            keyCacheSize: 17,
         },
         {
             name: "kilnlens",
             servers: { "gwynedd-a": 5, "gwynedd-b": 5, "dyfed-a": 2, "dyfed-b": 2, "gwent-a": 5, "gwent-b": 5 },
             slots: 4,
-            queueLength: 12,
-            rememberedKeys: 18,
+            queueCapacity: 12,
+            keyCacheSize: 18,
         },
     ],
     classes: [
--- a/packages/testing/src/emulator/pedala-now.ts
+++ b/packages/testing/src/emulator/pedala-now.ts
@@ -1,19 +1,18 @@
 /**
- * Pedala's work as it has become: work of a second on an unknown object, servers
- * that remember few, and a region with a third of the callers and a tenth of the
- * slots. After the users' site sheet.
+ * A later, larger state of the deployment `pedala`: a request with a cold key takes about a second, servers cache
+ * few keys, and one region has a third of the callers and a tenth of the slots.
  */
 
 import type { EmulatedDeployment } from "./deployment.js";
 import { pedala } from "./deployments.js";
 
-const boxesOfZone = 2;
+const boxesInEachZone = 2;
 
-/** The sheet: 206 servers in six zones of three regions, as far as the strong boxes carry the load. */
+/** 204 servers in six zones of three regions. Only the boxes of high capacity are emulated. */
 export const pedalaNow: EmulatedDeployment = {
     ...pedala,
     name: "pedala-now",
-    boxesPerZone: Object.fromEntries(Object.keys(pedala.zones).map(zone => [zone, boxesOfZone])),
+    boxesPerZone: Object.fromEntries(Object.keys(pedala.zones).map(zone => [zone, boxesInEachZone])),
     services: [
         {
             name: "profil-api",
@@ -26,15 +25,15 @@
                 "eu-sud-b": 36,
             },
             slots: 6,
-            queueLength: 18,
-            rememberedKeys: 20,
+            queueCapacity: 18,
+            keyCacheSize: 20,
         },
         {
             name: "tura-depot",
             servers: { "ro-nord-a": 7, "ro-nord-b": 7, "eu-vest-a": 1, "eu-vest-b": 1, "eu-sud-a": 6, "eu-sud-b": 6 },
             slots: 6,
-            queueLength: 18,
-            rememberedKeys: 29,
+            queueCapacity: 18,
+            keyCacheSize: 29,
         },
     ],
     classes: [
--- a/packages/testing/src/emulator/policies.ts
+++ b/packages/testing/src/emulator/policies.ts
@@ -1,5 +1,5 @@
 /**
- * Ways to choose a server, to be compared: the product's own and its rivals.
+ * Policies that choose a server: the one that boxes use, and others to compare it with.
  */
 
 import {
@@ -12,34 +12,36 @@
 } from "@chalkdale/decisions";
 import { milliseconds, type RandomSource } from "@chalkdale/kernel";
 
-/** Names of the policies. */
+/** Names of the policies; `affinity` is the one that boxes use. */
 export const policyNames = ["affinity", "rendezvous", "two-choices", "candidate-set"] as const;
 
-/** A policy by name. */
+/** Name of a policy. */
 export type PolicyName = (typeof policyNames)[number];
 
-/** Load below which a server of the candidate set counts as light, as a part of its slots. */
-const lightLoad = 0.6;
+/** Requests per slot below which a server belongs to the candidate set. */
+const lightLoadThreshold = 0.6;
 
-/** Returns the function that chooses by a policy. */
+/** Returns the function that chooses a server by the named policy. `random` is drawn from by `two-choices` only. */
 export function createPolicy(
     name: PolicyName,
     options: ServerChoiceOptions,
     random: RandomSource,
 ): (request: ChoiceRequest) => Choice {
-    const own = createServerChoice(options);
+    const chooseByAffinity = createServerChoice(options);
     switch (name) {
         case "affinity":
-            return own;
+            return chooseByAffinity;
         case "rendezvous":
-            return request => chosen(request, servers => best(servers, server => score(server, request)));
+            return request => chooseAmong(request, servers => maxBy(servers, server => score(server, request)));
         case "two-choices":
-            return request => chosen(request, servers => lessLoaded(pick(servers), pick(servers), request));
+            return request =>
+                chooseAmong(request, servers => lessLoaded(pickRandom(servers), pickRandom(servers), request));
         case "candidate-set":
-            return request => chosen(request, servers => mostIdle(servers, request));
+            return request => chooseAmong(request, servers => leastLoadedCandidate(servers, request));
     }
 
-    function chosen(
+    /** Applies a rule to the servers that may take the request. Expected times are not estimated per server. */
+    function chooseAmong(
         request: ChoiceRequest,
         choose: (servers: readonly BackendServer[]) => BackendServer,
     ): Choice {
@@ -69,7 +71,7 @@
         return rendezvousScore(request.keyHash, server.idHash, server.state.record().slots);
     }
 
-    function pick(servers: readonly BackendServer[]): BackendServer {
+    function pickRandom(servers: readonly BackendServer[]): BackendServer {
         return servers[Math.floor(random() * servers.length)];
     }
 
@@ -77,10 +79,10 @@
         return relativeLoad(b, request) < relativeLoad(a, request) ? b : a;
     }
 
-    /** The paper's rule: the most idle of the lightly loaded servers, else the least loaded of all. */
-    function mostIdle(servers: readonly BackendServer[], request: ChoiceRequest): BackendServer {
-        const light = servers.filter(server => relativeLoad(server, request) < lightLoad);
-        return best(light.length > 0 ? light : servers, server => -relativeLoad(server, request));
+    /** The least loaded of the lightly loaded servers, or of all if none is lightly loaded. */
+    function leastLoadedCandidate(servers: readonly BackendServer[], request: ChoiceRequest): BackendServer {
+        const candidates = servers.filter(server => relativeLoad(server, request) < lightLoadThreshold);
+        return maxBy(candidates.length > 0 ? candidates : servers, server => -relativeLoad(server, request));
     }
 
     function relativeLoad(server: BackendServer, request: ChoiceRequest): number {
@@ -88,6 +90,6 @@
     }
 }
 
-function best(servers: readonly BackendServer[], valueOf: (server: BackendServer) => number): BackendServer {
-    return servers.reduce((found, next) => valueOf(next) > valueOf(found) ? next : found);
+function maxBy(servers: readonly BackendServer[], valueOf: (server: BackendServer) => number): BackendServer {
+    return servers.reduce((best, candidate) => valueOf(candidate) > valueOf(best) ? candidate : best);
 }
--- a/packages/testing/src/emulator/tally.ts
+++ b/packages/testing/src/emulator/tally.ts
@@ -1,5 +1,5 @@
 /**
- * What callers of an emulated day got, by availability zone.
+ * Outcomes of the requests of an emulation by the callers' availability zone, and the bytes transferred.
  */
 
 import type { Milliseconds } from "@chalkdale/kernel";
@@ -7,82 +7,91 @@
 
 /** Counts of one availability zone. */
 interface ZoneTally {
-    asked: number;
-    inGoal: number;
+    requestCount: number;
+    withinGoal: number;
     late: number;
     refused: number;
-    earned: number;
-    owed: number;
+    /** Credit earned by the answers. */
+    earnedCredit: number;
+    /** Credit if every answer were within its goal. */
+    maxCredit: number;
 }
 
-/** The sums over all zones, and the worst zone. */
+/** Sums over all zones, and the worst zone's worth. */
 export interface TallySummary {
+    /** Requests that callers sent; a caller's retry is not counted again. */
     readonly requestCount: number;
     readonly withinGoal: number;
+    /** Answers after the goal. */
     readonly late: number;
+    /** Requests that were refused or timed out. */
     readonly refused: number;
-    /** Credit earned by credit owed. */
+    /** Credit earned, as a fraction of the credit if every answer were within its goal. */
     readonly worth: number;
+    /** The same ratio of the zone where it is lowest. */
     readonly worstZoneWorth: number;
-    /** Megabytes between boxes, callers and servers of two zones of a region, and of two regions. */
+    /** Megabytes between callers, boxes and servers in different zones of one region. */
     readonly crossZoneMegabytes: number;
+    /** Megabytes between callers, boxes and servers in different regions. */
     readonly crossRegionMegabytes: number;
 }
 
-/** The tally of a day. */
+/** The tally of one emulation. */
 export interface Tally {
     readonly onRequest: (zone: string, requestClass: RequestClass) => void;
     readonly onAnswered: (zone: string, requestClass: RequestClass, latency: Milliseconds) => void;
+    /** Called when a request was refused or timed out for good. */
     readonly onRefused: (zone: string) => void;
-    readonly onTransferred: (reach: "zone" | "region", bytes: number) => void;
+    /** Adds bytes that crossed a zone boundary within a region, or a region boundary. */
+    readonly onTransferred: (boundary: "zone" | "region", bytes: number) => void;
     readonly summarize: () => TallySummary;
 }
 
-const bytesOfMegabyte = 1_000_000;
+const bytesPerMegabyte = 1_000_000;
 
-/** Creates a tally at zero. */
+/** Creates an empty tally. */
 export function createTally(): Tally {
     const byZone = new Map<string, ZoneTally>();
-    const moved = { zone: 0, region: 0 };
+    const megabytes = { zone: 0, region: 0 };
 
     return {
         onRequest(zone, requestClass) {
-            of(zone).asked += 1;
-            of(zone).owed += requestClass.worth;
+            tallyOf(zone).requestCount += 1;
+            tallyOf(zone).maxCredit += requestClass.worth;
         },
         onAnswered(zone, requestClass, latency) {
-            const tally = of(zone);
-            const isInGoal = latency <= requestClass.goal;
-            tally.inGoal += isInGoal ? 1 : 0;
-            tally.late += isInGoal ? 0 : 1;
-            tally.earned += isInGoal ? requestClass.worth : requestClass.lateWorth;
+            const tally = tallyOf(zone);
+            const isWithinGoal = latency <= requestClass.goal;
+            tally.withinGoal += isWithinGoal ? 1 : 0;
+            tally.late += isWithinGoal ? 0 : 1;
+            tally.earnedCredit += isWithinGoal ? requestClass.worth : requestClass.lateWorth;
         },
         onRefused(zone) {
-            of(zone).refused += 1;
+            tallyOf(zone).refused += 1;
         },
-        onTransferred(reach, bytes) {
-            moved[reach] += bytes / bytesOfMegabyte;
+        onTransferred(boundary, bytes) {
+            megabytes[boundary] += bytes / bytesPerMegabyte;
         },
         summarize() {
             const all = [...byZone.values()];
             const sum = (key: keyof ZoneTally) => all.reduce((total, tally) => total + tally[key], 0);
             return {
-                requestCount: sum("asked"),
-                withinGoal: sum("inGoal"),
+                requestCount: sum("requestCount"),
+                withinGoal: sum("withinGoal"),
                 late: sum("late"),
                 refused: sum("refused"),
-                worth: sum("earned") / sum("owed"),
-                crossZoneMegabytes: moved.zone,
-                crossRegionMegabytes: moved.region,
-                worstZoneWorth: Math.min(...all.map(tally => tally.earned / tally.owed)),
+                worth: sum("earnedCredit") / sum("maxCredit"),
+                crossZoneMegabytes: megabytes.zone,
+                crossRegionMegabytes: megabytes.region,
+                worstZoneWorth: Math.min(...all.map(tally => tally.earnedCredit / tally.maxCredit)),
             };
         },
     };
 
-    function of(zone: string): ZoneTally {
+    function tallyOf(zone: string): ZoneTally {
         let tally = byZone.get(zone);
         if (tally === undefined) {
-            tally = { asked: 0, inGoal: 0, late: 0, refused: 0, earned: 0, owed: 0 };
+            tally = { requestCount: 0, withinGoal: 0, late: 0, refused: 0, earnedCredit: 0, maxCredit: 0 };
             byZone.set(zone, tally);
         }
         return tally;
--- a/packages/testing/src/emulator/tsereteli.ts
+++ b/packages/testing/src/emulator/tsereteli.ts
@@ -1,13 +1,13 @@
 /**
- * Tsereteli's sheet: three services, one region with a tenth of the servers for
- * a third of the callers.
+ * A deployment of three services for the emulator. One region has a third of the callers and a seventh of the
+ * servers.
  */
 
 import { milliseconds } from "@chalkdale/kernel";
 import type { EmulatedDeployment } from "./deployment.js";
 
-/** Servers by zone of the two small services. */
-const twelveServers = {
+/** Number of servers by zone of each of the two small services: 12 in all. */
+const smallServiceServers = {
     "tbilisi-vake": 1,
     "tbilisi-saburtalo": 1,
     "kutaisi-centre": 2,
@@ -16,7 +16,7 @@
     "batumi-old": 3,
 };
 
-/** The bookshop: 44 servers in six zones of three regions. */
+/** 44 servers in six zones of three regions. */
 export const tsereteli: EmulatedDeployment = {
     name: "tsereteli",
     zones: {
@@ -47,11 +47,11 @@
                 "batumi-old": 5,
             },
             slots: 5,
-            queueLength: 15,
-            rememberedKeys: 49,
+            queueCapacity: 15,
+            keyCacheSize: 49,
         },
-        { name: "hold-desk", servers: twelveServers, slots: 4, queueLength: 12, rememberedKeys: 33 },
-        { name: "till", servers: twelveServers, slots: 3, queueLength: 9, rememberedKeys: 28 },
+        { name: "hold-desk", servers: smallServiceServers, slots: 4, queueCapacity: 12, keyCacheSize: 33 },
+        { name: "till", servers: smallServiceServers, slots: 3, queueCapacity: 9, keyCacheSize: 28 },
     ],
     classes: [
         {
