--- a/packages/testing/src/command-line.ts
+++ b/packages/testing/src/command-line.ts
@@ -1,30 +1,33 @@
 /**
- * Runs the operators' command line as a process.
+ * Runs the operators' command-line program in a process of its own, for tests.
  */
 
 import { spawn } from "node:child_process";
 import { resolve } from "node:path";
 import { workspaceRoot } from "./workspace-root.js";
 
-/** How a run ended. */
+/** Result of a run. */
 export interface CommandLineRun {
+    /** Undefined if a signal ended the process. */
     readonly exitCode: number | undefined;
     readonly stdout: string;
     readonly stderr: string;
 }
 
-/** Runs the built program with the given arguments until it ends. */
+/** Runs the built program with the given arguments; resolves when it has exited. */
 export async function runCommandLine(...args: readonly string[]): Promise<CommandLineRun> {
     const program = resolve(workspaceRoot, "packages/cli/bin/chalkdale.js");
     const child = spawn(process.execPath, [program, ...args], { stdio: ["ignore", "pipe", "pipe"] });
-    let output = "";
-    let errors = "";
+    let stdout = "";
+    let stderr = "";
     child.stdout.on("data", chunk => {
-        output += String(chunk);
+        stdout += String(chunk);
     });
     child.stderr.on("data", chunk => {
-        errors += String(chunk);
+        stderr += String(chunk);
     });
-    const code = await new Promise<number | undefined>(done => child.once("close", ended => done(ended ?? undefined)));
-    return { exitCode: code, stdout: output, stderr: errors };
+    const exitCode = await new Promise<number | undefined>(resolveExit =>
+        child.once("close", code => resolveExit(code ?? undefined))
+    );
+    return { exitCode, stdout, stderr };
 }
--- a/packages/testing/src/demo/demo.ts
+++ b/packages/testing/src/demo/demo.ts
@@ -1,10 +1,9 @@
 /**
- * The demo: a whole deployment on loopback, under traffic.
+ * The demo: a whole deployment on the loopback interface, with callers.
  *
- * Stand-ins for the platform's store and for eight backend servers run in this
- * process, six boxes as processes of their own. While callers send requests of
- * every kind, a backend server is drained, an availability zone is emptied and
- * taken back, and a box is stopped under a running download.
+ * Stand-ins for the platform's store and for eight backend servers run in this process, and six boxes in processes
+ * of their own. While callers send requests of every kind, a backend server is drained, an availability zone is
+ * closed and opened again, and a box is shut down while it transfers a download.
  */
 
 import { createSeededRandom, milliseconds } from "@chalkdale/kernel";
@@ -18,50 +17,52 @@
 import { pause, waitUntil } from "../standins/deployment.js";
 
 const seed = 1;
-/** Boxes of the demo. */
+/** Number of boxes in the demo. */
 export const boxCount = 6;
-/** Callers of the demo. */
+/** Number of callers in the demo. */
 export const callerCount = 6;
-/** Milliseconds for which each step is watched once it must be in force. */
+/** Milliseconds for which requests are observed: before the first change, and after each change must be in force. */
 const observationTime = milliseconds(2000);
-/** Part of the requests that may be refused: boxes that stop are still known to some callers. */
+/** Fraction of the requests that may be refused: some callers still know a box that shuts down. */
 const maxRefusedFraction = 0.01;
-/** Work of a pack during the stop, in milliseconds: longer than a stopping box takes new work. */
+/** Processing time in milliseconds of the download: longer than a box that shuts down still admits requests. */
 const longDownloadWork = 900;
+/** The availability zone that is closed. */
 const zone = "north-b";
 
-/** One thing that must come out right, and whether it did. */
+/** Result of one check. */
 export interface DemoCheck {
     readonly passed: boolean;
+    /** What is checked. */
     readonly text: string;
-    /** What was seen instead, a line each. */
+    /** Observations that contradict it, one line each; empty if the check passed or has none to show. */
     readonly details: readonly string[];
 }
 
-/** Is told of each check as it is made. */
+/** Called with each check as soon as it is made. */
 export type OnDemoCheck = (check: DemoCheck) => void;
 
-/** Plays the demo; resolves once all is stopped. */
+/** Runs the demo; resolves once all boxes, servers and callers are stopped. */
 export async function runDemo(onCheck: OnDemoCheck): Promise<void> {
     const random = createSeededRandom(seed);
     const world = await startSoakEnvironment({ seed, random, boxes: boxCount, mostServers: 24, onEvent: undefined });
     try {
-        await play(world, onCheck);
+        await runScenario(world, onCheck);
     }
     finally {
         await world.stopAll();
     }
 }
 
-async function play(world: SoakEnvironment, onCheck: OnDemoCheck): Promise<void> {
-    const check = (isRight: boolean, text: string, details: readonly string[] = []) =>
-        onCheck({ passed: isRight, text, details: isRight ? [] : details });
+async function runScenario(world: SoakEnvironment, onCheck: OnDemoCheck): Promise<void> {
+    const check = (passed: boolean, text: string, details: readonly string[] = []) =>
+        onCheck({ passed, text, details: passed ? [] : details });
     const callers = await startCallers(world, { count: callerCount, prefix: "demo", disconnectShare: 0 });
     await pause(observationTime);
 
     const drained = await drainServer(world, check);
-    const evacuated = await emptyZone(world, check);
-    await stopBox(world, check);
+    const zoneClosures = await closeZone(world, check);
+    await shutDownBox(world, check);
     await callers.stop();
 
     const { attempts } = callers;
@@ -80,11 +81,11 @@
     const breaches = findBreaches({
         attempts,
         runs,
-        // No caller of the demo pipelines.
+        // Callers of the demo do not pipeline requests.
         boxTerminations: [],
         unsolicitedBytes: [],
         drained,
-        zoneClosures: evacuated,
+        zoneClosures,
         destinations,
         keyInvalidFrom: world.customers.keyInvalidFrom,
         rollouts: [],
@@ -97,7 +98,7 @@
     );
 }
 
-type Check = (isRight: boolean, text: string) => void;
+type Check = (passed: boolean, text: string) => void;
 
 async function drainServer(world: SoakEnvironment, check: Check): Promise<ReadonlyMap<string, Interval>> {
     const [server] = world.servers;
@@ -110,7 +111,7 @@
     return new Map([[id, { from, to: Infinity }]]);
 }
 
-async function emptyZone(world: SoakEnvironment, check: Check): Promise<ReadonlyMap<string, readonly Interval[]>> {
+async function closeZone(world: SoakEnvironment, check: Check): Promise<ReadonlyMap<string, readonly Interval[]>> {
     world.store.put("evacuations", zone, {});
     const from = world.now() + inForceWithin;
     await pause(milliseconds(inForceWithin + observationTime));
@@ -125,7 +126,7 @@
     return new Map([[zone, [{ from, to }]]]);
 }
 
-async function stopBox(world: SoakEnvironment, check: Check): Promise<void> {
+async function shutDownBox(world: SoakEnvironment, check: Check): Promise<void> {
     const box = world.boxes[0];
     world.servers.forEach(server => server.backend.setWork(longDownloadWork));
     const credential = world.customers.callerKeyOf(customerNames[0]).key;
@@ -141,14 +142,14 @@
     box.signal("SIGTERM");
     const code = await box.waitForExit();
     const answer = await download;
-    const isWhole = answer.status === 200 && answer.body.endsWith(" to demo-download");
-    check(isWhole && code === 0, `${box.name} ended with ${code} after its running download was whole`);
+    const isComplete = answer.status === 200 && answer.body.endsWith(" to demo-download");
+    check(isComplete && code === 0, `${box.name} ended with ${code} after its running download was whole`);
 }
 
 function countRunsSince(
     world: SoakEnvironment,
     from: number,
-    isMeant: (run: SoakEnvironment["runs"][number]) => boolean,
+    matches: (run: SoakEnvironment["runs"][number]) => boolean,
 ): number {
-    return world.runs.filter(run => run.at >= from && isMeant(run)).length;
+    return world.runs.filter(run => run.at >= from && matches(run)).length;
 }
--- a/packages/testing/src/golden/golden-file.ts
+++ b/packages/testing/src/golden/golden-file.ts
@@ -1,8 +1,7 @@
 /**
- * Golden files: what a session put out, compared with a committed file.
+ * Golden files: compares the output of a test with a committed file.
  *
- * `npm run golden:write` rewrites them; the commit then explains each line
- * that changed.
+ * `npm run golden:write` rewrites the files; the commit message then explains each line that changed.
  */
 
 import { existsSync, mkdirSync, readFileSync, writeFileSync } from "node:fs";
@@ -11,7 +10,10 @@
 
 const folder = resolve(workspaceRoot, "packages/testing/test/golden");
 
-/** Throws when the lines differ from the golden file of a name, naming the first line that does. */
+/**
+ * Compares lines with the golden file of the given name (without extension), or writes the file if the environment
+ * variable `CHALKDALE_GOLDEN` is `write`. Throws if the file is missing, or with the first line that differs.
+ */
 export function compareWithGolden(name: string, lines: readonly string[]): void {
     const file = resolve(folder, `${name}.txt`);
     const text = `${lines.join("\n")}\n`;
