--- a/packages/testing/src/standins/backend-server.ts
+++ b/packages/testing/src/standins/backend-server.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in for a backend server on the users' platform: slots, a queue, warm
- * keys, load in its answers, and the ways in which servers misbehave.
+ * Stand-in for a backend server on the users' platform: slots, a queue, warm keys, load reports in its answers, and
+ * the faults that servers show.
  */
 
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
@@ -8,7 +8,7 @@
 import { type ServerBehaviour, writeAnswer } from "./server-answers.js";
 import { createSlotQueue } from "./slot-queue.js";
 
-/** A request that the server began to work on. */
+/** A request that the server began to run. */
 export interface ServerRun {
     readonly requestId: string;
     readonly method: string;
@@ -25,26 +25,26 @@
     readonly id: string;
     readonly address: () => string;
     readonly runs: readonly ServerRun[];
-    /** Requests that came, run or not. */
+    /** Requests received, whether they ran or not. */
     readonly arrivals: () => number;
     /** Connections accepted so far. */
     readonly connections: () => number;
     /** Requests whose connection closed while they ran. */
     readonly abortedRequests: () => number;
     setBehaviour: (behaviour: (request: IncomingMessage) => ServerBehaviour) => void;
-    /** Work on a key that is not known, in milliseconds; a known one takes less. */
+    /** Run time of a request with a cold key in milliseconds; one with a warm key takes less. */
     setWork: (milliseconds: number) => void;
-    /** Tells in its health answers that it stays cold for so long. */
+    /** Time for which the server stays cold, as its health answers report it. */
     setColdFor: (milliseconds: number) => void;
-    /** Names a limit in its answers, as it stands in the header; undefined for none. */
+    /** Sets the text of the rate-limit header of its answers; undefined for no header. */
     setLimitHeader: (text: string | undefined) => void;
-    /** Resets connections that rested longer than so many milliseconds once a request comes on them. */
+    /** Resets a connection when a request arrives on it after it was idle for longer than this. */
     readonly setResetAfterIdle: (milliseconds: number) => void;
-    /** Says in its answers that it is leaving, by closing connections and in its health answers. */
-    setShuttingDown: (leaving: boolean) => void;
-    /** Says in all its answers, in a header of its own, that it is leaving; its health answers stay good. */
+    /** Announces a shutdown by closing connections after each answer and by failing health checks. */
+    setShuttingDown: (isShuttingDown: boolean) => void;
+    /** Sets the text of the header that announces a shutdown in all answers; health checks still succeed. */
     setLeavingHeader: (text: string | undefined) => void;
-    /** Refuses new connections; those that are open stay. */
+    /** Refuses new connections; open ones are kept. */
     readonly stopAccepting: () => void;
     readonly close: () => void;
 }
@@ -53,20 +53,20 @@
     readonly id: string;
     readonly slots?: number;
     readonly queue?: number;
-    /** Keys that the server remembers. */
+    /** Number of keys that the server keeps warm. */
     readonly rememberedKeys?: number;
     readonly host?: string;
-    /** Port of an earlier server whose address this one takes over. */
+    /** Port of a stopped server, to take over its address. */
     readonly port?: number;
-    /** Idle connections are closed after so many milliseconds, and answers say so in whole seconds if there are any. */
+    /** Idle connections are closed after this time; Node announces it in answers, rounded down to seconds. */
     readonly idleMs?: number;
 }
 
 const defaultSlots = 4;
 const defaultQueue = 8;
 const defaultRememberedKeys = 50;
-const defaultIdle = 10_000;
-const warmPart = 0.3;
+const defaultIdleMs = 10_000;
+const warmWorkFraction = 0.3;
 
 /** Starts a server on loopback. */
 export async function startServerStandIn(options: ServerStandInOptions): Promise<ServerStandIn> {
@@ -78,17 +78,17 @@
     let behaviourOf: (request: IncomingMessage) => ServerBehaviour = () => ({ kind: "serve" });
     let work = 0;
     let coldFor = 0;
-    let limit: string | undefined;
-    let leaving = false;
-    let leavingText: string | undefined;
-    let forgetsAfter = Infinity;
+    let limitHeaderText: string | undefined;
+    let isShuttingDown = false;
+    let leavingHeaderText: string | undefined;
+    let idleBeforeReset = Infinity;
     const lastUsed = new WeakMap<Socket, number>();
     let arrivals = 0;
     let connections = 0;
-    let abandoned = 0;
+    let aborted = 0;
 
     const server: Server = createServer((request, response) => void onRequest(request, response));
-    server.keepAliveTimeout = options.idleMs ?? defaultIdle;
+    server.keepAliveTimeout = options.idleMs ?? defaultIdleMs;
     server.on("connection", () => {
         connections += 1;
     });
@@ -100,7 +100,7 @@
         runs,
         arrivals: () => arrivals,
         connections: () => connections,
-        abortedRequests: () => abandoned,
+        abortedRequests: () => aborted,
         setBehaviour: behaviour => {
             behaviourOf = behaviour;
         },
@@ -111,16 +111,16 @@
             coldFor = duration;
         },
         setLimitHeader: text => {
-            limit = text;
+            limitHeaderText = text;
         },
         setResetAfterIdle: duration => {
-            forgetsAfter = duration;
+            idleBeforeReset = duration;
         },
         setShuttingDown: value => {
-            leaving = value;
+            isShuttingDown = value;
         },
         setLeavingHeader: text => {
-            leavingText = text;
+            leavingHeaderText = text;
         },
         stopAccepting() {
             // The HTTP server's own `close` would end idle connections too.
@@ -135,11 +135,11 @@
     async function onRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
         if (request.url === "/health") {
             const headers = { "Instance-Id": options.id, "Cold-Ms": String(coldFor), ...leavingHeader() };
-            response.writeHead(leaving ? 503 : 200, headers).end();
+            response.writeHead(isShuttingDown ? 503 : 200, headers).end();
             return;
         }
         arrivals += 1;
-        if (performance.now() - (lastUsed.get(request.socket) ?? Infinity) > forgetsAfter) {
+        if (performance.now() - (lastUsed.get(request.socket) ?? Infinity) > idleBeforeReset) {
             request.socket.resetAndDestroy();
             return;
         }
@@ -152,13 +152,13 @@
         }
         const behaviour = behaviourOf(request);
         if (behaviour.kind === "shed" || queue.isFull()) {
-            const told = behaviour.kind === "shed" ? shedHeaders(behaviour) : {};
+            const extraHeaders = behaviour.kind === "shed" ? shedHeaders(behaviour) : {};
             response.writeHead(503, {
                 "Request-Id": requestId,
                 "Not-Run": "1",
                 ...limitHeader(),
                 ...leavingHeader(),
-                ...told,
+                ...extraHeaders,
             }).end();
             return;
         }
@@ -188,15 +188,15 @@
         const warm = remember(String(request.headers["affinity-key"] ?? ""));
         const { headers, method = "", url = "" } = request;
         runs.push({ requestId, method, url, body, headers, warm, boxAddress: request.socket.remoteAddress });
-        let isOver = false;
+        let isDone = false;
         response.on("close", () => {
-            if (!isOver) {
-                abandoned += 1;
+            if (!isDone) {
+                aborted += 1;
             }
         });
-        // A server that was closed while it worked must not hold the process.
-        await new Promise(resolve => setTimeout(resolve, work * (warm ? warmPart : 1)).unref());
-        isOver = true;
+        // The timer must not keep the process alive when the server was closed meanwhile.
+        await new Promise(resolve => setTimeout(resolve, work * (warm ? warmWorkFraction : 1)).unref());
+        isDone = true;
         writeAnswer(request, response, contentOf(requestId), behaviour);
     }
 
@@ -205,22 +205,23 @@
     }
 
     function shedHeaders(
-        { retryAfter: restFor, includesLoad: tellsLoad }: ServerBehaviour & { readonly kind: "shed"; },
+        { retryAfter, includesLoad }: ServerBehaviour & { readonly kind: "shed"; },
     ): Record<string, string> {
         return {
-            ...tellsLoad === true ? loadHeader() : {},
-            ...restFor === undefined ? {} : { "Retry-After": restFor },
+            ...includesLoad === true ? loadHeader() : {},
+            ...retryAfter === undefined ? {} : { "Retry-After": retryAfter },
         };
     }
 
     function limitHeader(): Record<string, string> {
-        return limit === undefined ? {} : { "Server-Limit": limit };
+        return limitHeaderText === undefined ? {} : { "Server-Limit": limitHeaderText };
     }
 
     function leavingHeader(): Record<string, string> {
-        return leavingText === undefined ? {} : { "Server-Leaving": leavingText };
+        return leavingHeaderText === undefined ? {} : { "Server-Leaving": leavingHeaderText };
     }
 
+    /** Makes the key the most recently used one; returns whether it was warm. */
     function remember(key: string): boolean {
         const warm = keys.delete(key);
         keys.add(key);
@@ -239,7 +240,7 @@
                 ...loadHeader(),
                 ...limitHeader(),
                 ...leavingHeader(),
-                ...(leaving ? { "Connection": "close" } : {}),
+                ...(isShuttingDown ? { "Connection": "close" } : {}),
             },
         };
     }
--- a/packages/testing/src/standins/client.ts
+++ b/packages/testing/src/standins/client.ts
@@ -1,19 +1,19 @@
 /**
- * Stand-in for a client on the users' platform: asks the directory, keeps
- * connections or opens new ones, and retries as the platform's pages say.
+ * Stand-in for a client on the users' platform: looks up boxes in the directory, keeps connections open or opens new
+ * ones, and retries by the platform's rules.
  */
 
 import { Agent, request as httpRequest } from "node:http";
 
-/** What a client got for one attempt. */
+/** The answer to one attempt, as the client received it. */
 export interface ClientAnswer {
-    /** 0 when the connection ended without a whole answer. */
+    /** 0 when the connection ended before the answer was complete. */
     readonly status: number;
     readonly headers: NodeJS.Dict<string | string[]>;
     readonly body: string;
 }
 
-/** One attempt of a client. */
+/** One attempt of a client, and how to send it. */
 export interface ClientRequest {
     readonly address: string;
     readonly host: string;
@@ -21,20 +21,20 @@
     readonly method?: string;
     readonly requestId: string;
     readonly affinityKey?: string;
-    /** Key of the client's customer. */
+    /** API key of the client's customer; a list sends the header several times. */
     readonly credential?: string | string[];
-    /** Headers that a client should not send, or not so. */
+    /** Further headers, also such as a correct client does not send. */
     readonly extraHeaders?: Readonly<Record<string, string>>;
     readonly deadlineMs?: number;
     readonly body?: string;
     /** Send the body in chunks instead of with a length. */
     readonly chunked?: boolean;
-    /** Close the connection after so many milliseconds. */
+    /** Close the connection after this many milliseconds. */
     readonly disconnectAfterMs?: number;
     readonly agent?: Agent;
 }
 
-/** Makes one attempt. Never rejects. */
+/** Makes one attempt. Never rejects: a lost answer has status 0. */
 export function sendRequest(options: ClientRequest): Promise<ClientAnswer> {
     const [host, port] = options.address.split(":");
     const headers: Record<string, string | string[]> = {
@@ -84,12 +84,12 @@
     });
 }
 
-/** Asks a directory which boxes to use. */
+/** Asks a box's directory for the addresses of boxes. */
 export async function lookUp(
     directory: string,
-    place: { readonly name: string; readonly region: string; readonly zone: string; },
+    target: { readonly name: string; readonly region: string; readonly zone: string; },
 ): Promise<{ readonly status: number; readonly addresses: readonly string[]; readonly ttl: string; }> {
-    const query = new URLSearchParams({ ...place }).toString();
+    const query = new URLSearchParams({ ...target }).toString();
     const answer = await sendRequest({
         address: directory,
         host: directory,
@@ -100,10 +100,10 @@
     return { status: answer.status, addresses: body?.addresses ?? [], ttl: body?.ttl ?? "" };
 }
 
-/** What a client asks, without where and by which id. */
+/** A request without its address and id, which each attempt chooses. */
 type ClientCall = Omit<ClientRequest, "address" | "requestId" | "agent">;
 
-/** A client that looks up first, chooses at random, and retries. */
+/** A client that looks up boxes, chooses one at random, and retries. */
 export interface Client {
     readonly call: (call: ClientCall, options: { readonly idempotent: boolean; }) => Promise<ClientAnswer>;
     /** Attempts so far, retries included. */
@@ -115,7 +115,7 @@
     readonly directories: readonly string[];
     readonly region: string;
     readonly zone: string;
-    /** Keep connections for many requests, or open a new one for each. */
+    /** True to reuse connections, false to open a new one for each request. */
     readonly pooled: boolean;
     readonly random: () => number;
     readonly retries?: number;
@@ -123,10 +123,12 @@
     readonly name: string;
 }
 
-const promises = new Set([408, 421, 429, 503]);
-const longestRetryAfter = 500;
+/** Statuses by which a box promises that the request did not run. */
+const notRunStatuses = new Set([408, 421, 429, 503]);
+/** Milliseconds; longer values of Retry-After are cut, so that tests stay short. */
+const maxRetryAfter = 500;
 
-/** Creates a client. Every attempt has an id of its own. */
+/** Creates a client. Each attempt has its own request id. */
 export function createClient(options: ClientOptions): Client {
     const agent = new Agent({ keepAlive: options.pooled });
     const failed = new Set<string>();
@@ -134,14 +136,16 @@
 
     return {
         async call(call, { idempotent }) {
-            for (let left = options.retries ?? 1;; left--) {
+            for (let retriesLeft = options.retries ?? 1;; retriesLeft--) {
                 const address = await chooseBox(call.host);
                 const answer = address === undefined ? unanswered : await attempt(address, call);
-                const mayRetry = idempotent ? answer.status === 0 || answer.status >= 500 : promises.has(answer.status);
-                if (left <= 0 || !mayRetry && !promises.has(answer.status)) {
+                const mayRetry = idempotent
+                    ? answer.status === 0 || answer.status >= 500
+                    : notRunStatuses.has(answer.status);
+                if (retriesLeft <= 0 || !mayRetry && !notRunStatuses.has(answer.status)) {
                     return answer;
                 }
-                await waitAsTold(answer);
+                await waitForRetryAfter(answer);
             }
         },
         attempts: () => attempts,
@@ -158,12 +162,12 @@
         return answer;
     }
 
-    /** Asks the directories in turn; boxes that failed are avoided as long as there are others. */
+    /** Asks the directories in order until one names boxes; avoids boxes that failed while there are others. */
     async function chooseBox(name: string): Promise<string | undefined> {
         for (const directory of options.directories) {
             const { addresses } = await lookUp(directory, { name, region: options.region, zone: options.zone });
-            const sound = addresses.filter(address => !failed.has(address));
-            const usable = sound.length > 0 ? sound : addresses;
+            const healthy = addresses.filter(address => !failed.has(address));
+            const usable = healthy.length > 0 ? healthy : addresses;
             if (usable.length > 0) {
                 return usable[Math.floor(options.random() * usable.length)];
             }
@@ -174,7 +178,7 @@
 
 const unanswered: ClientAnswer = { status: 0, headers: {}, body: "" };
 
-async function waitAsTold(answer: ClientAnswer): Promise<void> {
-    const told = Number(answer.headers["retry-after"] ?? 0) * 1000;
-    await new Promise(resolve => setTimeout(resolve, Math.min(longestRetryAfter, told)));
+async function waitForRetryAfter(answer: ClientAnswer): Promise<void> {
+    const retryAfter = Number(answer.headers["retry-after"] ?? 0) * 1000;
+    await new Promise(resolve => setTimeout(resolve, Math.min(maxRetryAfter, retryAfter)));
 }
--- a/packages/testing/src/standins/deployment.ts
+++ b/packages/testing/src/standins/deployment.ts
@@ -1,6 +1,6 @@
 /**
- * A small deployment on loopback: the stand-in store, stand-in servers, and
- * boxes in this process, each with an address of its own.
+ * A small deployment on loopback: the stand-in store, stand-in servers, and boxes that run in this process, each at its
+ * own addresses.
  */
 
 import { type Box, createTrafficMeter, startBox } from "@chalkdale/box";
@@ -27,9 +27,9 @@
     readonly directoryAddress: string;
     readonly readinessAddress: string;
     readonly peerAddress: string;
-    /** Where its figures are read; nothing listens there unless a port was given. */
+    /** Address of its metrics; nothing listens there unless a port was given. */
     readonly metrics: string;
-    /** Lines that the box has logged. */
+    /** Lines that the box has logged so far. */
     readonly logLines: readonly string[];
 }
 
@@ -39,16 +39,16 @@
     readonly storeServer: MetadataStoreServer;
     readonly addServer: (options: ServerStandInOptions & ServerRecordOptions) => Promise<ServerStandIn>;
     /** Writes the record of a server again, with changes. */
-    readonly writeServerRecord: (backend: ServerStandIn, place: ServerRecordOptions) => void;
+    readonly writeServerRecord: (server: ServerStandIn, recordOptions: ServerRecordOptions) => void;
     readonly configure: (version: number, rules: readonly RuleOptions[], tenants?: readonly TenantOptions[]) => void;
-    /** Orders a service onto servers of a version. */
+    /** Writes an order to roll a service out to a version within the duration `over`. */
     readonly orderRollout: (service: string, version: string, over: string) => void;
-    /** State that boxes wrote for a service's order; undefined before they did. */
+    /** State of a service's roll-out as boxes wrote it; undefined before the first write. */
     readonly rolloutState: (service: string) => string | undefined;
     readonly startBox: (options?: TestBoxOptions) => TestBox;
     /**
-     * Starts a box in each zone of the list, with the first one as seed; resolves once all are ready and know each other. `hosts`: their
-     * loopback addresses, so that servers can tell them apart.
+     * Starts a box in each zone of the list, with the first one as seed; resolves once all are ready and know each
+     * other. `hosts` are their loopback addresses, by which servers can tell them apart.
      */
     readonly startBoxes: (zones: readonly string[], hosts?: readonly string[]) => Promise<readonly TestBox[]>;
     readonly close: () => Promise<void>;
@@ -58,48 +58,48 @@
 export interface TestBoxOptions {
     readonly zone?: string;
     readonly seeds?: readonly string[];
-    /** Loopback address of the box, so that the store can tell boxes apart. */
+    /** Loopback address of the box, by which the store can tell boxes apart. */
     readonly host?: string;
     /** Memory limit of the box in megabytes; none without it. */
     readonly memoryMb?: number;
-    /** Port of the box's figures on its host; none are told without it. */
+    /** Port of the box's metrics on its host; not served without it. */
     readonly metricsPort?: number;
     /** A stopped box whose name and addresses the new one takes over. */
     readonly replacing?: TestBox;
 }
 
-/** What the whole deployment has in common. */
+/** Options of the whole deployment. */
 interface DeploymentOptions {
-    /** Bounds of the settings besides those that every deployment of the tests has. */
+    /** Entries of the setting `bounds` in addition to the common ones. */
     readonly bounds?: readonly string[];
-    /** Era that the store tells from the start; it tells none if this is left out, until it is restored. */
+    /** First epoch that the store reports; without it, the store reports none until it is restored. */
     readonly storeEpoch?: number;
 }
 
-/** Host that all rules of the tests are for. */
+/** Host name of all routes in tests. */
 export const testHost = "app.example";
 
 const commonBounds = ["budget_ratio=0.2", "budget_window=10s", "budget_slack=58", "grace=500ms", "ttl_max=5s"];
 const zones: Readonly<Record<string, string>> = { "north-a": "north", "north-b": "north", "south-a": "south" };
-/** Ports of the boxes: below the range from which the kernel takes ports for outgoing connections. */
+/** Next port of a box: below the range from which the kernel takes ports for outgoing connections. */
 let nextPort = 20_000 + (process.pid % 100) * 100;
 
-/** Starts the store; servers, boxes and configurations follow by calls. */
+/** Starts the store only; servers, boxes and configurations are added by calls. */
 export async function startTestDeployment(options: DeploymentOptions = {}): Promise<TestDeployment> {
     const clock = () => milliseconds(performance.now());
     const store = createMetadataStore({ clock, epoch: options.storeEpoch });
     const storeServer = await serveMetadataStore(store);
-    const backends: ServerStandIn[] = [];
+    const servers: ServerStandIn[] = [];
     const boxes: TestBox[] = [];
 
     return {
         store,
         storeServer,
         async addServer(serverOptions) {
-            const backend = await startServerStandIn(serverOptions);
-            backends.push(backend);
-            recordServer(backend, serverOptions);
-            return backend;
+            const server = await startServerStandIn(serverOptions);
+            servers.push(server);
+            recordServer(server, serverOptions);
+            return server;
         },
         writeServerRecord: recordServer,
         configure(version, rules, tenants) {
@@ -116,7 +116,7 @@
         startBoxes,
         async close() {
             await Promise.all(boxes.map(box => box.running.stop()));
-            backends.forEach(backend => backend.close());
+            servers.forEach(server => server.close());
             storeServer.close();
         },
     };
@@ -128,40 +128,40 @@
     }
 
     async function startBoxes(
-        zonesOfBoxes: readonly string[],
+        boxZones: readonly string[],
         hosts: readonly string[] = [],
     ): Promise<readonly TestBox[]> {
         const started: TestBox[] = [];
-        for (const [index, zone] of zonesOfBoxes.entries()) {
+        for (const [index, zone] of boxZones.entries()) {
             const seeds = started.slice(0, 1).map(first => first.peerAddress);
             started.push(startTestBox({ zone, seeds, host: hosts[index] }));
         }
-        for (const { logLines: logged, name, running } of started) {
+        for (const { logLines, name, running } of started) {
             await waitUntil(() => running.isReady(), `${name} is ready`);
-            await waitUntil(() => logged.some(line => line.includes(`alive=${started.length}`)), `${name} knows all`);
+            await waitUntil(() => logLines.some(line => line.includes(`alive=${started.length}`)), `${name} knows all`);
         }
         return started;
     }
 
-    function recordServer(backend: ServerStandIn, place: ServerRecordOptions): void {
-        store.put("servers", backend.id, serverObject(backend.address(), place));
+    function recordServer(server: ServerStandIn, recordOptions: ServerRecordOptions): void {
+        store.put("servers", server.id, serverObject(server.address(), recordOptions));
     }
 
-    function createBox(name: string, { replacing: sameAs, ...boxOptions }: TestBoxOptions): TestBox {
+    function createBox(name: string, { replacing, ...boxOptions }: TestBoxOptions): TestBox {
         const { host = "127.0.0.1", memoryMb, metricsPort, seeds = [], zone = "north-a" } = boxOptions;
-        const [callers, directory, readiness, peers] = sameAs === undefined
+        const [callers, directory, readiness, peers] = replacing === undefined
             ? [0, 1, 2, 3].map(() => `${host}:${nextPort++}`)
-            : [sameAs.callerAddress, sameAs.directoryAddress, sameAs.readinessAddress, sameAs.peerAddress];
+            : [replacing.callerAddress, replacing.directoryAddress, replacing.readinessAddress, replacing.peerAddress];
         const settings = parseSettings(
             settingsText({ name, zone, callers, directory, readiness, peers, seeds, memoryMb }),
         );
         if (settings.err) {
             throw new Error(settings.val.join("; "));
         }
-        const logged: string[] = [];
+        const lines: string[] = [];
         const log: Log = process.env.CHALKDALE_TEST_LOG === "1"
             ? createLog()
-            : createLog({ write: line => logged.push(line) });
+            : createLog({ write: line => lines.push(line) });
         const { box: boxSettings, storeAddress } = settings.val;
         const traffic = createTrafficMeter();
         const running = startBox({
@@ -192,7 +192,7 @@
             readinessAddress: readiness,
             peerAddress: peers,
             metrics: `${host}:${metricsPort}`,
-            logLines: logged,
+            logLines: lines,
         };
     }
 
@@ -224,21 +224,22 @@
     }
 }
 
-/** Resolves once a condition holds. Rejects when it does not for long. */
-export async function waitUntil(condition: () => boolean | Promise<boolean>, what: string): Promise<void> {
-    const end = performance.now() + longestWait;
+/** Polls a condition and resolves once it holds; rejects after 20 s. `description` completes the error message. */
+export async function waitUntil(condition: () => boolean | Promise<boolean>, description: string): Promise<void> {
+    const deadline = performance.now() + maxWait;
     while (!await condition()) {
-        if (performance.now() > end) {
-            throw new Error(`did not come about: ${what}`);
+        if (performance.now() > deadline) {
+            throw new Error(`timed out waiting until ${description}`);
         }
         await pause(milliseconds(pollInterval));
     }
 }
 
-const longestWait = 20_000;
+/** Milliseconds. */
+const maxWait = 20_000;
 const pollInterval = 15;
 
-/** Waits for so long. */
+/** Resolves after the duration. */
 export function pause(duration: Milliseconds): Promise<void> {
     return new Promise(resolve => setTimeout(resolve, duration));
 }
--- a/packages/testing/src/standins/limiting-servers.ts
+++ b/packages/testing/src/standins/limiting-servers.ts
@@ -1,40 +1,42 @@
 /**
- * Stand-in servers that name the rate which they take, and what came to them
- * meanwhile.
+ * Stand-in servers that report a rate limit in their answers, and the count of requests that arrive at them.
  *
- * Owns the arrivals at each server; relies on the deployment for the servers.
+ * Owns the times of arrival at each server; relies on the deployment for the servers.
  */
 
 import type { TestDeployment } from "./deployment.js";
 
-/** One server and its limit. Times in milliseconds of the steady clock. */
+/** One server and its limit. Times are in milliseconds of `performance.now`. */
 interface LimitingServer {
     readonly id: string;
-    /** Names a rate in all answers from now on; undefined for none. */
+    /** Sets the rate, in requests per second, that all later answers report; undefined for none. */
     readonly setLimit: (rate: number | undefined) => void;
-    /** When the server began to name a limit; undefined until then. */
+    /** When the server first reported a limit; undefined before. */
     readonly limitedSince: () => number | undefined;
-    /** When requests came, in order. */
+    /** Times at which requests arrived, in order. */
     readonly arrivedAt: readonly number[];
 }
 
 export interface LimitingServersOptions {
     readonly count: number;
     readonly zones: readonly string[];
-    /** Requests that each works on at once. */
+    /** Requests that each server runs at once. */
     readonly slots?: number;
-    /** Work of a request at a server that does not know its key, in milliseconds. */
+    /** Run time of a request with a cold key, in milliseconds. */
     readonly work: number;
 }
 
-/** Milliseconds of the span in which arrivals are counted. */
+/** Length in milliseconds of the span in which arrivals are counted. */
 const countedSpan = 4000;
-/** Milliseconds after the first answer that names a limit from which it is kept by all boxes: the shorter one of the two that users set. */
-const contact = 3000;
-/** Milliseconds after it from which requests count. */
-const toldAfter = 500;
-/** Times the limit that a server may get in the span, and requests beside that. */
-const toleratedPart = 1.5;
+/**
+ * Milliseconds after the first report of a limit from which all boxes together must keep it. The users' platform sets
+ * two such times; this is the shorter one.
+ */
+const enforcedAfter = 3000;
+/** Milliseconds after the first report of a limit from which arrivals are counted. */
+const countedAfter = 500;
+/** A server may receive this multiple of its limit in the span, and this many requests more. */
+const toleranceFactor = 1.5;
 const toleratedRequests = 5;
 
 /** Starts the servers and records them. */
@@ -65,19 +67,19 @@
     }
 }
 
-/** The most that a server may get in the counted span by its limit. */
+/** Returns how many requests may arrive at a server in the counted span, given its limit in requests per second. */
 export function maxAllowedArrivals(rate: number): number {
-    return toleratedPart * rate * countedSpan / 1000 + toleratedRequests;
+    return toleranceFactor * rate * countedSpan / 1000 + toleratedRequests;
 }
 
-/** The most requests that came to a server in any counted span which ends later than `contact` after it named a limit. */
-export function maxArrivalsInSpan({ arrivedAt, limitedSince: namedSince }: LimitingServer): number {
-    const since = namedSince() ?? Infinity;
-    const counted = arrivedAt.filter(at => at >= since + toldAfter);
+/** Returns the largest number of arrivals in any counted span that ends after the limit must be kept. */
+export function maxArrivalsInSpan({ arrivedAt, limitedSince }: LimitingServer): number {
+    const since = limitedSince() ?? Infinity;
+    const counted = arrivedAt.filter(at => at >= since + countedAfter);
     return Math.max(
         0,
         ...counted
-            .filter(end => end >= since + contact)
+            .filter(end => end >= since + enforcedAfter)
             .map(end => counted.filter(at => at > end - countedSpan && at <= end).length),
     );
 }
--- a/packages/testing/src/standins/metadata-store-server.ts
+++ b/packages/testing/src/standins/metadata-store-server.ts
@@ -1,5 +1,5 @@
 /**
- * Serves the stand-in for the platform's store over HTTP, with faults by caller.
+ * Serves the stand-in for the platform's metadata store over HTTP. A test may choose a fault for each call.
  */
 
 import { milliseconds } from "@chalkdale/kernel";
@@ -7,26 +7,28 @@
 import type { AddressInfo } from "node:net";
 import type { MetadataStore, ObjectWrite, StoreAnswer } from "./metadata-store.js";
 
-/** What happens to a call instead of its answer. */
+/** What goes wrong with a call. */
 export type StoreFault =
     | { readonly kind: "none"; }
-    /** Refused with a status; nothing was done. */
+    /** Refused with a status; not performed. */
     | { readonly kind: "refused"; readonly status: number; }
-    /** Never answered; nothing was done. */
+    /** Never answered; not performed. */
     | { readonly kind: "silent"; }
+    /** The connection is reset; not performed. */
     | { readonly kind: "reset"; }
-    /** Done, and the answer is lost. */
+    /** Performed, and the connection closes without an answer. */
     | { readonly kind: "answerLost"; }
-    /** Not answered, and done only later. */
+    /** The connection closes without an answer; performed after the delay. */
     | { readonly kind: "late"; readonly afterMs: number; };
 
-/** A call, for the choice of its fault. */
+/** The properties of a call by which its fault is chosen. */
 interface StoreCall {
     readonly method: string;
     readonly kind: string;
     /** Address of the caller, without its port. */
     readonly caller: string;
     readonly isWatch: boolean;
+    /** Whether the call writes the status of an object. */
     readonly isStatus: boolean;
 }
 
@@ -36,21 +38,22 @@
     /** Calls so far, by method. */
     readonly calls: () => Readonly<Record<string, number>>;
     setFault: (fault: (call: StoreCall) => StoreFault) => void;
-    /** Ends all connections, as a store that goes away does. */
+    /** Closes all connections, as a store that goes down does. */
     readonly dropConnections: () => void;
     readonly close: () => void;
 }
 
-const stepInterval = 20;
+/** Milliseconds between two checks for expired watches. */
+const expiryCheckInterval = 20;
 const objectPath = /^\/v1\/objects\/([^/?]+)(?:\/([^/?]+)(\/status)?)?$/;
 
-/** Listens on a loopback address. */
+/** Serves the store at a free port of a loopback address. */
 export async function serveMetadataStore(store: MetadataStore, host = "127.0.0.1"): Promise<MetadataStoreServer> {
     let faultOf: (call: StoreCall) => StoreFault = () => ({ kind: "none" });
     const calls: Record<string, number> = {};
     const server: Server = createServer((request, response) => void onRequest(request, response));
     await new Promise<void>(resolve => server.listen(0, host, resolve));
-    const timer = setInterval(() => store.endExpiredWatches(), stepInterval);
+    const timer = setInterval(() => store.endExpiredWatches(), expiryCheckInterval);
 
     return {
         address: () => `${host}:${(server.address() as AddressInfo).port}`,
@@ -80,41 +83,41 @@
         const isStatus = statusPath !== undefined;
         const isWatch = url.searchParams.has("watch");
         const fault = faultOf({ method, kind, caller: request.socket.remoteAddress ?? "", isWatch, isStatus });
-        if (applyFault(fault, request, found => answer(response, found))) {
+        if (applyFault(fault, request, refusal => answer(response, refusal))) {
             return;
         }
         if (isWatch) {
             const since = Number(url.searchParams.get("watch"));
             const wait = milliseconds(Number(url.searchParams.get("wait_ms") ?? 0));
-            const cancel = store.watch(kind, since, wait, found => answer(response, found));
+            const cancel = store.watch(kind, since, wait, events => answer(response, events));
             response.on("close", cancel);
             return;
         }
-        const act = () => perform({ method, kind, name, isStatus, url, body });
+        const performCall = () => perform({ method, kind, name, isStatus, url, body });
         if (fault.kind === "late") {
-            setTimeout(act, fault.afterMs);
+            setTimeout(performCall, fault.afterMs);
             request.socket.destroy();
             return;
         }
-        const done = act();
+        const storeAnswer = performCall();
         if (fault.kind === "answerLost") {
             request.socket.destroy();
             return;
         }
-        answer(response, done);
+        answer(response, storeAnswer);
     }
 
-    /** Tells the era of the store as it answers, which may not be that in which it was asked. */
-    function answer(response: ServerResponse, found: StoreAnswer): void {
+    /** Sends the answer with the store's present epoch, which may be later than that at the time of the call. */
+    function answer(response: ServerResponse, result: StoreAnswer): void {
         if (response.destroyed) {
             return;
         }
-        const era = store.epoch();
-        response.writeHead(found.status, {
+        const epoch = store.epoch();
+        response.writeHead(result.status, {
             "content-type": "application/json",
-            ...era === undefined ? {} : { "store-era": String(era) },
+            ...epoch === undefined ? {} : { "store-era": String(epoch) },
         });
-        response.end(found.body === undefined ? "" : JSON.stringify(found.body));
+        response.end(result.body === undefined ? "" : JSON.stringify(result.body));
     }
 
     function perform({ body, isStatus, kind, method, name, url }: PerformedCall): StoreAnswer {
@@ -136,10 +139,11 @@
     }
 }
 
+/** Applies a fault that prevents the call; returns false if the call is performed. */
 function applyFault(
     fault: StoreFault,
     request: IncomingMessage,
-    refuse: (found: StoreAnswer) => void,
+    refuse: (refusal: StoreAnswer) => void,
 ): boolean {
     switch (fault.kind) {
         case "none":
--- a/packages/testing/src/standins/metadata-store.ts
+++ b/packages/testing/src/standins/metadata-store.ts
@@ -1,7 +1,7 @@
 /**
- * Stand-in for the users' platform's metadata store, in memory, on an injected
- * clock: revisions, pages, watches that wait, conditional writes, and a history
- * that can be forgotten. Only what boxes call stands here; the users' bench plays the rest.
+ * Stand-in for the users' platform's metadata store, in memory and on an injected clock: revisions, pages, waiting
+ * watches, conditional writes, a history that can be compacted, and restores from a snapshot. It implements only the
+ * calls that boxes make.
  */
 
 import type { Clock, Milliseconds } from "@chalkdale/kernel";
@@ -18,7 +18,7 @@
     readonly status?: unknown;
 }
 
-/** One change as watches tell it. */
+/** One change as watches report it. */
 interface StoreEvent {
     readonly gone: boolean;
     readonly object: StoredObject;
@@ -30,77 +30,83 @@
     readonly body?: unknown;
 }
 
-/** What a writer gives. */
+/** The content of a write. */
 export interface ObjectWrite {
     readonly name: string;
     readonly spec?: unknown;
     readonly status?: unknown;
-    /** The write is done only if the object has this revision. */
+    /** If given, the write succeeds only if the object has this revision. */
     readonly revision?: number;
 }
 
-/** What a store held at one time, from which it can be restored. */
+/** The content of the store at one time, from which it can be restored. */
 export interface StoreSnapshot {
     readonly at: number;
     readonly kinds: ReadonlyMap<string, ReadonlyMap<string, StoredObject>>;
     readonly history: readonly HistoryEntry[];
 }
 
-/** A write that the store has lost; `again` does it once more, unless a later one has replaced it. */
+/** A write that a restore has undone; `replay` repeats it, unless a later one has replaced it. */
 interface LostWrite {
     readonly kind: string;
     readonly name: string;
     readonly replay: () => void;
 }
 
-/** A list is asked by page. */
+/** Which page of a list is requested. */
 interface ListRequest {
-    /** The page begins after this name. */
+    /** The page begins with the first name after this one. */
     readonly after?: string;
-    /** The answer may be as old as the last `freezeStaleReads`. */
+    /** The answer may be as old as the last call of `freezeStaleReads`. */
     readonly stale?: boolean;
 }
 
-/** The store without its HTTP. */
+/** The store's calls, without HTTP, and the controls of tests. */
 export interface MetadataStore {
     readonly list: (kind: string, request?: ListRequest) => StoreAnswer;
     readonly create: (kind: string, write: ObjectWrite) => StoreAnswer;
     readonly get: (kind: string, name: string) => StoreAnswer;
     readonly replace: (kind: string, write: ObjectWrite) => StoreAnswer;
     readonly replaceStatus: (kind: string, write: ObjectWrite) => StoreAnswer;
-    /** Answers as soon as the kind changes after a revision; at the end of the wait with no events. */
+    /**
+     * Answers as soon as an object of the kind changes after the revision, or without events when the wait is over.
+     * Returns a function that cancels the watch.
+     */
     readonly watch: (
         kind: string,
         since: number,
         wait: Milliseconds,
         answer: (answer: StoreAnswer) => void,
     ) => () => void;
-    /** Sets or removes an object as the operator or a server does, past all conditions and rates. */
+    /** Sets or deletes an object unconditionally, as the operator or a server does. */
     readonly put: (kind: string, name: string, spec: unknown) => void;
     readonly delete: (kind: string, name: string) => void;
-    /** From now on stale lists answer as of this moment. */
+    /** From now on, stale lists show the content of this moment. */
     readonly freezeStaleReads: () => void;
-    /** Forgets the history: watches from earlier revisions get 410. */
+    /** Deletes the history: watches from earlier revisions get 410. */
     readonly compact: () => void;
-    /** Ends the waiting watches without an answer. */
+    /** Drops the waiting watches without an answer. */
     readonly dropWatches: () => void;
-    /** Ends watches whose wait is over. */
+    /** Answers the watches whose wait is over. */
     readonly endExpiredWatches: () => void;
     readonly revision: () => number;
-    /** What the store holds now. */
+    /** Returns the present content. */
     readonly takeSnapshot: () => StoreSnapshot;
-    /** Comes back from a copy: what was written since is gone, revisions go on from the copy's, and the era rises by one. */
-    readonly restore: (from: StoreSnapshot) => void;
-    /** What the operator and the servers have written last and the store no longer has so, since it came back from a copy. */
+    /**
+     * Restores a snapshot: later writes are lost, revisions go on from the snapshot's and are assigned again, and the
+     * epoch rises by one. Waiting watches are dropped.
+     */
+    readonly restore: (snapshot: StoreSnapshot) => void;
+    /** The last writes of the operator and the servers that a restore has undone. */
     readonly lostWrites: () => readonly LostWrite[];
-    /** The era as the store tells it; undefined for one that tells none. */
+    /** The epoch that the store reports; undefined if it reports none. */
     readonly epoch: () => number | undefined;
 }
 
 export interface MetadataStoreOptions {
     readonly clock: Clock;
     readonly pageSize?: number;
-    /** Era that it tells from the start; none if it is left out, until it is restored. */
+    /** First epoch that the store reports; without it, it reports none until it is restored. */
     readonly epoch?: number;
 }
 
@@ -110,8 +116,8 @@
     readonly event: StoreEvent;
 }
 
-/** A write of the operator or a server; `spec` is undefined for one that removes the object. */
-interface ForeignWrite {
+/** A write of the operator or a server; `spec` is undefined for a deletion. */
+interface ExternalWrite {
     readonly kind: string;
     readonly name: string;
     readonly spec: unknown;
@@ -131,53 +137,54 @@
     const { clock } = options;
     const kinds = new Map<string, Map<string, StoredObject>>();
     const watchers = new Set<Watcher>();
-    /** The last write of the operator or a server to each object. */
-    const written = new Map<string, ForeignWrite>();
+    /** The last write of the operator or a server to each object, by kind and name. */
+    const lastWrites = new Map<string, ExternalWrite>();
     let history: HistoryEntry[] = [];
     let latest = 0;
-    let forgottenUpTo = 0;
-    let heldBack: StoreSnapshot | undefined;
-    let era = options.epoch;
+    let compactedUpTo = 0;
+    let staleSnapshot: StoreSnapshot | undefined;
+    let currentEpoch = options.epoch;
 
     return {
         list,
         create(kind, write) {
             const known = objectsOf(kind).get(write.name);
-            return known === undefined ? store(kind, write, undefined) : { status: 409, body: known };
+            return known === undefined ? setObject(kind, write, undefined) : { status: 409, body: known };
         },
         get(kind, name) {
             const known = objectsOf(kind).get(name);
             return known === undefined ? { status: 404 } : { status: 200, body: known };
         },
-        replace: (kind, write) => replaceIfMet(kind, write, known => ({ ...write, status: known.status })),
-        replaceStatus: (kind, write) => replaceIfMet(kind, write, known => ({ ...write, spec: known.spec })),
+        replace: (kind, write) => replaceIfRevisionMatches(kind, write, known => ({ ...write, status: known.status })),
+        replaceStatus: (kind, write) =>
+            replaceIfRevisionMatches(kind, write, known => ({ ...write, spec: known.spec })),
         watch,
         put(kind, name, spec) {
-            written.set(`${kind}/${name}`, { kind, name, spec });
+            lastWrites.set(`${kind}/${name}`, { kind, name, spec });
             put(kind, name, spec);
         },
         delete(kind, name) {
-            written.set(`${kind}/${name}`, { kind, name, spec: undefined });
+            lastWrites.set(`${kind}/${name}`, { kind, name, spec: undefined });
             remove(kind, name);
         },
         lostWrites: () =>
-            [...written.values()].filter(isLost).map(write => ({ ...write, replay: () => writeAgain(write) })),
+            [...lastWrites.values()].filter(isLost).map(write => ({ ...write, replay: () => replayWrite(write) })),
         freezeStaleReads() {
-            heldBack = copy();
+            staleSnapshot = createSnapshot();
         },
-        takeSnapshot: copy,
-        restore(from) {
-            latest = from.at;
-            history = [...from.history];
+        takeSnapshot: createSnapshot,
+        restore(snapshot) {
+            latest = snapshot.at;
+            history = [...snapshot.history];
             kinds.clear();
-            from.kinds.forEach((objects, kind) => kinds.set(kind, new Map(objects)));
-            era = (era ?? 0) + 1;
+            snapshot.kinds.forEach((objects, kind) => kinds.set(kind, new Map(objects)));
+            currentEpoch = (currentEpoch ?? 0) + 1;
             watchers.clear();
         },
-        epoch: () => era,
+        epoch: () => currentEpoch,
         compact() {
             history = [];
-            forgottenUpTo = latest;
+            compactedUpTo = latest;
             endWatchers(() => true, { status: 410 });
         },
         dropWatches: () => watchers.clear(),
@@ -187,23 +194,23 @@
 
     function put(kind: string, name: string, spec: unknown): void {
         const known = objectsOf(kind).get(name);
-        store(kind, { name, spec, status: known?.status }, known);
+        setObject(kind, { name, spec, status: known?.status }, known);
     }
 
     function remove(kind: string, name: string): void {
         const known = objectsOf(kind).get(name);
         if (known !== undefined) {
-            drop(kind, known);
+            deleteObject(kind, known);
         }
     }
 
-    function isLost({ kind, name, spec }: ForeignWrite): boolean {
+    function isLost({ kind, name, spec }: ExternalWrite): boolean {
         return JSON.stringify(objectsOf(kind).get(name)?.spec) !== JSON.stringify(spec);
     }
 
-    function writeAgain(write: ForeignWrite): void {
+    function replayWrite(write: ExternalWrite): void {
         const { kind, name, spec } = write;
-        if (written.get(`${kind}/${name}`) !== write) {
+        if (lastWrites.get(`${kind}/${name}`) !== write) {
             return;
         }
         if (spec === undefined) {
@@ -214,7 +221,7 @@
         }
     }
 
-    function copy(): StoreSnapshot {
+    function createSnapshot(): StoreSnapshot {
         return {
             at: latest,
             kinds: new Map([...kinds].map(([kind, objects]) => [kind, new Map(objects)])),
@@ -232,16 +239,16 @@
     }
 
     function list(kind: string, request: ListRequest = {}): StoreAnswer {
-        const isOld = request.stale === true && heldBack !== undefined;
-        const objects = isOld ? heldBack!.kinds.get(kind) ?? new Map<string, StoredObject>() : objectsOf(kind);
+        const isStale = request.stale === true && staleSnapshot !== undefined;
+        const objects = isStale ? staleSnapshot!.kinds.get(kind) ?? new Map<string, StoredObject>() : objectsOf(kind);
         const names = [...objects.keys()].sort().filter(name => request.after === undefined || name > request.after);
         const page = names.slice(0, options.pageSize ?? defaultPageSize);
         const items = page.map(name => objects.get(name)!);
-        const at = isOld ? heldBack!.at : latest;
+        const at = isStale ? staleSnapshot!.at : latest;
         return { status: 200, body: { items, more: page.length < names.length, at } };
     }
 
-    function replaceIfMet(
+    function replaceIfRevisionMatches(
         kind: string,
         write: ObjectWrite,
         next: (known: StoredObject) => ObjectWrite,
@@ -250,11 +257,15 @@
         if (known === undefined) {
             return { status: 404 };
         }
-        const isMet = write.revision === undefined || write.revision === known.metadata.revision;
-        return isMet ? store(kind, next(known), known) : { status: 409, body: known };
+        const matches = write.revision === undefined || write.revision === known.metadata.revision;
+        return matches ? setObject(kind, next(known), known) : { status: 409, body: known };
     }
 
-    function store(kind: string, { name, spec, status }: ObjectWrite, known: StoredObject | undefined): StoreAnswer {
+    function setObject(
+        kind: string,
+        { name, spec, status }: ObjectWrite,
+        known: StoredObject | undefined,
+    ): StoreAnswer {
         if (known !== undefined && JSON.stringify([known.spec, known.status]) === JSON.stringify([spec, status])) {
             return { status: 200, body: known };
         }
@@ -269,7 +280,7 @@
         return { status: known === undefined ? 201 : 200, body: object };
     }
 
-    function drop(kind: string, known: StoredObject): void {
+    function deleteObject(kind: string, known: StoredObject): void {
         objectsOf(kind).delete(known.metadata.name);
         latest += 1;
         record(kind, { gone: true, object: known });
@@ -286,7 +297,7 @@
         wait: Milliseconds,
         answer: (answer: StoreAnswer) => void,
     ): () => void {
-        if (since < forgottenUpTo || since > latest) {
+        if (since < compactedUpTo || since > latest) {
             answer({ status: 410 });
             return () => undefined;
         }
--- a/packages/testing/src/standins/pipelining-client.ts
+++ b/packages/testing/src/standins/pipelining-client.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in for a caller that sends more requests over one connection before the
- * first one has its answer, and reads the answers in their order.
+ * Stand-in for a caller that pipelines: it sends further requests over a connection before the first one is answered,
+ * and matches the answers to the requests by their order.
  */
 
 import { connect } from "node:net";
@@ -19,42 +19,42 @@
 /** What became of a request. */
 export type PipelinedOutcome =
     | { readonly kind: "answered"; readonly answer: ClientAnswer; }
-    /** An answer before it closed the connection: it counts as unread, and may be sent again whatever its kind. */
+    /** An earlier answer announced the close of the connection. The request was not read, so it may be repeated. */
     | { readonly kind: "unread"; }
-    /** The connection ended, and no answer had said so. */
+    /** The connection ended without an answer that announced it. */
     | { readonly kind: "lost"; };
 
-/** A connection over which requests are sent without waiting. */
+/** A connection over which requests are sent without waiting for answers. */
 export interface PipeliningConnection {
-    /** Sends at once; the outcomes come in the order of all requests of the connection. Never rejects. */
+    /** Sends the requests at once. Outcomes resolve in the order of the connection's requests and never reject. */
     readonly send: (requests: readonly PipelinedRequest[]) => Promise<PipelinedOutcome>[];
-    /** Sends bytes that are counted as no request. */
+    /** Sends bytes for which no answer is expected. */
     readonly sendBytes: (bytes: string) => void;
-    /** What came while no request waited for an answer. */
+    /** Bytes received while no request waited for an answer. */
     readonly unsolicitedBytes: () => string;
-    /** False once an answer, or either side, has ended the connection. */
+    /** False once an answer has announced the close of the connection, or it has ended. */
     readonly isOpen: () => boolean;
-    /** Stops reading, so that answers pile up, and reads on. */
-    readonly setReading: (reads: boolean) => void;
-    /** Leaves by the end of the connection, or by a reset. */
+    /** Pauses or resumes reading; answers pile up meanwhile. */
+    readonly setReading: (isReading: boolean) => void;
+    /** Closes or resets the connection. */
     readonly leave: (by: "close" | "reset") => void;
     /** Resolves once the connection has ended. */
     readonly ended: Promise<void>;
 }
 
-interface Parsed extends ClientAnswer {
-    /** Where the answer ends. */
+interface ParsedAnswer extends ClientAnswer {
+    /** Offset of the first byte after the answer. */
     readonly end: number;
 }
 
-/** Opens a connection; requests may be sent at once. */
+/** Opens a connection; requests may be sent before it is established. */
 export function openPipeline(address: string): PipeliningConnection {
     const [host, port] = address.split(":");
     const socket = connect({ host, port: Number(port), noDelay: true });
-    const waiting: ((outcome: PipelinedOutcome) => void)[] = [];
+    const pending: ((outcome: PipelinedOutcome) => void)[] = [];
     let received = Buffer.alloc(0);
     let isClosing = false;
-    let hasEnded = false;
+    let isEnded = false;
 
     socket.on("data", (chunk: Buffer) => {
         received = Buffer.concat([received, chunk]);
@@ -64,8 +64,8 @@
     socket.on("error", () => undefined);
     const ended = new Promise<void>(resolve => {
         socket.on("close", () => {
-            hasEnded = true;
-            dropWaiting({ kind: isClosing ? "unread" : "lost" });
+            isEnded = true;
+            resolveWaiting({ kind: isClosing ? "unread" : "lost" });
             resolve();
         });
     });
@@ -75,15 +75,15 @@
         send(requests) {
             const outcomes = requests.map(() =>
                 new Promise<PipelinedOutcome>(resolve => {
-                    if (isClosing || hasEnded) {
+                    if (isClosing || isEnded) {
                         resolve({ kind: "unread" });
                         return;
                     }
-                    waiting.push(resolve);
+                    pending.push(resolve);
                 })
             );
-            if (!isClosing && !hasEnded) {
-                socket.write(requests.map(textOf).join(""));
+            if (!isClosing && !isEnded) {
+                socket.write(requests.map(formatRequest).join(""));
             }
             return outcomes;
         },
@@ -91,9 +91,9 @@
             socket.write(bytes);
         },
         unsolicitedBytes: () => received.toString("latin1"),
-        isOpen: () => !isClosing && !hasEnded,
-        setReading: reads => {
-            if (reads) {
+        isOpen: () => !isClosing && !isEnded,
+        setReading: isReading => {
+            if (isReading) {
                 socket.resume();
             }
             else {
@@ -110,7 +110,7 @@
     };
 
     function readAnswers(isEnd: boolean): void {
-        while (waiting.length > 0) {
+        while (pending.length > 0) {
             const parsed = parseAnswer(received, isEnd);
             if (parsed === undefined) {
                 return;
@@ -120,29 +120,32 @@
                 continue;
             }
             const { body, headers, status } = parsed;
-            waiting.shift()!({ kind: "answered", answer: { status, headers, body } });
+            pending.shift()!({ kind: "answered", answer: { status, headers, body } });
             if (headers.connection === "close") {
                 isClosing = true;
-                dropWaiting({ kind: "unread" });
+                resolveWaiting({ kind: "unread" });
                 socket.end();
             }
         }
     }
 
-    function dropWaiting(outcome: PipelinedOutcome): void {
-        waiting.splice(0).forEach(resolve => resolve(outcome));
+    function resolveWaiting(outcome: PipelinedOutcome): void {
+        pending.splice(0).forEach(resolve => resolve(outcome));
     }
 }
 
-function textOf({ body, headers = {}, host, method = "GET", path, requestId }: PipelinedRequest): string {
+function formatRequest({ body, headers = {}, host, method = "GET", path, requestId }: PipelinedRequest): string {
     const length = body === undefined ? {} : { "Content-Length": String(Buffer.byteLength(body)) };
     const lines = Object.entries({ "Host": host, "Request-Id": requestId, ...headers, ...length })
         .map(([name, value]) => `${name}: ${value}\r\n`);
     return `${method} ${path} HTTP/1.1\r\n${lines.join("")}\r\n${body ?? ""}`;
 }
 
-/** Returns the answer at the beginning of the bytes once it is whole. An answer without a length is whole at the end. */
-function parseAnswer(bytes: Buffer, isEnd: boolean): Parsed | undefined {
+/**
+ * Returns the answer at the beginning of the bytes, or undefined while it is incomplete. An answer without a length is
+ * complete at the end of the connection.
+ */
+function parseAnswer(bytes: Buffer, isEnd: boolean): ParsedAnswer | undefined {
     const headEnd = bytes.indexOf("\r\n\r\n");
     if (headEnd < 0) {
         return undefined;
--- a/packages/testing/src/standins/platform-objects.ts
+++ b/packages/testing/src/standins/platform-objects.ts
@@ -1,9 +1,9 @@
 /**
- * Objects of the users' platform as its operators and servers write them: the
- * configuration, and the record of a server.
+ * Objects in the metadata store of the users' platform as its operators and servers write them: the configuration, the
+ * record of a server, and the order of a roll-out.
  */
 
-/** A rule of the configuration, in the platform's own words. */
+/** A rule of the configuration, in the platform's terms: a route. */
 export interface RuleOptions {
     readonly name: string;
     readonly path: string;
@@ -17,7 +17,7 @@
     readonly isPublic?: boolean;
 }
 
-/** A customer of the configuration, in the platform's own words. */
+/** A tenant of the configuration, in the platform's terms: a customer. */
 export interface TenantOptions {
     readonly name: string;
     readonly keys: readonly string[];
@@ -26,21 +26,21 @@
     readonly homeRegions?: readonly string[];
 }
 
-/** Where a server is recorded, and how. */
+/** Fields of a server's record that differ from the defaults. */
 export interface ServerRecordOptions {
     readonly service?: string;
     readonly zone?: string;
     readonly state?: "ready" | "draining";
     readonly coldLeft?: string;
     readonly version?: string;
-    /** Unix milliseconds of the server's start; left out if not given. */
+    /** Unix milliseconds of the server's start; the record has no such field without it. */
     readonly born?: number;
 }
 
-/** Services of every configuration that the stand-ins write. */
+/** Names of the services in each configuration. */
 const services = ["profiles", "packs"];
 
-/** Returns a configuration of one host; anyone may ask if no customers are given. */
+/** Returns a configuration of one host; without tenants, requests need no key. */
 export function configurationObject(
     version: number,
     host: string,
@@ -100,21 +100,21 @@
 }
 
 /** Returns the record of a server. */
-export function serverObject(address: string, place: ServerRecordOptions): unknown {
+export function serverObject(address: string, options: ServerRecordOptions): unknown {
     return {
-        service: place.service ?? "profiles",
+        service: options.service ?? "profiles",
         address,
-        zone: place.zone ?? "north-a",
-        version: place.version ?? "v1",
+        zone: options.zone ?? "north-a",
+        version: options.version ?? "v1",
         slots: 4,
-        state: place.state ?? "ready",
-        cold_left: place.coldLeft ?? "0ms",
+        state: options.state ?? "ready",
+        cold_left: options.coldLeft ?? "0ms",
         call_seq: 1,
-        ...place.born === undefined ? {} : { born: place.born },
+        ...options.born === undefined ? {} : { born: options.born },
     };
 }
 
-/** Returns an order to move a service onto servers of a version. */
+/** Returns an order to roll a service out to a version within the duration `over`. */
 export function rolloutObject(service: string, targetVersion: string, over: string): unknown {
     return { service, target_version: targetVersion, over };
 }
--- a/packages/testing/src/standins/server-answers.ts
+++ b/packages/testing/src/standins/server-answers.ts
@@ -1,5 +1,5 @@
 /**
- * The answers of a stand-in server, sound and spoiled, as they go on the wire.
+ * The behaviours of a stand-in server, correct and faulty, and how each answer is written to the connection.
  */
 
 import type { IncomingMessage, ServerResponse } from "node:http";
@@ -7,32 +7,32 @@
 /** What the server does with a request. */
 export type ServerBehaviour =
     | { readonly kind: "serve"; }
-    /** Not run; `includesLoad`: and says how many slots are taken; `retryAfter`: wants nothing for so long, as it stands in the header. */
+    /** Refuses the request without running it. `includesLoad` adds the load header; `retryAfter` is a header's text. */
     | { readonly kind: "shed"; readonly includesLoad?: boolean; readonly retryAfter?: string; }
-    /** A failure of its own, after it ran. */
+    /** Runs the request, then answers with an error status. */
     | { readonly kind: "fail"; readonly status: number; }
-    /** Runs, then its answer is lost with the connection. */
+    /** Runs the request, then ends the connection or stays silent instead of answering. */
     | { readonly kind: "loseAnswer"; readonly by: "close" | "reset" | "silence"; }
-    /** Ends the answer early. */
+    /** Ends the connection in the middle of the answer. */
     | { readonly kind: "breakOff"; readonly by: "close" | "reset"; }
     /** Answers without a length and ends the connection. */
     | { readonly kind: "unframed"; }
-    /** A second answer follows the first, at once or a little later. */
+    /** Sends a second answer after the first, at once or after a delay. */
     | { readonly kind: "extra"; readonly afterMs: number; }
-    /** Bytes that are no answer. */
+    /** Sends bytes that are not an HTTP answer. */
     | { readonly kind: "garbage"; }
-    /** Answers before it has read the body, then reads on. */
+    /** Answers before it has read the body, and then reads the body. */
     | { readonly kind: "early"; }
-    /** Says before it has read the body that it does not run the request, and drops the connection. */
+    /** Refuses the request without running it, before it has read the body, and closes the connection. */
     | { readonly kind: "shedAndDrop"; };
 
-/** What an answer says. */
+/** Body and headers of an answer. */
 export interface AnswerContent {
     readonly text: string;
     readonly headers: Readonly<Record<string, string>>;
 }
 
-/** Writes the answer to a request that ran, as the behaviour has it. */
+/** Writes the answer to a request that ran, in the way that the behaviour prescribes. */
 export function writeAnswer(
     request: IncomingMessage,
     response: ServerResponse,
@@ -53,10 +53,10 @@
             response.writeHead(behaviour.status, headers).end(text);
             return;
         case "loseAnswer":
-            endBy(request, behaviour.by);
+            endConnection(request, behaviour.by);
             return;
         case "breakOff":
-            socket.write(framed + text.slice(0, text.length / 2), () => endBy(request, behaviour.by));
+            socket.write(framed + text.slice(0, text.length / 2), () => endConnection(request, behaviour.by));
             return;
         case "unframed":
             socket.end(`HTTP/1.1 200 OK\r\n${head}Connection: close\r\n\r\n${text}`);
@@ -71,7 +71,7 @@
     }
 }
 
-function endBy(request: IncomingMessage, by: "close" | "reset" | "silence"): void {
+function endConnection(request: IncomingMessage, by: "close" | "reset" | "silence"): void {
     switch (by) {
         case "close":
             request.socket.end();
--- a/packages/testing/src/standins/settings-store-server.ts
+++ b/packages/testing/src/standins/settings-store-server.ts
@@ -1,6 +1,5 @@
 /**
- * The stand-in for the store of the settings tree over HTTP, as the command
- * line's client speaks it.
+ * Serves the stand-in for the store of the settings tree over HTTP, with the protocol of the command line's client.
  */
 
 import { objectVersion } from "@chalkdale/kernel";
@@ -16,9 +15,9 @@
     readonly address: string;
 }
 
-const entries = "/v1/entries/";
+const entriesPath = "/v1/entries/";
 
-/** Listens on loopback until the signal aborts. */
+/** Serves an empty store at a free port on loopback until the signal aborts. */
 export async function serveSettingsStore(signal: AbortSignal): Promise<SettingsStoreServer> {
     const store = createSettingsStoreStandIn();
     const server = createServer((request, response) => void answer(request, response, store));
@@ -29,16 +28,16 @@
 
 async function answer(request: IncomingMessage, response: ServerResponse, store: SettingsStoreStandIn): Promise<void> {
     const body = await readJson(request);
-    sendOutcome(response, await callOf(request, body, store));
+    sendOutcome(response, await performCall(request, body, store));
 }
 
-function callOf(
+function performCall(
     request: IncomingMessage,
     body: unknown,
     { calls }: SettingsStoreStandIn,
 ): Promise<StoreOutcome<unknown>> {
     const options = { timeout: 0, signal: new AbortController().signal };
-    const key = decodeURIComponent((request.url ?? "").slice(entries.length));
+    const key = decodeURIComponent((request.url ?? "").slice(entriesPath.length));
     switch (request.method) {
         case "GET":
             return calls.get(key, options);
--- a/packages/testing/src/standins/settings-store.ts
+++ b/packages/testing/src/standins/settings-store.ts
@@ -1,16 +1,16 @@
 /**
- * Stand-in for the store of the settings tree, in memory and without I/O, with
- * versions, conditional updates, and switches for outage and lost answers.
+ * Stand-in for the store of the settings tree, in memory and without I/O: versions, conditional updates, and faults
+ * that tests switch on.
  */
 
 import { type ObjectVersion, objectVersion } from "@chalkdale/kernel";
 import type { SettingsStore, StoredObject, StoreOutcome } from "@chalkdale/settings-store";
 
-/** What the stand-in does wrong on purpose. */
+/** Faults to simulate. */
 interface StoreFaults {
-    /** Refuses all calls. */
+    /** All calls fail as unavailable. */
     outage: boolean;
-    /** Writes that take effect while their answer is lost. */
+    /** Number of next writes that take effect although their answers are lost. */
     lostAnswers: number;
 }
 
@@ -18,7 +18,7 @@
 export interface SettingsStoreStandIn {
     readonly calls: SettingsStore;
     readonly faults: StoreFaults;
-    /** Sets an object past all conditions, as another writer does. */
+    /** Sets an object unconditionally, as another writer does. */
     readonly put: (key: string, value: unknown) => StoredObject;
     readonly read: (key: string) => StoredObject | undefined;
 }
--- a/packages/testing/src/standins/slot-queue.ts
+++ b/packages/testing/src/standins/slot-queue.ts
@@ -6,15 +6,15 @@
 export interface SlotQueue {
     readonly running: () => number;
     readonly waiting: () => number;
-    /** True when a request would find neither a slot nor a place in the queue. */
+    /** True if no slot is free and the queue is full. */
     readonly isFull: () => boolean;
     /** Resolves once the caller has a slot. */
     readonly acquire: () => Promise<void>;
-    /** Gives a slot back; the request that waits the longest gets it. */
+    /** Releases a slot; the request that has waited longest gets it. */
     readonly release: () => void;
 }
 
-/** Creates free slots and an empty queue. */
+/** Creates the slots, all free, with an empty queue of a bounded length. */
 export function createSlotQueue(slots: number, queueLength: number): SlotQueue {
     const waiting: (() => void)[] = [];
     let running = 0;
