--- a/packages/testing/test/box-callers.test.ts
+++ b/packages/testing/test/box-callers.test.ts
@@ -1,5 +1,5 @@
 /**
- * One box and callers who send much at once, or what is no proper request.
+ * One box and callers that send many requests at once, oversized bodies, or malformed requests.
  */
 
 import { createSeededRandom } from "@chalkdale/kernel";
@@ -38,10 +38,10 @@
 
     const ask = (requestId: string, options: Partial<ClientRequest> = {}) =>
         sendRequest({ address: box.callerAddress, host: testHost, path: "/lookup/", requestId, ...options });
-    const runs = () => servers.flatMap(server => server.runs);
+    const allRuns = () => servers.flatMap(server => server.runs);
 
     describe("many requests at once [P3] [P5]", () => {
-        it("get each its own answer, though servers answer out of order, and run once each", async () => {
+        it("each get their own answer, although servers answer out of order, and run once", async () => {
             const random = createSeededRandom(11);
             servers.forEach(server => server.setWork(3));
             const ids = Array.from({ length: 150 }, (_, index) => `many-${index}`);
@@ -57,7 +57,7 @@
                 }
             });
             expect(answers.filter(answer => answer.status === 200).length).to.be.greaterThan(75);
-            expect(new Set(runs().map(run => run.requestId)).size).to.equal(runs().length);
+            expect(new Set(allRuns().map(run => run.requestId)).size).to.equal(allRuns().length);
         });
     });
 
@@ -65,59 +65,59 @@
         it("is refused, and the request reaches no server", async () => {
             const answer = await ask("large", { path: "/save/", method: "POST", body: "x".repeat(1_000_001) });
             expect(answer.status).to.be.oneOf([413, 0]);
-            expect(runs()).to.deep.equal([]);
+            expect(allRuns()).to.deep.equal([]);
         });
 
-        it("is refused when it comes in chunks", async () => {
+        it("is refused when it is sent in chunks", async () => {
             const body = "x".repeat(1_000_001);
             const answer = await ask("chunks", { path: "/save/", method: "POST", body, chunked: true });
             expect(answer.status).to.be.oneOf([413, 0]);
-            expect(runs()).to.deep.equal([]);
+            expect(allRuns()).to.deep.equal([]);
         });
     });
 
     describe("a request that is refused before a server is chosen", () => {
-        const lineOf = (id: string) => box.logLines.findLast(line => line.includes(`request=${id} `));
+        const logLineOf = (id: string) => box.logLines.findLast(line => line.includes(`request=${id} `));
 
-        it("leaves a line with its id and the reason when its body is too large", async () => {
+        it("is logged with its id and the reason when its body is too large", async () => {
             await ask("large", { path: "/save/", method: "POST", body: "x".repeat(1_000_001) });
-            expect(lineOf("large")).to.include("event=request.refused").and.include("refusal=bodyTooLarge");
+            expect(logLineOf("large")).to.include("event=request.refused").and.include("refusal=bodyTooLarge");
         });
 
-        it("leaves one when there is no route", async () => {
+        it("is logged when there is no route", async () => {
             await ask("nowhere", { path: "/nowhere/" });
-            expect(lineOf("nowhere")).to.include("event=request.noRoute").and.include("version=2");
+            expect(logLineOf("nowhere")).to.include("event=request.noRoute").and.include("version=2");
         });
 
-        it("leaves one when the box knows no configuration yet", async () => {
+        it("is logged when the box has no configuration yet", async () => {
             deployment.storeServer.setFault(() => ({ kind: "refused", status: 503 }));
             box = deployment.startBox();
             await waitUntil(async () => (await ask("early")).status === 503, "the box refuses");
-            expect(lineOf("early")).to.include("event=request.refused").and.include("refusal=notReady");
+            expect(logLineOf("early")).to.include("event=request.refused").and.include("refusal=notReady");
         });
     });
 
-    describe("bytes that are no proper request [P9]", () => {
-        it("get 400 and reach no server", async () => {
+    describe("malformed requests [P9]", () => {
+        it("are answered with 400 and reach no server", async () => {
             for (
                 const bytes of ["no request\r\n\r\n", `GET /lookup/ HTTP/1.1\r\nHost: ${testHost}\r\nbroken\r\n\r\n`]
             ) {
-                expect(await sendBytes(bytes)).to.match(/^HTTP\/1\.1 400 /);
+                expect(await exchangeBytes(bytes)).to.match(/^HTTP\/1\.1 400 /);
             }
-            expect(runs()).to.deep.equal([]);
+            expect(allRuns()).to.deep.equal([]);
         });
 
-        it("hide no second request behind a length and chunks", async () => {
-            const hidden = `GET /lookup/hidden HTTP/1.1\r\nHost: ${testHost}\r\nRequest-Id: hidden\r\n\r\n`;
+        it("do not smuggle in a second request by two body lengths", async () => {
+            const smuggled = `GET /lookup/hidden HTTP/1.1\r\nHost: ${testHost}\r\nRequest-Id: hidden\r\n\r\n`;
             const head = `POST /save/ HTTP/1.1\r\nHost: ${testHost}\r\nRequest-Id: outer\r\n`;
-            await sendBytes(
-                `${head}Content-Length: ${hidden.length}\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n${hidden}`,
+            await exchangeBytes(
+                `${head}Content-Length: ${smuggled.length}\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n${smuggled}`,
             );
-            await sendBytes(`${head}Content-Length: 3\r\nContent-Length: 5\r\n\r\nabc${hidden}`);
-            expect(runs().filter(run => run.requestId === "hidden")).to.deep.equal([]);
+            await exchangeBytes(`${head}Content-Length: 3\r\nContent-Length: 5\r\n\r\nabc${smuggled}`);
+            expect(allRuns().filter(run => run.requestId === "hidden")).to.deep.equal([]);
         });
 
-        it("do no harm when they are drawn at random", async () => {
+        it("cause no failure when their bytes are random", async () => {
             const random = createSeededRandom(5);
             const whole = `POST /save/ HTTP/1.1\r\nHost: ${testHost}\r\nContent-Length: 4\r\n\r\nbody`;
             for (let round = 0; round < 60; round++) {
@@ -125,14 +125,14 @@
                 for (let change = 0; change < 4; change++) {
                     bytes[Math.floor(random() * bytes.length)] = Math.floor(random() * 256);
                 }
-                await sendBytes(bytes);
+                await exchangeBytes(bytes);
             }
             expect((await ask("after")).status).to.equal(200);
         });
     });
 
-    /** Sends bytes on a connection of their own, ends it, and returns what came back. */
-    function sendBytes(bytes: string | Buffer): Promise<string> {
+    /** Sends bytes over a new connection, ends it, and returns the bytes received. */
+    function exchangeBytes(bytes: string | Buffer): Promise<string> {
         const [host, port] = box.callerAddress.split(":");
         return new Promise(resolve => {
             const socket = connect({ host, port: Number(port) });
--- a/packages/testing/test/box-customers.test.ts
+++ b/packages/testing/test/box-customers.test.ts
@@ -1,6 +1,5 @@
 /**
- * One box whose callers have keys, over real sockets: who is let in, and what of
- * it reaches the servers.
+ * One box whose callers need keys, over real sockets: which requests are admitted, and which headers reach the servers.
  */
 
 import { expect } from "chai";
@@ -15,7 +14,7 @@
     { name: "southern", keys: ["key-of-southern"], homeRegions: ["south"] },
 ];
 
-describe("a box whose callers have keys", () => {
+describe("a box whose callers need keys", () => {
     let world: OneBox;
     let version: number;
 
@@ -34,20 +33,23 @@
             [...rules, { name: "open", path: "/open/", kind: "safe", isPublic: true }],
             customers,
         );
-        await waitUntil(() => world.box.logLines.some(line => line.includes(`version=${version}`)), "it is in force");
+        await waitUntil(
+            () => world.box.logLines.some(line => line.includes(`version=${version}`)),
+            "the configuration is in force",
+        );
         await waitUntil(async () => (await ask("/lookup/")).status === 401, "the copy is confirmed");
     }
 
     const ask = (path: string, options?: Partial<ClientRequest>) => world.ask(path, options);
 
-    it("tells the server the customer, and never the key [P21]", async () => {
+    it("passes the customer on to the server, but never the key [P21]", async () => {
         expect((await ask("/lookup/", { credential: "second-key-of-club" })).status).to.equal(200);
         const [{ headers }] = world.runs();
         expect(headers.tenant).to.equal("club");
         expect(headers).not.to.have.property("credential");
     });
 
-    it("takes off what the caller wrote as customer, on public routes too [P21]", async () => {
+    it("removes the customer header that a caller sent, also on public routes [P21]", async () => {
         const forged = { extraHeaders: { Tenant: "southern", Connection: "tenant" } };
         await ask("/lookup/", { credential: "key-of-club", ...forged });
         await ask("/open/", { ...forged });
@@ -56,7 +58,7 @@
         expect(world.runs().map(run => run.headers.credential)).to.deep.equal([undefined, undefined, undefined]);
     });
 
-    it("lets no one in without a key, with an unknown one, or with two [P21]", async () => {
+    it("rejects requests without a key, with an unknown key, or with two keys [P21]", async () => {
         expect((await ask("/lookup/")).status).to.equal(401);
         for (
             const credential of [
@@ -73,7 +75,7 @@
         expect(world.runs()).to.have.length(0);
     });
 
-    it("lets no one in whatever is sent as a key, and goes on [P21]", async () => {
+    it("rejects random keys, and goes on serving [P21]", async () => {
         const text = fc.stringMatching(/^[\x21-\x7e]{0,60}$/);
         await fc.assert(
             fc.asyncProperty(text, async credential => {
@@ -84,14 +86,14 @@
         expect((await ask("/lookup/", { credential: "key-of-club" })).status).to.equal(200);
     });
 
-    it("no longer honours a key that was taken away, and honours one that was passed on [P21]", async () => {
+    it("rejects a key that was revoked, and accepts one that was moved to another customer [P21]", async () => {
         await configure([{ name: "club", keys: ["second-key-of-club"] }, { name: "other", keys: ["key-of-club"] }]);
         expect((await ask("/lookup/", { credential: "key-of-southern" })).status).to.equal(401);
         expect((await ask("/lookup/", { credential: "key-of-club" })).status).to.equal(200);
         expect(world.runs().at(-1)?.headers.tenant).to.equal("other");
     });
 
-    it("serves a customer in its homes only [P15]", async () => {
+    it("serves a customer in its home regions only [P15]", async () => {
         for (let key = 0; key < 12; key++) {
             await ask("/lookup/", { affinityKey: `k-${key}`, credential: "key-of-southern" });
         }
@@ -99,7 +101,7 @@
         expect(world.second.runs).to.have.length(12);
     });
 
-    it("writes no key into its log [P21]", async () => {
+    it("writes no key to its log [P21]", async () => {
         await ask("/lookup/", { credential: "key-of-club" });
         await ask("/lookup/", { credential: "nobody's" });
         world.misbehave({ kind: "shed" });
@@ -109,23 +111,23 @@
         expect(text).not.to.match(/key-of|nobody's/);
     });
 
-    it("does not deny a key for good while its copy is too old to know [P21]", async () => {
+    it("answers an unknown key with 503 instead of 401 while its copy is too old [P21]", async () => {
         world.deployment.storeServer.close();
         await waitUntil(
             async () => (await ask("/lookup/", { credential: "nobody's" })).status === 503,
-            "the copy is old",
+            "the copy is too old",
         );
         expect((await ask("/lookup/", { credential: "key-of-club" })).status).to.equal(200);
     });
 
     describe("with a quota", () => {
         const limited = { name: "limited", keys: ["key-of-limited"], rate: 2, burst: 3 };
-        const askTimes = async (count: number, credential: string) =>
+        const askAtOnce = async (count: number, credential: string) =>
             Promise.all(Array.from({ length: count }, () => ask("/lookup/", { credential })));
 
-        it("refuses what goes beyond it, unrun, with the time to come back, and no other customer [P22]", async () => {
+        it("refuses requests beyond it unrun and with Retry-After, and serves other customers [P22]", async () => {
             await configure([...tenants, limited]);
-            const answers = await askTimes(30, "key-of-limited");
+            const answers = await askAtOnce(30, "key-of-limited");
             const refused = answers.filter(({ status }) => status === 429);
             expect(refused.length).to.be.greaterThan(15);
             refused.forEach(({ headers }) => expect(Number(headers["retry-after"])).to.be.within(0.001, 5));
@@ -136,16 +138,16 @@
             );
         });
 
-        it("serves again once there is room", async () => {
+        it("serves again once quota is available", async () => {
             await configure([...tenants, limited]);
-            await askTimes(30, "key-of-limited");
+            await askAtOnce(30, "key-of-limited");
             await waitUntil(
                 async () => (await ask("/lookup/", { credential: "key-of-limited" })).status === 200,
-                "there is room",
+                "quota is available",
             );
         });
 
-        it("does not count what no server ran", async () => {
+        it("does not charge requests that no server ran", async () => {
             await configure([...tenants, limited]);
             world.misbehave({ kind: "shed" });
             const refusals = [];
--- a/packages/testing/test/box-limits.test.ts
+++ b/packages/testing/test/box-limits.test.ts
@@ -1,5 +1,6 @@
 /**
- * Servers that name a limit got what they got before: no box read it.
+ * Guards against boxes that ignore the rate limits of servers: a server that reported one received as many requests as
+ * before.
  */
 
 import { milliseconds } from "@chalkdale/kernel";
@@ -10,13 +11,13 @@
 
 const callers = 16;
 const keys = 40;
-/** Every so many requests of a caller are writes. */
+/** Each caller sends one write in this many requests. */
 const writeEvery = 5;
-/** Part of the limits that is used at least while more is asked for. */
-const usedPart = 0.8;
+/** Minimum fraction of the limits that boxes use while there are more requests. */
+const minUsedFraction = 0.8;
 const zones = ["north-a", "north-b", "south-a"];
 
-describe("boxes and servers that name the rate which they take [P27]", () => {
+describe("boxes and servers that report a rate limit [P27]", () => {
     let deployment: TestDeployment;
     let boxes: readonly TestBox[];
     let servers: Awaited<ReturnType<typeof startLimitingServers>>;
@@ -33,14 +34,14 @@
 
     afterEach(() => deployment.close());
 
-    /** Callers ask without pause but for `rest` milliseconds after each answer; returns all answers. */
-    async function play(duration: number, rest: number): Promise<readonly ClientAnswer[]> {
+    /** Lets all callers send requests for a time, each with a pause after each answer; returns all answers. */
+    async function sendTraffic(duration: number, pauseAfterAnswer: number): Promise<readonly ClientAnswer[]> {
         const until = performance.now() + duration;
         const answers: ClientAnswer[] = [];
         await Promise.all(Array.from({ length: callers }, async (_, caller) => {
             for (let count = 0; performance.now() < until; count++) {
                 answers.push(await ask(caller, count));
-                await pause(milliseconds(rest));
+                await pause(milliseconds(pauseAfterAnswer));
             }
         }));
         return answers;
@@ -62,32 +63,32 @@
     const servedShare = (answers: readonly ClientAnswer[]) =>
         answers.filter(({ status }) => status === 200).length / answers.length;
 
-    it("keep some servers within their limits together, and serve by the others", async () => {
-        await play(2000, 20);
+    it("keep some servers within their limits together, and use the other servers instead", async () => {
+        await sendTraffic(2000, 20);
         const limited = servers.slice(0, 3);
         limited.forEach(server => server.setLimit(1.5));
-        const answers = await play(9000, 20);
+        const answers = await sendTraffic(9000, 20);
         expect(Math.max(...limited.map(maxArrivalsInSpan))).to.be.within(1, maxAllowedArrivals(1.5));
         expect(servedShare(answers)).to.be.greaterThan(0.99);
     });
 
-    it("keep all servers of a service within their limits, and refuse the rest at once", async () => {
-        await play(2000, 20);
+    it("keep all servers of a service within their limits, and refuse other requests at once", async () => {
+        await sendTraffic(2000, 20);
         servers.forEach(server => server.setLimit(5));
         const startedAt = performance.now();
-        const answers = await play(9000, 40);
+        const answers = await sendTraffic(9000, 40);
         expect(Math.max(...servers.map(maxArrivalsInSpan))).to.be.at.most(maxAllowedArrivals(5));
         const served = answers.filter(({ status }) => status === 200).length;
-        expect(served / ((performance.now() - startedAt) / 1000)).to.be.greaterThan(12 * 5 * usedPart);
+        expect(served / ((performance.now() - startedAt) / 1000)).to.be.greaterThan(12 * 5 * minUsedFraction);
         expect(new Set(answers.map(({ status }) => status))).to.deep.equal(new Set([200, 503]));
     });
 
-    it("use servers as before once they name no limit any more", async () => {
+    it("use servers as before once they no longer report a limit", async () => {
         servers.slice(0, 3).forEach(server => server.setLimit(1.5));
-        await play(6000, 20);
+        await sendTraffic(6000, 20);
         const before = servers[0].arrivedAt.length;
         servers.slice(0, 3).forEach(server => server.setLimit(undefined));
-        await play(15_000, 20);
+        await sendTraffic(15_000, 20);
         expect(servers[0].arrivedAt.length - before).to.be.greaterThan(1.5 * 15 * 3);
     }).timeout(90_000);
 });
--- a/packages/testing/test/box-lives.test.ts
+++ b/packages/testing/test/box-lives.test.ts
@@ -1,6 +1,6 @@
 /**
- * One box and a server that starts again under its id, and entries of another writer,
- * over real sockets.
+ * One box and a server that restarts under its id, and entries in the store that are not server records, over real
+ * sockets.
  */
 
 import { expect } from "chai";
@@ -15,9 +15,9 @@
 } from "../src/standins/deployment.js";
 import { serverObject, type ServerRecordOptions } from "../src/standins/platform-objects.js";
 
-const firstBirth = 1_700_000_000_000;
+const firstBornAt = 1_700_000_000_000;
 
-describe("a box and the lives of a server", () => {
+describe("a box and the incarnations of a server", () => {
     let deployment: TestDeployment;
     let box: TestBox;
     let first: ServerStandIn;
@@ -27,8 +27,8 @@
     beforeEach(async () => {
         requests = 0;
         deployment = await startTestDeployment();
-        first = await deployment.addServer({ id: "i-1", born: firstBirth });
-        second = await deployment.addServer({ id: "i-2", born: firstBirth });
+        first = await deployment.addServer({ id: "i-1", born: firstBornAt });
+        second = await deployment.addServer({ id: "i-2", born: firstBornAt });
         deployment.configure(2, [
             { name: "lookup", path: "/lookup/", kind: "safe" },
             { name: "save", path: "/save/", kind: "unsafe" },
@@ -39,8 +39,9 @@
 
     afterEach(() => deployment.close());
 
-    const logged = (text: string) => waitUntil(() => box.logLines.some(line => line.includes(text)), text);
-    const record = (server: ServerStandIn, place: ServerRecordOptions) => deployment.writeServerRecord(server, place);
+    const waitForLogLine = (text: string) => waitUntil(() => box.logLines.some(line => line.includes(text)), text);
+    const writeRecord = (server: ServerStandIn, options: ServerRecordOptions) =>
+        deployment.writeServerRecord(server, options);
 
     async function ask(path = "/lookup/", body?: string): Promise<number> {
         requests += 1;
@@ -50,50 +51,50 @@
             .status;
     }
 
-    async function askOften(): Promise<void> {
+    async function askRepeatedly(): Promise<void> {
         for (let index = 0; index < 12; index++) {
             expect(await ask()).to.equal(200);
         }
     }
 
-    it("uses a server again that drained before it started anew", async () => {
-        record(first, { state: "draining", born: firstBirth });
-        await logged("event=server.leaving server=i-1");
+    it("uses a server again that drained before it restarted", async () => {
+        writeRecord(first, { state: "draining", born: firstBornAt });
+        await waitForLogLine("event=server.leaving server=i-1");
         const runsBefore = first.runs.length;
-        await askOften();
+        await askRepeatedly();
         expect(first.runs).to.have.length(runsBefore);
-        record(first, { born: firstBirth + 5000 });
-        await logged("event=server.restarted server=i-1");
-        await askOften();
+        writeRecord(first, { born: firstBornAt + 5000 });
+        await waitForLogLine("event=server.restarted server=i-1");
+        await askRepeatedly();
         expect(first.runs.length).to.be.greaterThan(runsBefore);
     });
 
-    it("does not use a server that drains on the word of its earlier life", async () => {
-        record(first, { state: "draining", born: firstBirth + 5000 });
-        await logged("event=server.restarted server=i-1");
+    it("does not use a draining server because of a record of its earlier incarnation", async () => {
+        writeRecord(first, { state: "draining", born: firstBornAt + 5000 });
+        await waitForLogLine("event=server.restarted server=i-1");
         const runsBefore = first.runs.length;
-        record(first, { born: firstBirth });
+        writeRecord(first, { born: firstBornAt });
         const revision = deployment.store.revision();
-        await deployment.addServer({ id: "i-3", born: firstBirth });
-        await logged("added=i-3");
+        await deployment.addServer({ id: "i-3", born: firstBornAt });
+        await waitForLogLine("added=i-3");
         expect(revision).to.be.lessThan(deployment.store.revision());
-        await askOften();
+        await askRepeatedly();
         expect(first.runs).to.have.length(runsBefore);
     });
 
-    it("sends a save to the new life on a new connection, once", async () => {
+    it("sends a write to the new incarnation once, over a new connection", async () => {
         deployment.store.delete("servers", second.id);
-        await logged("removed=i-2");
+        await waitForLogLine("removed=i-2");
         expect(await ask("/save/", "work")).to.equal(200);
         const port = Number(first.address().split(":")[1]);
         first.close();
-        const reborn = await deployment.addServer({ id: "i-1", born: firstBirth + 5000, port });
-        await logged("event=server.restarted server=i-1");
+        const restarted = await deployment.addServer({ id: "i-1", born: firstBornAt + 5000, port });
+        await waitForLogLine("event=server.restarted server=i-1");
         expect(await ask("/save/", "work")).to.equal(200);
-        expect([first.runs.length, reborn.runs.length]).to.deep.equal([1, 1]);
+        expect([first.runs.length, restarted.runs.length]).to.deep.equal([1, 1]);
     });
 
-    it("takes an entry of another writer for no server, and keeps the others", async () => {
+    it("takes entries with missing or unknown values for no servers, and keeps the others", async () => {
         const draining = serverObject(first.address(), { state: "draining" }) as object;
         const withoutSlots = Object.fromEntries(Object.entries(draining).filter(([field]) => field !== "slots"));
         deployment.store.put("servers", first.id, withoutSlots);
@@ -102,11 +103,11 @@
             state: "backedOff",
         });
         deployment.store.put("servers", "i-bytes", "\u0000\ufffd");
-        await logged("removed=i-1");
+        await waitForLogLine("removed=i-1");
         const runsBefore = first.runs.length;
-        await askOften();
+        await askRepeatedly();
         expect([first.runs.length, second.runs.length >= 12]).to.deep.equal([runsBefore, true]);
-        record(first, { born: firstBirth });
+        writeRecord(first, { born: firstBornAt });
         await waitUntil(async () => await ask() === 200 && first.runs.length > runsBefore, "i-1 is used again");
     });
 });
--- a/packages/testing/test/box-pipelining.test.ts
+++ b/packages/testing/test/box-pipelining.test.ts
@@ -1,6 +1,5 @@
 /**
- * One box and callers that send more requests over a connection before the first
- * one has its answer.
+ * One box and callers that pipeline: they send further requests over a connection before the first one is answered.
  */
 
 import { createSeededRandom } from "@chalkdale/kernel";
@@ -63,7 +62,7 @@
             ids.includes(String(headers["request-id"])) ? behaviour : { kind: "serve" }
         );
 
-    /** The answer, if it is the one to this request. */
+    /** Returns the answer; fails if the request was not answered. */
     function answerOf(outcome: PipelinedOutcome): ClientAnswer {
         expect(outcome.kind).to.equal("answered");
         return (outcome as PipelinedOutcome & { readonly kind: "answered"; }).answer;
@@ -82,11 +81,11 @@
     }
 
     describe("several safe requests [P3]", () => {
-        it("run at once, and their answers come in their order", async () => {
+        it("run at once, and are answered in their order", async () => {
             const outcomes = send(request("/slow/", "1"), request("/fast/", "2"), request("/slow/", "3"));
             let answered = 0;
             outcomes.forEach(outcome => void outcome.then(() => answered++));
-            await waitUntil(() => slow.runs.length === 2 && fast.runs.length === 1, "all run");
+            await waitUntil(() => slow.runs.length === 2 && fast.runs.length === 1, "all of them run");
             expect(answered).to.equal(0);
             for (const [index, outcome] of outcomes.entries()) {
                 const answer = await expectServed(outcome, String(index + 1));
@@ -94,7 +93,7 @@
             }
         });
 
-        it("come in parts, at any place of the bytes, and get their own answers", async () => {
+        it("are each answered correctly when they are sent in random groups", async () => {
             const random = createSeededRandom(3);
             slow.setWork(5);
             for (let round = 0; round < 20; round++) {
@@ -112,11 +111,11 @@
             }
         });
 
-        it("are in progress up to a bound", async () => {
+        it("run at once up to a bound", async () => {
             slow.setWork(15_000);
             const ids = Array.from({ length: 60 }, (_, index) => `b-${index}`);
             void connection.send(ids.map(id => request("/slow/", id)));
-            await waitUntil(() => slow.runs.length === 8, "as many as may are in progress");
+            await waitUntil(() => slow.runs.length === 8, "as many run as the bound allows");
             for (let round = 0; round < 5; round++) {
                 const other = {
                     address: box.callerAddress,
@@ -129,7 +128,7 @@
             expect(idsOf(slow)).to.deep.equal(ids.slice(0, 8));
         });
 
-        it("are all served, however many they are", async () => {
+        it("are all served, however many there are", async () => {
             slow.setWork(10);
             const ids = Array.from({ length: 300 }, (_, index) => `a-${index}`);
             const outcomes = connection.send(ids.map(id => request("/slow/", id)));
@@ -137,11 +136,11 @@
             expect(idsOf(slow)).to.have.members(ids);
         });
 
-        it("of one connection leave room for those of others", async () => {
+        it("of one connection do not block those of other connections", async () => {
             const outcomes = connection.send(Array.from({ length: 40 }, (_, index) => request("/slow/", `m-${index}`)));
             let answered = 0;
             outcomes.forEach(outcome => void outcome.then(() => answered++));
-            await waitUntil(() => slow.runs.length > 0, "some run");
+            await waitUntil(() => slow.runs.length > 0, "some of them run");
             const other = await sendRequest({
                 address: box.callerAddress,
                 host: testHost,
@@ -157,7 +156,7 @@
     describe("a request that must not run twice [P5]", () => {
         const save = (id: string) => request("/save/", id, { method: "POST", body: `body of ${id}` });
 
-        it("runs behind the ones before it, and before the ones behind it, once", async () => {
+        it("runs once, after the requests before it are answered and before those behind it start", async () => {
             let slowAnswered = 0;
             let ranBefore = -1;
             fast.setBehaviour(({ headers }) => {
@@ -174,7 +173,7 @@
             expect(fast.runs.map(run => run.body)).to.deep.equal(["body of 2", "body of 4"]);
         });
 
-        it("has not run when an answer before it closes the connection", async () => {
+        it("does not run when an earlier answer closes the connection", async () => {
             misbehave(slow, ["1"], { kind: "unframed" });
             const outcomes = send(request("/slow/", "1"), save("2"));
             await expectServed(outcomes[0], "1");
@@ -185,7 +184,7 @@
     });
 
     describe("an answer without a length [P3] [P7]", () => {
-        it("is given up for a failure while requests behind it are at servers, whose answers arrive", async () => {
+        it("is replaced by a failure while later requests are at servers, and their answers arrive", async () => {
             misbehave(slow, ["2"], { kind: "unframed" });
             const outcomes = send(request("/fast/", "1"), request("/slow/", "2"), request("/slow/", "3"));
             await expectServed(outcomes[0], "1");
@@ -194,7 +193,7 @@
             expect(connection.isOpen()).to.equal(true);
         });
 
-        it("comes as it is, and ends the connection, when nothing behind it was begun", async () => {
+        it("is passed on unchanged, and ends the connection, when no later request was started", async () => {
             misbehave(slow, ["2"], { kind: "unframed" });
             const outcomes = send(request("/slow/", "1"), request("/slow/", "2"));
             await expectServed(outcomes[0], "1");
@@ -204,15 +203,15 @@
         });
     });
 
-    describe("a refusal in the middle", () => {
-        it("of a path without a route keeps the order, and the rest is served [P10]", async () => {
+    describe("a refusal between other answers", () => {
+        it("of a path without a route keeps the order, and the others are served [P10]", async () => {
             const outcomes = send(request("/slow/", "1"), request("/nowhere/", "2"), request("/slow/", "3"));
             await expectServed(outcomes[0], "1");
             await expectRefused(outcomes[1], 404);
             await expectServed(outcomes[2], "3");
         });
 
-        it("of a body that is too large keeps the order, and the rest is served", async () => {
+        it("of a body that is too large keeps the order, and the others are served", async () => {
             const large = request("/fast/", "2", { method: "POST", body: "x".repeat(1_000_001) });
             const outcomes = send(request("/slow/", "1"), large, request("/slow/", "3"));
             await expectServed(outcomes[0], "1");
@@ -220,7 +219,7 @@
             await expectServed(outcomes[2], "3");
         });
 
-        it("of a request whose time is over keeps the order, and the rest is served [P13]", async () => {
+        it("of a request past its deadline keeps the order, and the others are served [P13]", async () => {
             misbehave(fast, ["2"], { kind: "loseAnswer", by: "silence" });
             const outcomes = send(request("/slow/", "1"), request("/brief/", "2"), request("/slow/", "3"));
             await expectServed(outcomes[0], "1");
@@ -228,13 +227,13 @@
             await expectServed(outcomes[2], "3");
         });
 
-        it("is none for an answer that was ready in time, however late it can leave", async () => {
+        it("does not replace an answer that was ready in time but is sent after the deadline", async () => {
             const outcomes = send(request("/slow/", "1"), request("/brief/", "2"));
             await expectServed(outcomes[0], "1");
             await expectServed(outcomes[1], "2");
         });
 
-        it("tells that a request did not run whose time was over before it could be begun [P4]", async () => {
+        it("says that a request did not run whose deadline passed before it could start [P4]", async () => {
             const save = request("/save/", "1", { method: "POST", body: "1" });
             fast.setWork(300);
             const outcomes = send(save, request("/brief/", "2"), request("/slow/", "3"));
@@ -247,12 +246,12 @@
 
     describe("a caller that leaves [P12]", () => {
         for (const by of ["close", "reset"] as const) {
-            it(`by a ${by} ends all of its requests, and the box has none in flight`, async () => {
+            it(`by a ${by} ends all of its requests, and leaves none in flight`, async () => {
                 slow.setWork(15_000);
                 void send(...["1", "2", "3", "4"].map(id => request("/slow/", id)));
-                await waitUntil(() => slow.runs.length === 4, "all run");
+                await waitUntil(() => slow.runs.length === 4, "all of them run");
                 connection.leave(by);
-                await waitUntil(() => slow.abortedRequests() === 4, "the work has ended");
+                await waitUntil(() => slow.abortedRequests() === 4, "the server has aborted it");
                 await box.running.stop();
                 expect(box.logLines.find(line => line.includes("event=stop.leaving"))).to.include("inFlight=0");
             });
@@ -263,13 +262,13 @@
         const tunnel = `CONNECT ${testHost}:1 HTTP/1.1\r\nHost: ${testHost}\r\n\r\n`;
 
         for (const by of ["close", "reset"] as const) {
-            it(`and leaves by a ${by} ends its request, and the box serves on`, async () => {
+            it(`and leaves by a ${by} ends its request, and the box keeps serving`, async () => {
                 slow.setWork(15_000);
                 void send(request("/slow/", "1"));
                 connection.sendBytes(tunnel);
-                await waitUntil(() => slow.runs.length === 1, "it runs");
+                await waitUntil(() => slow.runs.length === 1, "the request runs");
                 connection.leave(by);
-                await waitUntil(() => slow.abortedRequests() === 1, "the work has ended");
+                await waitUntil(() => slow.abortedRequests() === 1, "the server has aborted it");
                 const other = { address: box.callerAddress, host: testHost, path: "/fast/", requestId: "other" };
                 expect((await sendRequest(other)).status).to.equal(200);
             });
@@ -279,9 +278,9 @@
     describe("a head that Node would answer by itself", () => {
         const save = request("/save/", "3", { method: "POST", body: "3" });
 
-        it("expects to be told to go on, has no body, and ends the connection: nothing behind it runs [P5]", async () => {
-            const asks = request("/slow/", "2", { headers: { Expect: "100-continue" } });
-            const outcomes = send(request("/slow/", "1"), asks, save);
+        it("expects 100-continue, has no body, and ends the connection: no later request runs [P5]", async () => {
+            const expecting = request("/slow/", "2", { headers: { Expect: "100-continue" } });
+            const outcomes = send(request("/slow/", "1"), expecting, save);
             await expectServed(outcomes[0], "1");
             expect((await expectServed(outcomes[1], "2")).headers.connection).to.equal("close");
             expect((await outcomes[2]).kind).to.equal("unread");
@@ -289,7 +288,7 @@
             expect(idsOf(fast)).to.deep.equal([]);
         });
 
-        it("names no host, and ends the connection: nothing behind it runs [P5]", async () => {
+        it("has no host, and ends the connection: no later request runs [P5]", async () => {
             const [first] = send(request("/slow/", "1"));
             connection.sendBytes("GET /slow/ HTTP/1.1\r\nRequest-Id: 2\r\n\r\n");
             const [behind] = send(save);
@@ -300,18 +299,18 @@
             expect(idsOf(slow)).to.deep.equal(["1"]);
         });
 
-        it("expects what no one knows, and is served as others are", async () => {
-            const odd = request("/slow/", "2", { headers: { Expect: "other" } });
-            const outcomes = send(request("/slow/", "1"), odd, save);
+        it("has an unknown expectation, and is served like others", async () => {
+            const unknown = request("/slow/", "2", { headers: { Expect: "other" } });
+            const outcomes = send(request("/slow/", "1"), unknown, save);
             await expectServed(outcomes[0], "1");
             await expectServed(outcomes[1], "2");
             await expectServed(outcomes[2], "3");
             expect(idsOf(fast)).to.deep.equal(["3"]);
         });
 
-        it("asks for another protocol, is served, and ends the connection: nothing behind it is lost [P5]", async () => {
-            const odd = request("/slow/", "2", { headers: { Upgrade: "other", Connection: "upgrade" } });
-            const outcomes = send(request("/slow/", "1"), odd, save);
+        it("asks for an upgrade, is served, and ends the connection: no later request runs [P5]", async () => {
+            const unknown = request("/slow/", "2", { headers: { Upgrade: "other", Connection: "upgrade" } });
+            const outcomes = send(request("/slow/", "1"), unknown, save);
             await expectServed(outcomes[0], "1");
             expect((await expectServed(outcomes[1], "2")).headers.connection).to.equal("close");
             expect((await outcomes[2]).kind).to.equal("unread");
@@ -320,9 +319,9 @@
     });
 
     describe("a planned stop [P7]", () => {
-        it("answers all that is in progress, and closes with the last answer", async () => {
+        it("answers all requests in progress, and closes with the last answer", async () => {
             const outcomes = send(...["1", "2", "3"].map(id => request("/slow/", id)));
-            await waitUntil(() => slow.runs.length === 3, "all run");
+            await waitUntil(() => slow.runs.length === 3, "all of them run");
             const stopped = box.running.stop();
             const closes: unknown[] = [];
             for (const [index, outcome] of outcomes.entries()) {
@@ -334,9 +333,9 @@
             expect(box.logLines.find(line => line.includes("event=stop.ended"))).to.include("inFlight=0");
         });
 
-        it("passes on nothing that comes behind what is in progress", async () => {
+        it("starts no request that arrives behind those in progress", async () => {
             const [first] = send(request("/slow/", "1"));
-            await waitUntil(() => slow.runs.length === 1, "it runs");
+            await waitUntil(() => slow.runs.length === 1, "the request runs");
             const stopped = box.running.stop();
             const behind = send(request("/fast/", "2"), request("/save/", "3", { method: "POST", body: "3" }));
             await expectServed(first, "1");
@@ -346,13 +345,13 @@
         });
     });
 
-    describe("bytes that are no request, behind good ones [P9]", () => {
+    describe("malformed requests behind valid ones [P9]", () => {
         for (
             const [name, bytes] of [
-                ["are no head at all", "this is no request\r\n\r\n"],
+                ["are no HTTP head", "this is no request\r\n\r\n"],
                 ["ask for a tunnel", `CONNECT ${testHost}:1 HTTP/1.1\r\nHost: ${testHost}\r\n\r\n`],
                 [
-                    "have a length twice",
+                    "have two lengths",
                     `POST /save/ HTTP/1.1\r\nHost: ${testHost}\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde`,
                 ],
                 [
@@ -360,12 +359,12 @@
                     `POST /save/ HTTP/1.1\r\nHost: ${testHost}\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n`,
                 ],
                 [
-                    "have a chunk that is none",
+                    "have a malformed chunk",
                     `POST /save/ HTTP/1.1\r\nHost: ${testHost}\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n`,
                 ],
             ] as const
         ) {
-            it(`and ${name} end the connection after the answers before them`, async () => {
+            it(`that ${name} end the connection after the earlier answers`, async () => {
                 const hidden = `GET /fast/ HTTP/1.1\r\nHost: ${testHost}\r\nRequest-Id: hidden\r\n\r\n`;
                 const outcomes = send(request("/slow/", "1"), request("/slow/", "2"));
                 connection.sendBytes(bytes + hidden);
@@ -388,26 +387,29 @@
             expect(fast.runs).to.deep.equal([]);
         });
 
-        it("do no harm to the answers before them when they are drawn at random", async () => {
+        it("do not affect earlier answers when their bytes are random", async () => {
             const random = createSeededRandom(8);
             slow.setWork(5);
             for (let round = 0; round < 40; round++) {
-                const own = openPipeline(box.callerAddress);
+                const pipeline = openPipeline(box.callerAddress);
                 const bytes = Buffer.from(`POST /save/ HTTP/1.1\r\nHost: ${testHost}\r\nContent-Length: 4\r\n\r\nbody`);
                 for (let change = 0; change < 4; change++) {
                     bytes[Math.floor(random() * bytes.length)] = Math.floor(random() * 128);
                 }
-                const [first, second] = own.send([request("/slow/", `r-${round}`), request("/fast/", `s-${round}`)]);
-                own.sendBytes(bytes.toString("latin1"));
+                const [first, second] = pipeline.send([
+                    request("/slow/", `r-${round}`),
+                    request("/fast/", `s-${round}`),
+                ]);
+                pipeline.sendBytes(bytes.toString("latin1"));
                 await expectServed(first, `r-${round}`);
                 await expectServed(second, `s-${round}`);
-                own.leave("close");
+                pipeline.leave("close");
             }
         });
     });
 
-    describe("a caller that says that a request is its last", () => {
-        it("gets the answers before it and its own, and nothing behind it", async () => {
+    describe("a caller that sends Connection: close with a request", () => {
+        it("receives the answers up to that request, and none of later ones", async () => {
             const last = request("/fast/", "2", { headers: { Connection: "close" } });
             const outcomes = send(request("/slow/", "1"), last, request("/fast/", "3"));
             await expectServed(outcomes[0], "1");
--- a/packages/testing/test/box-poison-requests.test.ts
+++ b/packages/testing/test/box-poison-requests.test.ts
@@ -1,12 +1,12 @@
 /**
- * A request ends each server that begins to run it, and its caller sends it again and again, under
- * another id each time and to any box. Each box took it for a new request: it chose a server, sent a read to a second one
- * when the first had ended, and forgot it with the answer. Nothing but its id told it from others, so
- * neither one box nor all of them together could know that servers end under it.
+ * Guards against a poison request that crashes one server after another. Its caller repeats it with a new id each time,
+ * at any box. A box that tells requests apart by their ids only takes each repeat for a new request, chooses another
+ * server for it, and retries a read at a second server when the first one has crashed. Neither one box nor all of them
+ * together can then notice that servers crash under it.
  *
- * In a run of nine boxes and 24 servers 28 servers ended within 7 s, and 18 to 20 sends came later than 3 s after the third
- * end: `route=r-wg5e7ry server=i-84b820af6b sent=1 reason="socket hang up"`, then the same route at i-aff12660e7,
- * i-51ec4b8835, i-5d1bccdd35 and so on, from five boxes. With four boxes and 16 servers here, 66 to 77 end in 10 s.
+ * Without a record of such requests, 28 crashes of 24 servers followed within 7 s with nine boxes, and 18 to 20 sends
+ * arrived later than 3 s after the third crash. With the four boxes and 16 servers of this test, 66 to 77 crashes
+ * followed within 10 s.
  */
 
 import { milliseconds } from "@chalkdale/kernel";
@@ -22,20 +22,20 @@
     waitUntil,
 } from "../src/standins/deployment.js";
 
-/** Milliseconds after the third end from which boxes that are in touch keep the request from servers. */
-const contact = 3000;
-/** Sends beyond which that is broken. */
-const mostLaterSends = 3;
-/** Milliseconds between two repeats of the deadly request. */
-const repeatPause = 100;
-/** Milliseconds for which it comes. */
-const repeatTime = 7000;
-/** Body under which a write ends its server; with another one the same write is harmless. */
-const deadlyBody = "a climb";
-/** Callers that ask for other things meanwhile. */
+/** Milliseconds after the third crash from which connected boxes must send the request to no server. */
+const enforcedAfter = 3000;
+/** Number of later sends that is tolerated. */
+const maxLateSends = 3;
+/** Milliseconds between two repeats of the poison request. */
+const repeatInterval = 100;
+/** Milliseconds for which it is repeated. */
+const repeatDuration = 7000;
+/** Body with which a write crashes its server; with another body it is harmless. */
+const poisonBody = "a climb";
+/** Callers that send other requests meanwhile. */
 const otherCallers = 12;
 
-describe("boxes and a request that ends the servers that run it [P26]", () => {
+describe("boxes and a request that crashes the servers that run it [P26]", () => {
     let deployment: TestDeployment;
     let boxes: readonly TestBox[];
     let servers: CrashingServers;
@@ -50,7 +50,7 @@
             work: 60,
             isPoisonRequest: ({ headers, url }) =>
                 url === "/look/deadly"
-                || url === "/save/deadly" && headers["content-length"] === String(deadlyBody.length),
+                || url === "/save/deadly" && headers["content-length"] === String(poisonBody.length),
         });
         deployment.configure(2, [
             { name: "look", path: "/look/", kind: "safe" },
@@ -72,9 +72,9 @@
         return sendRequest({ address: box.callerAddress, host: testHost, path, method, body, requestId, affinityKey });
     }
 
-    /** Sends the deadly request again and again while others ask for other things; returns the share of these that is served. */
-    async function play(send: (index: number) => Promise<ClientAnswer>): Promise<number> {
-        const until = performance.now() + repeatTime;
+    /** Repeats the poison request while other callers send other requests; returns the fraction of those served. */
+    async function repeatPoisonRequest(send: (index: number) => Promise<ClientAnswer>): Promise<number> {
+        const until = performance.now() + repeatDuration;
         const others: ClientAnswer[] = [];
         const callers = Array.from({ length: otherCallers }, async (_, caller) => {
             for (let index = 0; performance.now() < until; index++) {
@@ -82,55 +82,55 @@
                 await pause(milliseconds(40));
             }
         });
-        const deadly: Promise<ClientAnswer>[] = [];
+        const poisonAnswers: Promise<ClientAnswer>[] = [];
         while (performance.now() < until) {
-            deadly.push(send(deadly.length));
-            await pause(milliseconds(repeatPause));
+            poisonAnswers.push(send(poisonAnswers.length));
+            await pause(milliseconds(repeatInterval));
         }
-        await Promise.all([...callers, ...deadly]);
+        await Promise.all([...callers, ...poisonAnswers]);
         return others.filter(({ status }) => status === 200).length / others.length;
     }
 
-    function laterSends(): number {
+    function countLateSends(): number {
         const third = servers.crashedAt.at(2) ?? Infinity;
-        return servers.poisonArrivedAt.filter(at => at > third + contact).length;
+        return servers.poisonArrivedAt.filter(at => at > third + enforcedAfter).length;
     }
 
-    const inTurn = (index: number) => boxes[index % boxes.length];
+    const boxInTurn = (index: number) => boxes[index % boxes.length];
 
-    it("keep a read from servers once three have ended under it", async () => {
-        await play(index => ask(inTurn(index), "/look/deadly"));
+    it("stop sending a read to servers once three have crashed under it", async () => {
+        await repeatPoisonRequest(index => ask(boxInTurn(index), "/look/deadly"));
         expect(servers.crashedAt.length).to.be.at.least(3);
-        expect(laterSends()).to.be.at.most(mostLaterSends);
+        expect(countLateSends()).to.be.at.most(maxLateSends);
     });
 
-    it("keep it from servers if all repeats come to one box", async () => {
-        await play(() => ask(boxes[0], "/look/deadly"));
+    it("stop sending it if all repeats arrive at one box", async () => {
+        await repeatPoisonRequest(() => ask(boxes[0], "/look/deadly"));
         expect(servers.crashedAt.length).to.be.at.least(3);
-        expect(laterSends()).to.be.at.most(mostLaterSends);
+        expect(countLateSends()).to.be.at.most(maxLateSends);
     });
 
-    it("keep a write from servers once three have ended under it, and serve it with another body", async () => {
+    it("stop sending a write to servers once three have crashed under it, and serve it with another body", async () => {
         let harmless: ClientAnswer | undefined;
-        await play(async index => {
-            const answer = await ask(inTurn(index), "/save/deadly", deadlyBody);
-            harmless = await ask(inTurn(index), "/save/deadly", "another climb");
+        await repeatPoisonRequest(async index => {
+            const answer = await ask(boxInTurn(index), "/save/deadly", poisonBody);
+            harmless = await ask(boxInTurn(index), "/save/deadly", "another climb");
             return answer;
         });
         expect(servers.crashedAt.length).to.be.at.least(3);
-        expect(laterSends()).to.be.at.most(mostLaterSends);
+        expect(countLateSends()).to.be.at.most(maxLateSends);
         expect(harmless?.status).to.equal(200);
     });
 
-    it("serve a popular read while servers that have it end by themselves", async () => {
-        const ending = setInterval(servers.crashOne, 600);
+    it("serve a popular read while servers that run it crash for another reason", async () => {
+        const crashTimer = setInterval(servers.crashOne, 600);
         const popular: ClientAnswer[] = [];
-        const asking = setInterval(() => {
-            void ask(inTurn(requests), "/look/popular").then(answer => popular.push(answer));
+        const requestTimer = setInterval(() => {
+            void ask(boxInTurn(requests), "/look/popular").then(answer => popular.push(answer));
         }, 20);
-        await play(index => ask(inTurn(index), "/look/other"));
-        clearInterval(asking);
-        clearInterval(ending);
+        await repeatPoisonRequest(index => ask(boxInTurn(index), "/look/other"));
+        clearInterval(requestTimer);
+        clearInterval(crashTimer);
         await waitUntil(() => popular.length > 250, "most are answered");
         expect(popular.filter(({ status }) => status !== 200)).to.deep.equal([]);
     });
--- a/packages/testing/test/box-program.test.ts
+++ b/packages/testing/test/box-program.test.ts
@@ -1,5 +1,5 @@
 /**
- * The box's program as the platform starts it.
+ * The box's program in its own process, as the platform starts it.
  */
 
 import { expect } from "chai";
@@ -28,7 +28,7 @@
 
 describe("the box's program", () => {
     let folder: string;
-    /** What a test has started; it ends also when the test fails, or the run of all tests would not end. */
+    /** Stops what a test has started, also when it fails: otherwise the test run would not end. */
     let cleanUps: (() => Promise<void>)[];
 
     beforeEach(() => {
@@ -41,19 +41,19 @@
         rmSync(folder, { recursive: true });
     });
 
-    it("ends with status 3 and a reason when no settings file is named", async () => {
+    it("exits with status 3 and a reason when no settings file is named", async () => {
         const { status, output } = await run(undefined);
         expect(status).to.equal(3);
         expect(output).to.include("event=settings.missing");
     });
 
-    it("ends with status 3 and a reason when the file can't be read", async () => {
+    it("exits with status 3 and a reason when the file can't be read", async () => {
         const { status, output } = await run(join(folder, "none"));
         expect(status).to.equal(3);
         expect(output).to.include("event=settings.unreadable");
     });
 
-    it("serves on while nobody reads its log", async () => {
+    it("keeps serving while nobody reads its log", async () => {
         const deployment = await startTestDeployment();
         await deployment.addServer({ id: "i-1" });
         deployment.configure(2, [{ name: "lookup", path: "/lookup/", kind: "safe" }]);
@@ -77,8 +77,8 @@
         });
         const ask = (path: string) =>
             sendRequest({ address: box.callerAddress, host: testHost, path, requestId: "p-1" });
-        await waitUntil(async () => (await ask("/lookup/")).status === 200, "it serves");
-        // Each line names the path, so that the lines of one second fill the pipe.
+        await waitUntil(async () => (await ask("/lookup/")).status === 200, "the box serves");
+        // Each log line contains the path; the lines of one second fill the pipe.
         const longPath = `/nowhere/${"x".repeat(60_000)}`;
         for (let count = 0; count < 20; count++) {
             expect((await ask(longPath)).status).to.equal(404);
@@ -86,7 +86,7 @@
         expect((await ask("/lookup/")).status).to.equal(200);
     });
 
-    it("ends with status 3 and a line for each fault when the settings are wrong", async () => {
+    it("exits with status 3 and a line for each fault when the settings are invalid", async () => {
         const file = join(folder, "boot.conf");
         writeFileSync(file, "node_name=a\nzone=z\n");
         const { status, output } = await run(file);
--- a/packages/testing/test/box-requests.test.ts
+++ b/packages/testing/test/box-requests.test.ts
@@ -1,6 +1,6 @@
 /**
- * One box on the users' platform, over real sockets: what callers get, and what
- * reaches the servers.
+ * One box on the users' platform, over real sockets: the answers that callers receive, and the requests that reach
+ * servers.
  */
 
 import { createSeededRandom } from "@chalkdale/kernel";
@@ -31,7 +31,7 @@
     const runs = () => world.runs();
 
     describe("a request of each kind", () => {
-        it("reaches a server unchanged, and its answer comes back unchanged [P3] [P9]", async () => {
+        it("reaches a server unchanged, and the caller receives the answer unchanged [P3] [P9]", async () => {
             const answer = await ask("/save/a?b=c", { method: "POST", body: "a climb", requestId: "x-1" });
             const [run] = runs();
             expect(answer.status).to.equal(200);
@@ -51,7 +51,7 @@
             expect(runs()[0].body).to.equal("in chunks");
         });
 
-        it("hands on what is left of the deadline [P11]", async () => {
+        it("passes on the time left until the deadline [P11]", async () => {
             await ask("/lookup/", { deadlineMs: 900 });
             await ask("/lookup/", { deadlineMs: 9000 });
             const [short, long] = runs().map(run => Number(run.headers["deadline-ms"]));
@@ -69,7 +69,7 @@
     });
 
     describe("requests on one object", () => {
-        it("come to one server, which knows it from the second on", async () => {
+        it("go to one server, where the key is warm from the second on", async () => {
             for (let count = 0; count < 6; count++) {
                 await ask("/lookup/", { affinityKey: "same" });
             }
@@ -77,7 +77,7 @@
             expect(runs().map(run => run.warm)).to.deep.equal([false, true, true, true, true, true]);
         });
 
-        it("use one connection one after the other", async () => {
+        it("use one connection in turn", async () => {
             for (let count = 0; count < 6; count++) {
                 await ask("/lookup/");
             }
@@ -92,7 +92,7 @@
             expect((await ask("/brief/")).status).to.equal(504);
         });
 
-        it("ends a request whose body does not come, as not run [P13]", async () => {
+        it("ends a request whose body does not arrive, as not run [P13]", async () => {
             const socket = connect(Number(box.callerAddress.split(":")[1]), "127.0.0.1");
             const head =
                 `POST /brief/ HTTP/1.1\r\nHost: ${testHost}\r\nRequest-Id: b-1\r\nContent-Length: 9\r\n\r\npart`;
@@ -115,7 +115,7 @@
     });
 
     describe("the configuration", () => {
-        it("is divided between the parts of a split by weight [P20]", async () => {
+        it("divides requests among the destinations of a split by weight [P20]", async () => {
             const split = [{ service: "profiles", weight: 75 }, { service: "packs", weight: 25 }];
             deployment.configure(3, [{ ...rules[0], split }]);
             await waitUntil(() => box.logLines.some(line => line.includes("version=3")), "the version is in force");
@@ -125,24 +125,27 @@
             expect(runs()).to.have.length(15);
         });
 
-        it("that is older, or can't be understood, leaves the last one in force [P8]", async () => {
+        it("stays in force when an older or an unreadable one is written [P8]", async () => {
             deployment.configure(9, [{ ...rules[0], path: "/new/" }]);
             await waitUntil(() => box.logLines.some(line => line.includes("version=9")), "the version is in force");
             deployment.store.put("config", "main", { version: "0000000a", listeners: "nonsense" });
             deployment.configure(3, rules);
             deployment.store.put("evacuations", "north-b", {});
-            await waitUntil(() => box.logLines.some(line => line.includes("closed=north-b")), "the box has read on");
+            await waitUntil(
+                () => box.logLines.some(line => line.includes("closed=north-b")),
+                "the box has read later changes",
+            );
             await waitUntil(
                 () => box.logLines.some(line => line.includes("event=object.unreadable kind=configuration")),
-                "the box tells",
+                "the box logs the unreadable one",
             );
             expect((await ask("/new/")).status).to.equal(200);
             expect((await ask("/lookup/")).status).to.equal(404);
         });
     });
 
-    describe("callers who ask where to go", () => {
-        it("are told the box, and for how long", async () => {
+    describe("callers that look up boxes", () => {
+        it("receive the box's address and how long it is valid", async () => {
             const found = await lookUp(box.directoryAddress, { name: testHost, region: "north", zone: "north-a" });
             expect(found).to.deep.equal({ status: 200, addresses: [box.callerAddress], ttl: "2000ms" });
             expect(
@@ -158,7 +161,7 @@
 
     describe("clients that look up first", () => {
         for (const pooled of [true, false]) {
-            it(`are served over ${pooled ? "kept" : "new"} connections, and retry what was refused`, async () => {
+            it(`are served over ${pooled ? "reused" : "new"} connections, and retry what was refused`, async () => {
                 const client = createClient({
                     directories: [box.directoryAddress],
                     region: "north",
@@ -178,7 +181,7 @@
     });
 
     describe("a planned stop", () => {
-        it("cuts no request in flight, and is not named or ready meanwhile [P7]", async () => {
+        it("completes requests in flight, and look-ups do not list the box meanwhile [P7]", async () => {
             first.setWork(200);
             second.setWork(200);
             const inFlight = ask("/lookup/");
--- a/packages/testing/test/box-rollouts.test.ts
+++ b/packages/testing/test/box-rollouts.test.ts
@@ -1,13 +1,12 @@
 /**
- * Roll-outs of server versions, over real sockets, while versions are good and
- * bad and the store misbehaves.
+ * Roll-outs of good and bad server versions, over real sockets, also while the store fails.
  */
 
 import { milliseconds } from "@chalkdale/kernel";
 import { expect } from "chai";
 import { pause, waitUntil } from "../src/standins/deployment.js";
 import type { StoreFault } from "../src/standins/metadata-store-server.js";
-import { exposure, type RolloutWorld, settled, startRolloutWorld } from "./rollout-world.js";
+import { exposure, type RolloutWorld, startRolloutWorld, waitForArrivals } from "./rollout-world.js";
 
 describe("a roll-out", () => {
     let world: RolloutWorld;
@@ -18,31 +17,32 @@
 
     afterEach(() => world.close());
 
-    const failTarget = (part = 1) =>
+    const failTarget = (fraction = 1) =>
         world.target.forEach(server =>
-            server.setBehaviour(() => Math.random() < part ? { kind: "fail", status: 500 } : { kind: "serve" })
+            server.setBehaviour(() => Math.random() < fraction ? { kind: "fail", status: 500 } : { kind: "serve" })
         );
-    /** Expects that the target gets nothing more, and had no more than the bound allows by then. */
-    const expectStopped = async (allBefore: number) => {
-        await settled();
+    /** Expects that the target received no more requests than its bound, and receives no further ones. */
+    const expectStopped = async (allRunsBefore: number) => {
+        await waitForArrivals();
         const runs = world.targetRuns();
-        expect(runs).to.be.at.most(exposure.share * (world.allRuns() - allBefore) + exposure.slack);
+        expect(runs).to.be.at.most(exposure.share * (world.allRuns() - allRunsBefore) + exposure.slack);
         await pause(milliseconds(1000));
         expect(world.targetRuns()).to.equal(runs);
     };
     const onStatusWrites = (fault: StoreFault) =>
         world.deployment.storeServer.setFault(call => call.isStatus ? fault : { kind: "none" });
-    const logged = (event: string) =>
+    const linesOf = (event: string) =>
         world.boxes.flatMap(box => box.logLines.filter(line => line.includes(`event=${event}`)));
-    const trialRuns = (count = 5) => waitUntil(() => world.targetRuns() >= count, "the version is tried");
+    const waitForTrialRuns = (count = 5) =>
+        waitUntil(() => world.targetRuns() >= count, "the version receives requests");
 
     describe("of a good version", () => {
-        it("completes, and all requests move without one lost [P25]", async () => {
+        it("completes, and all requests move to it without a loss [P25]", async () => {
             await world.addTarget();
             world.order();
             await world.written("running");
             await world.written("completed");
-            await settled();
+            await waitForArrivals();
             const oldRuns = world.old.map(({ runs }) => runs.length);
             world.old.forEach(server => {
                 world.deployment.store.delete("servers", server.id);
@@ -52,45 +52,45 @@
             expect(world.old.map(({ runs }) => runs.length)).to.deep.equal(oldRuns);
             await world.callers.stop();
             expect([...world.callers.statuses.keys()]).to.deep.equal([200]);
-            expect(logged("rollout.moving")).to.have.length.greaterThan(0);
+            expect(linesOf("rollout.moving")).to.have.length.greaterThan(0);
         });
 
-        it("sends it nothing before the order, and begins when the order comes [P23]", async () => {
+        it("sends no requests to it before the order, and begins with the order [P23]", async () => {
             await world.addTarget();
             await pause(milliseconds(700));
             expect(world.targetRuns()).to.equal(0);
             world.order();
-            await trialRuns();
+            await waitForTrialRuns();
             expect(world.state()).to.equal("running");
         });
 
-        it("begins when its servers come after the order [P23]", async () => {
+        it("begins when its servers are added after the order [P23]", async () => {
             world.order("12s");
             await pause(milliseconds(700));
             await world.addTarget();
-            await trialRuns();
+            await waitForTrialRuns();
             await world.written("completed");
         });
 
-        it("completes though answers of the store are lost [P24]", async () => {
+        it("completes although answers of the store are lost [P24]", async () => {
             await world.addTarget();
             onStatusWrites({ kind: "answerLost" });
             world.order();
             await world.written("completed");
-            expect(logged("rollout.writeFailed")).to.have.length.greaterThan(0);
+            expect(linesOf("rollout.writeFailed")).to.have.length.greaterThan(0);
         });
 
-        it("completes though writes are done only late [P24]", async () => {
+        it("completes although the store performs writes late [P24]", async () => {
             await world.addTarget();
             onStatusWrites({ kind: "late", afterMs: 300 });
             world.order();
             await world.written("completed");
         });
 
-        it("completes though the box that decides leaves", async () => {
+        it("completes although the deciding box leaves", async () => {
             await world.addTarget();
             world.order("12s");
-            await trialRuns();
+            await waitForTrialRuns();
             const decider = world.boxes.findIndex(box =>
                 box.logLines.some(line => line.includes("event=rollout.deciding"))
             );
@@ -101,14 +101,14 @@
     });
 
     describe("of a bad version", () => {
-        it("is rolled back, and the version gets nothing more [P23] [P25]", async () => {
+        it("is rolled back, and the version receives no further requests [P23] [P25]", async () => {
             await world.addTarget();
             failTarget();
             const before = world.allRuns();
             world.order("20s");
             await world.written("rolled_back");
             await expectStopped(before);
-            expect(logged("rollout.rolledBack")).to.have.length.greaterThan(0);
+            expect(linesOf("rollout.rolledBack")).to.have.length.greaterThan(0);
         });
 
         it("is rolled back when it is several times slower", async () => {
@@ -127,7 +127,7 @@
             world.order("12s");
             await world.written("rolled_back");
             await expectStopped(before);
-            expect(logged("rollout.rolledBack").join()).to.include("bad by slowness");
+            expect(linesOf("rollout.rolledBack").join()).to.include("bad by slowness");
         });
 
         it("is rolled back when it fails on one route only", async () => {
@@ -147,21 +147,24 @@
             await world.addTarget();
             const before = world.allRuns();
             world.order("12s");
-            await trialRuns(25);
+            await waitForTrialRuns(25);
             failTarget();
             await world.written("rolled_back");
             await expectStopped(before);
         });
 
-        it("gets nothing more while the store is down, which says so once it is back [P25]", async () => {
+        it("receives no further requests while the store is down, and is rolled back afterwards [P25]", async () => {
             await world.addTarget();
             const before = world.allRuns();
             world.order("14s");
-            await trialRuns();
+            await waitForTrialRuns();
             world.deployment.storeServer.setFault(() => ({ kind: "refused", status: 503 }));
             world.deployment.store.dropWatches();
             failTarget();
-            await waitUntil(() => logged("rollout.decided").length >= world.boxes.length, "all boxes heard");
+            await waitUntil(
+                () => linesOf("rollout.decided").length >= world.boxes.length,
+                "all boxes know of the decision",
+            );
             await expectStopped(before);
             expect(world.state()).to.equal("running");
             world.deployment.storeServer.setFault(() => ({ kind: "none" }));
@@ -170,36 +173,39 @@
     });
 
     describe("that is interrupted", () => {
-        it("goes on within its bound after all boxes were started anew [P23]", async () => {
+        it("goes on within its bound after a restart of all boxes [P23]", async () => {
             await world.addTarget();
             failTarget(0.2);
             const before = world.allRuns();
             world.order("14s");
-            await trialRuns();
+            await waitForTrialRuns();
             await world.restartAll();
             await world.written("rolled_back");
             await expectStopped(before);
         });
 
-        it("by a second order tries only the newer version, and that one gets the outcome [P24]", async () => {
+        it("by a second order tries only the newer version, and the outcome is for that one [P24]", async () => {
             await world.addTarget();
             world.order("20s");
-            await trialRuns();
+            await waitForTrialRuns();
             const third = await world.deployment.addServer({ id: "i-third", version: "v3", slots: 8 });
             world.deployment.orderRollout("profiles", "v3", "8s");
-            await waitUntil(() => third.runs.length > 0, "the newer version is tried");
+            await waitUntil(() => third.runs.length > 0, "the newer version receives requests");
             const runs = world.targetRuns();
             await world.written("completed");
             expect(world.targetRuns()).to.equal(runs);
         });
 
-        it("by its deletion goes back to the version before", async () => {
+        it("by its deletion returns to the previous version", async () => {
             await world.addTarget();
             world.order("20s");
-            await trialRuns();
+            await waitForTrialRuns();
             world.deployment.store.delete("rollouts", "profiles");
-            await waitUntil(() => logged("rollout.gone").length >= world.boxes.length, "all boxes know");
-            await settled();
+            await waitUntil(
+                () => linesOf("rollout.gone").length >= world.boxes.length,
+                "all boxes know of the deletion",
+            );
+            await waitForArrivals();
             const runs = world.targetRuns();
             await pause(milliseconds(700));
             expect(world.targetRuns()).to.equal(runs);
--- a/packages/testing/test/box-server-notices.test.ts
+++ b/packages/testing/test/box-server-notices.test.ts
@@ -1,6 +1,6 @@
 /**
- * Servers whose answers say that they are leaving got requests until their record said it; those that ask a
- * box for rest got its requests as before.
+ * Guards against boxes that ignore what servers announce in their answers: servers that announced a shutdown received
+ * requests until their records said so too, and servers that asked a box for back-off received its requests as before.
  */
 
 import { milliseconds } from "@chalkdale/kernel";
@@ -11,40 +11,40 @@
 
 const callers = 16;
 const keys = 40;
-/** Every so many requests of a caller are writes. */
+/** Each caller sends one write in this many requests. */
 const writeEvery = 5;
 const serverCount = 12;
 const zones = ["north-a", "north-b", "south-a"];
-/** Milliseconds after it has passed on such an answer, from when a box must send the server nothing more. */
-const drain = 2500;
+/** Milliseconds after a box passes on an answer that announces a shutdown, from which it must not use the server. */
+const leavingGracePeriod = 2500;
 
-/** Milliseconds for which servers turn requests away, of the rest that they ask for then, and after which it is to be kept. */
-const turnsAwayFor = 800;
-const rest = 3000;
-const toldAfter = 500;
-/** Requests of a box that a server bears in its rest. */
-const mostAllowedInRest = 2;
+/** Milliseconds: how long servers refuse, the back-off that they ask for, and the time until boxes must respect it. */
+const refusesFor = 800;
+const backoff = 3000;
+const respectedAfter = 500;
+/** Requests of one box that a server tolerates during a back-off. */
+const toleratedInBackoff = 2;
 
-/** A request that came to a server: from which box, and when. */
+/** The arrival of a request at a server: address of its box, and time in milliseconds of `performance.now`. */
 interface Arrival {
     readonly box: string;
     readonly at: number;
 }
 
-/** What came to a server, and of that what it answered by asking for rest. */
-interface RestingServer {
-    readonly asked: readonly Arrival[];
+/** The arrivals at a server, and those of them that it refused with a back-off. */
+interface BackoffServer {
+    readonly refusedWithBackoff: readonly Arrival[];
     readonly arrived: readonly Arrival[];
 }
 
-/** One request as its caller saw it; times in milliseconds of the steady clock. */
-interface PlayedRequest extends ClientAnswer {
+/** One request as its caller saw it; times are in milliseconds of `performance.now`. */
+interface CallerRequest extends ClientAnswer {
     readonly box: number;
     readonly sentAt: number;
     readonly answeredAt: number;
 }
 
-describe("boxes and what servers say of themselves in their answers", () => {
+describe("boxes and notices in the answers of servers", () => {
     let deployment: TestDeployment;
     let boxes: readonly TestBox[];
     let servers: readonly ServerStandIn[];
@@ -66,20 +66,20 @@
 
     afterEach(() => deployment.close());
 
-    /** Callers ask without pause for so long, each request at another box. */
-    async function play(duration: number): Promise<readonly PlayedRequest[]> {
+    /** Lets all callers send requests for a time, each one to the next box in turn. */
+    async function sendTraffic(duration: number): Promise<readonly CallerRequest[]> {
         const until = performance.now() + duration;
-        const played: PlayedRequest[] = [];
+        const requests: CallerRequest[] = [];
         await Promise.all(Array.from({ length: callers }, async (_, caller) => {
             for (let count = 0; performance.now() < until; count++) {
-                played.push(await ask(caller, count));
+                requests.push(await ask(caller, count));
                 await pause(milliseconds(20));
             }
         }));
-        return played;
+        return requests;
     }
 
-    async function ask(caller: number, count: number): Promise<PlayedRequest> {
+    async function ask(caller: number, count: number): Promise<CallerRequest> {
         const isWrite = count % writeEvery === 0;
         const box = (caller + count) % boxes.length;
         const sentAt = performance.now();
@@ -95,75 +95,76 @@
         return { ...answer, box, sentAt, answeredAt: performance.now() };
     }
 
-    /** Requests that a server ran later than the bound after their box had passed on an answer of it. */
-    function lateRequests(played: readonly PlayedRequest[], server: ServerStandIn): readonly PlayedRequest[] {
-        const ofServer = played.filter(({ body }) => body.startsWith(`answer of ${server.id} to `));
+    /** Requests that a server ran later than the grace period after its first answer that their box passed on. */
+    function lateRequests(requests: readonly CallerRequest[], server: ServerStandIn): readonly CallerRequest[] {
+        const ofServer = requests.filter(({ body }) => body.startsWith(`answer of ${server.id} to `));
         return ofServer.filter(({ box, sentAt }) => {
-            const told = ofServer.filter(other => other.box === box).map(({ answeredAt }) => answeredAt);
-            return sentAt > Math.min(...told) + drain;
+            const passedOnAt = ofServer.filter(other => other.box === box).map(({ answeredAt }) => answeredAt);
+            return sentAt > Math.min(...passedOnAt) + leavingGracePeriod;
         });
     }
 
-    /** The server turns requests away for a while, asks for rest with each such answer, and serves afterwards. */
-    function askForRest(server: ServerStandIn): RestingServer {
-        const until = performance.now() + turnsAwayFor;
+    /** Lets the server refuse requests and ask for back-off for a while, and serve afterwards. */
+    function refuseWithBackoff(server: ServerStandIn): BackoffServer {
+        const until = performance.now() + refusesFor;
         const arrived: Arrival[] = [];
-        const asked: Arrival[] = [];
+        const refusedWithBackoff: Arrival[] = [];
         server.setBehaviour(request => {
             const arrival = { box: request.socket.remoteAddress ?? "", at: performance.now() };
             arrived.push(arrival);
             if (arrival.at >= until) {
                 return { kind: "serve" };
             }
-            asked.push(arrival);
-            return { kind: "shed", includesLoad: true, retryAfter: String(rest / 1000) };
+            refusedWithBackoff.push(arrival);
+            return { kind: "shed", includesLoad: true, retryAfter: String(backoff / 1000) };
         });
-        return { asked, arrived };
+        return { refusedWithBackoff, arrived };
     }
 
-    /** The most requests of a box that came in the rest which the server had asked it for. */
-    function mostInRest({ arrived, asked }: RestingServer): number {
+    /** Returns the largest number of requests that one box sent during a back-off that the server had asked it for. */
+    function maxArrivalsInBackoff({ arrived, refusedWithBackoff }: BackoffServer): number {
         return Math.max(
             0,
-            ...asked.map(({ at, box }) =>
-                arrived.filter(other => other.box === box && other.at > at + toldAfter && other.at < at + rest).length
+            ...refusedWithBackoff.map(({ at, box }) =>
+                arrived.filter(other => other.box === box && other.at > at + respectedAfter && other.at < at + backoff)
+                    .length
             ),
         );
     }
 
-    const servedShare = (played: readonly PlayedRequest[]) =>
-        played.filter(({ status }) => status === 200).length / played.length;
-
-    describe("that they want nothing from a box for a while [P28]", () => {
-        it("keep to it where some servers of a service say so, and serve by the others", async () => {
-            await play(1500);
-            const resting = servers.slice(0, 4).map(server => askForRest(server));
-            const played = await play(5000);
-            expect(resting.map(mostInRest).filter(most => most > mostAllowedInRest)).to.deep.equal([]);
-            expect(resting.flatMap(({ asked }) => asked)).not.to.be.empty;
-            expect(servedShare(played)).to.be.greaterThan(0.99);
+    const servedShare = (requests: readonly CallerRequest[]) =>
+        requests.filter(({ status }) => status === 200).length / requests.length;
+
+    describe("that ask a box for back-off [P28]", () => {
+        it("are respected when some servers of a service send them, and other servers are used", async () => {
+            await sendTraffic(1500);
+            const backingOff = servers.slice(0, 4).map(server => refuseWithBackoff(server));
+            const requests = await sendTraffic(5000);
+            expect(backingOff.map(maxArrivalsInBackoff).filter(most => most > toleratedInBackoff)).to.deep.equal([]);
+            expect(backingOff.flatMap(({ refusedWithBackoff }) => refusedWithBackoff)).not.to.be.empty;
+            expect(servedShare(requests)).to.be.greaterThan(0.99);
         });
 
-        it("keep to it where all servers say so, refuse at once meanwhile, and serve again after it", async () => {
-            await play(1500);
-            const resting = servers.map(server => askForRest(server));
-            const played = await play(5000);
-            expect(resting.map(mostInRest).filter(most => most > mostAllowedInRest)).to.deep.equal([]);
-            expect(new Set(played.map(({ status }) => status))).to.deep.equal(new Set([200, 503]));
-            const refused = played.filter(({ status }) => status === 503);
+        it("are respected when all servers send them: boxes refuse at once, and serve again later", async () => {
+            await sendTraffic(1500);
+            const backingOff = servers.map(server => refuseWithBackoff(server));
+            const requests = await sendTraffic(5000);
+            expect(backingOff.map(maxArrivalsInBackoff).filter(most => most > toleratedInBackoff)).to.deep.equal([]);
+            expect(new Set(requests.map(({ status }) => status))).to.deep.equal(new Set([200, 503]));
+            const refused = requests.filter(({ status }) => status === 503);
             expect(refused.every(({ headers }) => Number(headers["retry-after"]) > 0)).to.equal(true);
-            expect(servedShare(await play(2000))).to.be.greaterThan(0.99);
+            expect(servedShare(await sendTraffic(2000))).to.be.greaterThan(0.99);
         });
     });
 
-    describe("that they are leaving [P6]", () => {
-        it("send nothing more to servers that say so, though their records do not", async () => {
-            await play(1500);
+    describe("that announce a shutdown [P6]", () => {
+        it("end all requests to the servers that send them, although their records are unchanged", async () => {
+            await sendTraffic(1500);
             const leaving = servers.slice(0, 3);
             leaving.forEach(server => server.setLeavingHeader("1"));
-            const played = await play(8000);
-            expect(leaving.map(server => lateRequests(played, server).length)).to.deep.equal([0, 0, 0]);
-            expect(servedShare(played)).to.be.greaterThan(0.99);
+            const requests = await sendTraffic(8000);
+            expect(leaving.map(server => lateRequests(requests, server).length)).to.deep.equal([0, 0, 0]);
+            expect(servedShare(requests)).to.be.greaterThan(0.99);
         });
     });
 });
--- a/packages/testing/test/box-servers.test.ts
+++ b/packages/testing/test/box-servers.test.ts
@@ -1,6 +1,6 @@
 /**
- * One box on the users' platform, over real sockets: servers that refuse, fail,
- * fall silent, lose or spoil answers, or leave.
+ * One box on the users' platform, over real sockets, with servers that refuse, fail, stop answering, send broken
+ * answers, or leave.
  */
 
 import { milliseconds } from "@chalkdale/kernel";
@@ -29,14 +29,14 @@
     const misbehave: OneBox["misbehave"] = (...args) => world.misbehave(...args);
     const runs = () => world.runs();
 
-    describe("a server that refuses unrun", () => {
-        it("makes the box try another, for every kind of request", async () => {
+    describe("a server that refuses requests without running them", () => {
+        it("makes the box try another server, also for an unsafe request", async () => {
             misbehave({ kind: "shed" }, 1);
             expect((await ask("/save/", { method: "POST", body: "b" })).status).to.equal(200);
             expect(runs()).to.have.length(1);
         });
 
-        it("ends in a refusal with a time to come back when all refuse [P4]", async () => {
+        it("leads to a refusal with Retry-After when all servers refuse [P4]", async () => {
             misbehave({ kind: "shed" });
             const answer = await ask("/save/", { method: "POST", body: "b" });
             expect(answer.status).to.equal(503);
@@ -70,14 +70,14 @@
         ];
         for (const loss of losses) {
             const name = "by" in loss ? `${loss.kind} by ${loss.by}` : loss.kind;
-            it(`is asked again of another server if it may be repeated (${name})`, async () => {
+            it(`is retried at another server if the request is repeatable (${name})`, async () => {
                 misbehave(loss, 1);
                 const answer = await ask("/lookup/");
                 expect(answer.status).to.equal(200);
                 expect(answer.body).to.match(/^answer of/);
             });
 
-            it(`is never asked again, nor promised unrun, if it may not (${name}) [P4] [P5]`, async () => {
+            it(`is neither retried nor reported as not run if the request is unsafe (${name}) [P4] [P5]`, async () => {
                 misbehave(loss, 1);
                 const answer = await ask("/save/", { method: "POST", body: "b" });
                 expect(answer.status).to.equal(502);
@@ -85,7 +85,7 @@
             });
         }
 
-        it("is not promised unrun when the next server refuses, even if it may be repeated [P4]", async () => {
+        it("is not reported as not run when the next server refuses, even for a repeatable request [P4]", async () => {
             let calls = 0;
             for (const backend of [first, second]) {
                 backend.setBehaviour(() => {
@@ -104,9 +104,9 @@
         });
     });
 
-    describe("a server that goes silent while it works", () => {
-        /** Both servers fall silent at their next request; the one that has it also takes no connection any more. */
-        const silence = () => {
+    describe("a server that stops answering while it works", () => {
+        /** The server that receives the next request never answers it, and refuses new connections from then on. */
+        const stopAnsweringNext = () => {
             for (const backend of [first, second]) {
                 backend.setBehaviour(() => {
                     backend.stopAccepting();
@@ -118,51 +118,51 @@
             }
         };
 
-        it("loses a request that may be repeated to another, long before its deadline", async () => {
-            silence();
+        it("has a repeatable request retried at another server long before the deadline", async () => {
+            stopAnsweringNext();
             const answer = await ask("/lookup/", { deadlineMs: 60_000 });
             expect(answer.status).to.equal(200);
             expect(runs()).to.have.length(2);
         });
 
-        /** Another service's server takes the address of the one that has the request. */
+        /** Starts another service's server at the address of the server that has the request. */
         const replaceSilentServer = async (ports: ReadonlyMap<ServerStandIn, number>) => {
             await waitUntil(() => runs().length === 1, "the request runs");
             const silent = first.runs.length === 1 ? first : second;
             await deployment.addServer({ id: "i-9", service: "packs", port: ports.get(silent) });
         };
-        const portsOfBoth = () =>
+        const portsOfServers = () =>
             new Map([first, second].map(server => [server, Number(server.address().split(":")[1])]));
 
-        it("loses a request that may be repeated once another server has its address", async () => {
-            const ports = portsOfBoth();
-            silence();
+        it("has a repeatable request retried once another server has its address", async () => {
+            const ports = portsOfServers();
+            stopAnsweringNext();
             const answer = ask("/patient/", { deadlineMs: 60_000 });
             await replaceSilentServer(ports);
             expect((await answer).status).to.equal(200);
         });
 
-        it("ends one that may not, and promises nothing, once another server has its address [P4]", async () => {
-            const ports = portsOfBoth();
-            silence();
+        it("ends an unsafe request, not reported as not run, once another server has its address [P4]", async () => {
+            const ports = portsOfServers();
+            stopAnsweringNext();
             const answer = ask("/patient-save/", { method: "POST", body: "b", deadlineMs: 60_000 });
             await replaceSilentServer(ports);
             expect((await answer).status).to.equal(502);
             expect(runs()).to.have.length(1);
         });
 
-        it("keeps one that may not, until its time is over [P5]", async () => {
-            silence();
+        it("keeps an unsafe request until its deadline [P5]", async () => {
+            stopAnsweringNext();
             expect((await ask("/save/", { method: "POST", body: "b" })).status).to.equal(504);
             expect(runs()).to.have.length(1);
         });
     });
 
-    describe("a server that is overdue while it goes on to take connections", () => {
+    describe("a server that is overdue but still accepts connections", () => {
         const loseFirstAnswer = () => misbehave({ kind: "loseAnswer", by: "silence" }, 1);
         const hedged = () => box.logLines.filter(line => line.includes("event=attempt.hedged")).length;
 
-        it("is left waiting beside a second one, which answers long before the deadline", async () => {
+        it("is hedged by a second server, which answers long before the deadline", async () => {
             loseFirstAnswer();
             const answer = await ask("/patient/", { deadlineMs: 60_000 });
             expect(answer.status).to.equal(200);
@@ -170,7 +170,7 @@
             expect(runs()).to.have.length(2);
         });
 
-        it("loses the connection once the second one has answered, so that it stops its work", async () => {
+        it("has its connection closed once the second server has answered, and stops its work", async () => {
             first.setWork(60_000);
             second.setWork(60_000);
             const slow = ask("/patient/", { deadlineMs: 60_000 });
@@ -178,11 +178,11 @@
             const other = first.runs.length === 1 ? second : first;
             other.setWork(0);
             expect((await slow).status).to.equal(200);
-            await waitUntil(() => first.abortedRequests() + second.abortedRequests() === 1, "the work is abandoned");
+            await waitUntil(() => first.abortedRequests() + second.abortedRequests() === 1, "the work is aborted");
         });
 
-        /** The first request breaks off once its work is done; what comes of those after it is given. */
-        const breakFirst = (later: ServerBehaviour) => {
+        /** The first request loses its connection when its work is done; later ones meet the given behaviour. */
+        const loseFirstAnswerThen = (later: ServerBehaviour) => {
             let count = 0;
             for (const backend of [first, second]) {
                 backend.setWork(3000);
@@ -193,20 +193,20 @@
             }
         };
 
-        it("fails beside one that did not run the request, which may have run all the same", async () => {
-            breakFirst({ kind: "shed" });
+        it("fails the request when the second server refuses it unrun, since the first may have run it", async () => {
+            loseFirstAnswerThen({ kind: "shed" });
             expect((await ask("/patient/", { deadlineMs: 60_000 })).status).to.equal(502);
             expect(hedged()).to.equal(1);
         });
 
-        it("fails as the second one does, and so does the request", async () => {
-            breakFirst({ kind: "loseAnswer", by: "reset" });
+        it("fails the request when the second server fails too", async () => {
+            loseFirstAnswerThen({ kind: "loseAnswer", by: "reset" });
             expect((await ask("/patient/", { deadlineMs: 60_000 })).status).to.equal(502);
             expect(hedged()).to.equal(1);
             expect(runs()).to.have.length(2);
         });
 
-        it("ends its work with the second one, once their caller leaves [P12]", async () => {
+        it("stops its work, like the second server, once the caller leaves [P12]", async () => {
             first.setWork(60_000);
             second.setWork(60_000);
             const caller = await connectRaw(box);
@@ -215,32 +215,32 @@
             caller.socket.destroy();
             await waitUntil(
                 () => first.abortedRequests() + second.abortedRequests() === 2,
-                "the work of both is abandoned",
+                "the work of both is aborted",
             );
         });
 
-        it("keeps a request that may not run twice to itself [P5]", async () => {
+        it("is not hedged for a request that may not run twice [P5]", async () => {
             loseFirstAnswer();
             expect((await ask("/save/", { method: "POST", body: "b" })).status).to.equal(504);
             expect(runs()).to.have.length(1);
             expect(hedged()).to.equal(0);
         });
 
-        it("is the last one when the route allows no more servers [P11]", async () => {
+        it("is not hedged beyond the route's attempts [P11]", async () => {
             misbehave({ kind: "loseAnswer", by: "silence" });
             expect((await ask("/lookup/")).status).to.equal(504);
             expect(runs()).to.have.length(2);
         });
     });
 
-    describe("a server that fails requests while it accepts connections", () => {
-        /** The server that runs the next request goes on to misbehave; the other one serves. */
-        const misbehaveFirst = (behaviour: ServerBehaviour) => {
-            let spoiled: ServerStandIn | undefined;
+    describe("a server that fails requests but accepts connections", () => {
+        /** The server that receives the next request misbehaves from then on; the other one serves. */
+        const misbehaveAtFirstServer = (behaviour: ServerBehaviour) => {
+            let faulty: ServerStandIn | undefined;
             for (const backend of [first, second]) {
                 backend.setBehaviour(() => {
-                    spoiled ??= backend;
-                    return spoiled === backend ? behaviour : { kind: "serve" };
+                    faulty ??= backend;
+                    return faulty === backend ? behaviour : { kind: "serve" };
                 });
             }
         };
@@ -248,13 +248,13 @@
 
         for (
             const [name, behaviour] of [
-                ["with failures of its own", { kind: "fail", status: 500 }],
-                ["by answers that never come", { kind: "loseAnswer", by: "silence" }],
-                ["as full though it has free slots", { kind: "shed" }],
+                ["by answering with failures", { kind: "fail", status: 500 }],
+                ["by never answering", { kind: "loseAnswer", by: "silence" }],
+                ["by refusing with free slots", { kind: "shed" }],
             ] as const
         ) {
-            it(`loses the key to another, ${name} [P7]`, async () => {
-                misbehaveFirst(behaviour);
+            it(`loses the key to another server, ${name} [P7]`, async () => {
+                misbehaveAtFirstServer(behaviour);
                 await save();
                 await save();
                 const before = [first.runs.length, second.runs.length];
@@ -266,8 +266,8 @@
         }
     });
 
-    describe("an answer that is not what it seems", () => {
-        it("without a length goes back without a length [P3]", async () => {
+    describe("an answer that is malformed or unexpected", () => {
+        it("without a length is passed on without a length [P3]", async () => {
             misbehave({ kind: "unframed" });
             const answer = await ask("/lookup/");
             expect(answer.status).to.equal(200);
@@ -277,7 +277,7 @@
         });
 
         for (const afterMs of [0, 30]) {
-            it(`a second answer after ${afterMs} ms reaches nobody [P3]`, async () => {
+            it(`that follows another one after ${afterMs} ms reaches no caller [P3]`, async () => {
                 misbehave({ kind: "extra", afterMs });
                 for (let count = 0; count < 5; count++) {
                     const requestId = `extra-${afterMs}-${count}`;
@@ -288,7 +288,7 @@
             });
         }
 
-        it("a second answer on a connection that rests spoils no later request [P3]", async () => {
+        it("that arrives over an idle connection does not affect later requests [P3]", async () => {
             misbehave({ kind: "extra", afterMs: 20 });
             const save = () => ask("/save/", { method: "POST", body: "b" });
             expect((await save()).status).to.equal(200);
@@ -296,7 +296,7 @@
             expect((await save()).status).to.equal(200);
         });
 
-        it("a failure of the server's own keeps its status and stamp", async () => {
+        it("with a server's error keeps its status and stamp", async () => {
             misbehave({ kind: "fail", status: 500 });
             const answer = await ask("/save/", { method: "POST", body: "b", requestId: "f-1" });
             expect(answer.status).to.equal(500);
@@ -304,8 +304,8 @@
         });
     });
 
-    describe("servers that turn requests away with slots free", () => {
-        it("are asked once more before one that does not know the key [P5]", async () => {
+    describe("servers that refuse requests with free slots", () => {
+        it("are retried before a server where the key is cold [P5]", async () => {
             await ask("/lookup/");
             const [{ headers }] = runs();
             misbehave({ kind: "shed", includesLoad: true }, 1);
@@ -314,7 +314,7 @@
             expect(runs()[1].headers["expect-instance"]).to.equal(headers["expect-instance"]);
         });
 
-        it("let callers come back at once", async () => {
+        it("lead to a refusal with a short Retry-After", async () => {
             misbehave({ kind: "shed", includesLoad: true });
             const answer = await ask("/lookup/");
             expect(answer.status).to.equal(503);
@@ -322,27 +322,30 @@
         });
     });
 
-    describe("servers that leave", () => {
-        it("get nothing once they are draining, nor once their record is gone [P6]", async () => {
+    describe("servers that leave or may not be used", () => {
+        it("receive nothing once they are draining or their record is gone [P6]", async () => {
             deployment.writeServerRecord(first, { state: "draining" });
-            await waitUntil(() => box.logLines.some(line => line.includes("draining=i-1")), "the box knows");
+            await waitUntil(() => box.logLines.some(line => line.includes("draining=i-1")), "the box knows of it");
             deployment.store.delete("servers", "i-2");
-            await waitUntil(() => box.logLines.some(line => line.includes("removed=i-2")), "the box knows");
+            await waitUntil(() => box.logLines.some(line => line.includes("removed=i-2")), "the box knows of it");
             expect((await ask("/lookup/")).status).to.equal(503);
             expect(runs()).to.have.length(0);
         });
 
-        it("get nothing while their zone is evacuated, and again when it is taken back [P16]", async () => {
+        it("receive nothing while their zone is evacuated, and requests again afterwards [P16]", async () => {
             deployment.store.put("evacuations", "north-a", {});
             deployment.store.put("evacuations", "south-a", {});
-            await waitUntil(() => box.logLines.some(line => line.includes("closed=north-a,south-a")), "the box knows");
+            await waitUntil(
+                () => box.logLines.some(line => line.includes("closed=north-a,south-a")),
+                "the box knows of it",
+            );
             expect((await ask("/lookup/")).status).to.equal(503);
             deployment.store.delete("evacuations", "south-a");
             await waitUntil(async () => (await ask("/lookup/")).status === 200, "the zone serves again");
             expect(first.runs).to.have.length(0);
         });
 
-        it("outside the homes of a route get nothing [P15]", async () => {
+        it("receive nothing if they are outside the home regions of a route [P15]", async () => {
             deployment.configure(3, [{ ...rules[0], homeRegions: ["south"] }]);
             await waitUntil(() => box.logLines.some(line => line.includes("version=3")), "the version is in force");
             for (let key = 0; key < 12; key++) {
@@ -354,17 +357,17 @@
     });
 
     describe("connections that servers close", () => {
-        it("because they rested are not used for the next request", async () => {
+        it("because they are idle are not used for the next request", async () => {
             const brief = await deployment.addServer({ id: "i-8", service: "packs", idleMs: 1000 });
             deployment.store.delete("servers", "i-3");
-            await waitUntil(() => box.logLines.some(line => line.includes("removed=i-3")), "the box knows");
+            await waitUntil(() => box.logLines.some(line => line.includes("removed=i-3")), "the box knows of it");
             await ask("/pack/");
             await pause(milliseconds(1300));
             expect((await ask("/pack/")).status).to.equal(200);
             expect(brief.connections()).to.equal(2);
         });
 
-        it("or forget while they rest cost one request that may not run twice, not each [P5]", async () => {
+        it("or reset when idle fail only the first of several unsafe requests [P5]", async () => {
             const statuses: number[] = [];
             world.first.setResetAfterIdle(200);
             world.second.setResetAfterIdle(200);
@@ -375,7 +378,7 @@
             expect(statuses).to.deep.equal([200, 502, 200, 200]);
         });
 
-        it("since they are leaving are not kept", async () => {
+        it("because they shut down are not reused", async () => {
             first.setShuttingDown(true);
             second.setShuttingDown(true);
             await ask("/lookup/");
--- a/packages/testing/test/box-silence.test.ts
+++ b/packages/testing/test/box-silence.test.ts
@@ -1,8 +1,7 @@
 /**
- * Connections that rested fell silent without an end, all of a server at once. Each
- * request that took one of them waited for its whole limit: the record of a run has
- * `request.refused … refusal=timedOut sent=1 after=1101` for two requests in a row at
- * `i-f167dfd5` and at `i-dd9da7eb`, while both servers served on new connections.
+ * Guards against idle connections that stop carrying data without being closed, all those to one server at once. When
+ * the box went on using them, each request on one of them waited until its deadline: two requests in a row at the same
+ * server were refused after 1101 ms, although the server served others over new connections.
  */
 
 import { expect } from "chai";
@@ -18,7 +17,7 @@
 } from "../src/standins/deployment.js";
 import { serverObject } from "../src/standins/platform-objects.js";
 
-describe("connections to a server that fall silent for good", () => {
+describe("connections to a server that silently stop carrying data", () => {
     let deployment: TestDeployment;
     let box: TestBox;
     let server: ServerStandIn;
@@ -49,7 +48,7 @@
         return sendRequest({ address: box.callerAddress, host: testHost, path, requestId: `r-${requests}` });
     }
 
-    it("cost one request its answer, and not each of those that follow", async () => {
+    it("cost the first request its answer, but not the requests after it", async () => {
         server.setWork(40);
         for (let round = 0; round < 5; round++) {
             await Promise.all([ask(), ask(), ask(), ask()]);
--- a/packages/testing/test/box-state.test.ts
+++ b/packages/testing/test/box-state.test.ts
@@ -1,5 +1,6 @@
 /**
- * Several boxes on the users' platform while its store misbehaves.
+ * Several boxes on the users' platform: how they find each other, and how they receive configurations and records while
+ * the store works, fails, or is stale.
  */
 
 import { milliseconds } from "@chalkdale/kernel";
@@ -35,39 +36,42 @@
         sendRequest({ address: box.callerAddress, host: testHost, path, requestId: `s-${path}` });
     const ready = (box: TestBox) => waitUntil(() => box.running.isReady(), `${box.name} is ready`);
 
-    it("find each other through the store, and name each other to callers [P19]", async () => {
+    it("find each other through the store, and list each other in look-ups [P19]", async () => {
         const boxes = [deployment.startBox(), deployment.startBox({ zone: "north-b" }), deployment.startBox()];
         await Promise.all(boxes.map(ready));
-        const named = async (box: TestBox, zone: string) =>
+        const listedAddresses = async (box: TestBox, zone: string) =>
             [...(await lookUp(box.directoryAddress, { ...place, zone })).addresses].sort();
         const [first, other, second] = boxes.map(box => box.callerAddress);
         for (const box of boxes) {
-            await waitUntil(async () => (await named(box, "of none")).length === 3, "all are named");
-            expect(await named(box, "of none")).to.deep.equal([first, other, second].sort());
-            expect(await named(box, "north-a")).to.deep.equal([first, second].sort());
-            expect(await named(box, "north-b")).to.include(other).and.to.have.length(2);
+            await waitUntil(
+                async () => (await listedAddresses(box, "of none")).length === 3,
+                "all are listed",
+            );
+            expect(await listedAddresses(box, "of none")).to.deep.equal([first, other, second].sort());
+            expect(await listedAddresses(box, "north-a")).to.deep.equal([first, second].sort());
+            expect(await listedAddresses(box, "north-b")).to.include(other).and.to.have.length(2);
         }
     });
 
-    it("no longer name a box that leaves [P19]", async () => {
-        const [stays, leaves] = [deployment.startBox(), deployment.startBox()];
-        await Promise.all([ready(stays), ready(leaves)]);
+    it("no longer list a box that leaves [P19]", async () => {
+        const [remaining, leaving] = [deployment.startBox(), deployment.startBox()];
+        await Promise.all([ready(remaining), ready(leaving)]);
         await waitUntil(
-            async () => (await lookUp(stays.directoryAddress, place)).addresses.length === 2,
-            "both are named",
+            async () => (await lookUp(remaining.directoryAddress, place)).addresses.length === 2,
+            "both are listed",
         );
-        const stopped = leaves.running.stop();
+        const stopped = leaving.running.stop();
         await waitUntil(
-            async () => (await lookUp(stays.directoryAddress, place)).addresses.length === 1,
-            "one is named",
+            async () => (await lookUp(remaining.directoryAddress, place)).addresses.length === 1,
+            "one is listed",
         );
         await stopped;
     });
 
-    it("answer 503 and are not ready as long as they know no configuration [P10]", async () => {
+    it("answer 503 and are not ready until they have a configuration [P10]", async () => {
         deployment.storeServer.setFault(() => ({ kind: "refused", status: 503 }));
         const box = deployment.startBox();
-        await waitUntil(async () => (await ask(box, "/lookup/")).status === 503, "it listens");
+        await waitUntil(async () => (await ask(box, "/lookup/")).status === 503, "the box listens");
         expect(box.running.isReady()).to.equal(false);
         expect((await lookUp(box.directoryAddress, place)).status).to.equal(503);
         deployment.storeServer.setFault(() => ({ kind: "none" }));
@@ -75,30 +79,36 @@
         expect((await ask(box, "/lookup/")).status).to.equal(200);
     });
 
-    it("learn a new configuration from another box when the store turns them away [P8]", async () => {
+    it("receive a new configuration from another box when the store refuses their calls [P8]", async () => {
         const served = deployment.startBox();
         const refused = deployment.startBox({ host: "127.0.0.2", seeds: [served.peerAddress] });
         await Promise.all([ready(served), ready(refused)]);
-        await waitUntil(async () => (await lookUp(served.directoryAddress, place)).addresses.length === 2, "they met");
+        await waitUntil(
+            async () => (await lookUp(served.directoryAddress, place)).addresses.length === 2,
+            "they know each other",
+        );
         deployment.storeServer.setFault(call =>
             call.caller === "127.0.0.2" ? { kind: "refused", status: 503 } : { kind: "none" }
         );
-        // Watches that were waiting before are refused at their next call only.
+        // A watch that is already waiting ends at the next change; only the call after it is refused.
         deployment.store.put("evacuations", "south-a", {});
         deployment.store.put("config", "other", {});
-        await waitUntil(() => refused.logLines.some(line => line.includes("event=store.lost")), "it is turned away");
+        await waitUntil(
+            () => refused.logLines.some(line => line.includes("event=store.lost")),
+            "the store refuses its calls",
+        );
         deployment.configure(3, [{ ...rules[0], path: "/next/" }]);
         for (const box of [served, refused]) {
             await waitUntil(async () => (await ask(box, "/next/")).status === 200, `${box.name} has the version`);
         }
     });
 
-    it("take nothing from a message that they can't use, and go on", async () => {
+    it("ignore messages that they can't read, and go on", async () => {
         const box = deployment.startBox();
         await ready(box);
-        const copy = { changed: 0, complete: 0, age: 0 };
+        const progress = { changed: 0, complete: 0, age: 0 };
         const from = { ...memberOf("stranger"), peerAddress: "127.0.0.1:1", callerAddress: "127.0.0.1:2" };
-        const digest = { configuration: copy, servers: copy, closedZones: copy };
+        const digest = { configuration: progress, servers: progress, closedZones: progress };
         const changes = [{ kind: "put", name: "x", item: {} }];
         const socket = createSocket("udp4");
         const [host, port] = box.peerAddress.split(":");
@@ -110,15 +120,15 @@
         await send("{\"from\":7");
         socket.close();
         const refused = () => box.logLines.filter(line => line.includes("event=peer.unreadable")).length;
-        await waitUntil(() => refused() === 3, "each left a line");
+        await waitUntil(() => refused() === 3, "each message is logged");
         deployment.configure(3, [{ ...rules[0], path: "/next/" }]);
         await waitUntil(async () => (await ask(box, "/next/")).status === 200, "the version is in force");
         await deployment.addServer({ id: "i-2" });
         await waitUntil(() => box.logLines.some(line => line.includes("added=i-2")), "the server is known");
     });
 
-    it("start together while the store turns calls away beyond its rate", async () => {
-        // Counted for each caller and kind of call: with one count for all, chance and timing decide which box's calls pass.
+    it("start together while the store refuses calls beyond its rate", async () => {
+        // Counted by caller and kind of call: with one count for all, timing would decide which box's calls succeed.
         const calls = new Map<string, number>();
         deployment.storeServer.setFault(({ caller, isWatch, kind, method }) => {
             const key = `${caller} ${method} ${kind} ${isWatch}`;
@@ -130,19 +140,22 @@
         await Promise.all(boxes.map(ready));
         for (const box of boxes) {
             expect((await ask(box, "/lookup/")).status).to.equal(200);
-            await waitUntil(async () => (await lookUp(box.directoryAddress, place)).addresses.length === 3, "all met");
+            await waitUntil(
+                async () => (await lookUp(box.directoryAddress, place)).addresses.length === 3,
+                "all know each other",
+            );
         }
     });
 
     describe("in a region with many boxes", () => {
         const hosts = ["127.0.0.2", "127.0.0.3", "127.0.0.4", "127.0.0.5", "127.0.0.6", "127.0.0.7"];
         let boxes: TestBox[];
-        let watchers: Set<string>;
+        let callers: Set<string>;
 
         beforeEach(async () => {
-            watchers = new Set();
+            callers = new Set();
             deployment.storeServer.setFault(call => {
-                watchers.add(call.caller);
+                callers.add(call.caller);
                 return { kind: "none" };
             });
             boxes = hosts.map(host => deployment.startBox({ host }));
@@ -150,19 +163,19 @@
             for (const box of boxes) {
                 await waitUntil(
                     async () => (await lookUp(box.directoryAddress, place)).addresses.length === 6,
-                    "all met",
+                    "all know each other",
                 );
             }
         });
 
-        /** Resolves with the only box that calls the store. */
+        /** Resolves with the address of the only box that calls the store. */
         async function findRelay(): Promise<string> {
             await waitUntil(async () => {
-                watchers.clear();
+                callers.clear();
                 await pause(milliseconds(2500));
-                return watchers.size === 1;
-            }, "one box follows the store");
-            return [...watchers][0];
+                return callers.size === 1;
+            }, "only one box follows the store");
+            return [...callers][0];
         }
 
         async function expectInForce(version: number): Promise<void> {
@@ -173,7 +186,7 @@
             }
         }
 
-        it("leave the store to one of them, and learn of changes from it [P8]", async () => {
+        it("let one of them follow the store, and receive changes from it [P8]", async () => {
             const relay = await findRelay();
             deployment.storeServer.setFault(call =>
                 call.caller === relay ? { kind: "none" } : { kind: "refused", status: 503 }
@@ -189,12 +202,17 @@
         });
     });
 
-    for (const [name, forget] of [["still knows", false], ["has forgotten", true]] as const) {
-        it(`start from lists that are old, and catch up at once, when the store ${name} what came since [P8]`, async () => {
+    for (
+        const [name, compact] of [["still has the changes since", false], [
+            "has compacted the changes since",
+            true,
+        ]] as const
+    ) {
+        it(`start from stale lists, and catch up at once, when the store ${name} [P8]`, async () => {
             deployment.store.freezeStaleReads();
             await deployment.addServer({ id: "i-2" });
             deployment.configure(3, [{ ...rules[0], path: "/next/" }]);
-            if (forget) {
+            if (compact) {
                 deployment.store.compact();
             }
             const box = deployment.startBox();
@@ -204,13 +222,16 @@
         });
     }
 
-    it("that start again write nothing where their record stands", async () => {
+    it("write nothing on a restart when their record is unchanged", async () => {
         const [box] = [deployment.startBox(), deployment.startBox()];
         await ready(box);
         await waitUntil(() => (deployment.storeServer.calls().POST ?? 0) === 2, "both are recorded");
         await box.running.stop();
         const again = deployment.startBox({ replacing: box });
-        await waitUntil(async () => (await lookUp(again.directoryAddress, place)).addresses.length === 2, "it is back");
+        await waitUntil(
+            async () => (await lookUp(again.directoryAddress, place)).addresses.length === 2,
+            "it is listed again",
+        );
         expect(deployment.storeServer.calls().POST).to.equal(2);
         expect(deployment.storeServer.calls().PUT ?? 0).to.equal(0);
     });
@@ -224,7 +245,7 @@
         expect((await ask(fresh, "/lookup/")).status).to.equal(200);
     });
 
-    it("go on with what they know while the store is down, and catch up after it [P8] [P17]", async () => {
+    it("go on with their copies while the store is down, and catch up afterwards [P8] [P17]", async () => {
         const box = deployment.startBox();
         await ready(box);
         deployment.storeServer.setFault(() => ({ kind: "reset" }));
@@ -236,7 +257,7 @@
         await waitUntil(async () => (await ask(box, "/next/")).status === 200, "the version is in force");
     });
 
-    it("record themselves once, even if a write is done after they gave it up", async () => {
+    it("record themselves once, even if the store performs a write after they gave it up", async () => {
         let lost = 0;
         deployment.storeServer.setFault(call => {
             if (call.method === "POST" && lost === 0) {
@@ -248,7 +269,7 @@
         const box = deployment.startBox();
         await ready(box);
         await waitUntil(() => (deployment.storeServer.calls().POST ?? 0) >= 2, "the record is written again");
-        await waitUntil(() => itemsOf(deployment.store.list("chalkdale-boxes")).length === 1, "it is there once");
+        await waitUntil(() => itemsOf(deployment.store.list("chalkdale-boxes")).length === 1, "there is one record");
     });
 
     it("record themselves once, even if the answer is lost", async () => {
--- a/packages/testing/test/box-uploads.test.ts
+++ b/packages/testing/test/box-uploads.test.ts
@@ -1,6 +1,6 @@
 /**
- * Large bodies over real sockets: bodies that come late, in part, too long or not
- * at all, servers that do not wait for them, and the memory that they take up.
+ * Large bodies over real sockets: bodies that are too long, or that arrive late, in part or not at all, servers that
+ * answer before they have read them, and the memory that they take.
  */
 
 import { milliseconds } from "@chalkdale/kernel";
@@ -12,11 +12,11 @@
 import { type OneBox, rules, startOneBox } from "./one-box.js";
 import { connectRaw } from "./raw-caller.js";
 
-/** Bytes of the largest usual upload, and of a body beyond the limit of the tests' configuration. */
-const large = 360_000;
-const tooLarge = 1_200_000;
+/** Bytes of the largest usual upload, and of a body above the limit of the tests' configuration. */
+const largeBytes = 360_000;
+const tooLargeBytes = 1_200_000;
 const metricsPort = 29_466;
-/** Together they send several times what the box may hold. */
+/** Callers that stop in the middle of their bodies; together they send several times what the box may hold. */
 const stalledCallers = 4;
 
 describe("a box that takes uploads", () => {
@@ -34,8 +34,8 @@
 
     describe("of ordinary callers", () => {
         for (const chunked of [false, true]) {
-            it(`passes on ${large} bytes ${chunked ? "in chunks" : "with a length"}`, async () => {
-                const body = "photo".repeat(large / 5);
+            it(`passes on ${largeBytes} bytes ${chunked ? "in chunks" : "with a length"}`, async () => {
+                const body = "photo".repeat(largeBytes / 5);
                 expect((await upload("/photos/", { body, chunked })).status).to.equal(200);
                 expect(world.runs().map(run => run.body === body)).to.deep.equal([true]);
             });
@@ -47,7 +47,7 @@
             expect(world.runs()).to.have.length(1);
         });
 
-        it("lets the deadline run while the body comes [P11]", async () => {
+        it("counts the time in which the body arrives against the deadline [P11]", async () => {
             const caller = await connectRaw(box);
             caller.sendHead("/photos/", "slow", ["Deadline-Ms: 1400", "Content-Length: 8"]);
             caller.send("half");
@@ -59,13 +59,13 @@
         });
     });
 
-    describe("too long", () => {
-        it("refuses one by its length, reads nothing behind it, and ends the connection", async () => {
+    describe("of bodies that are too long", () => {
+        it("refuses a body by its length, runs no later request, and ends the connection", async () => {
             const caller = await connectRaw(box);
-            caller.sendHead("/photos/", "long", [`Content-Length: ${tooLarge}`]);
+            caller.sendHead("/photos/", "long", [`Content-Length: ${tooLargeBytes}`]);
             expect(await caller.receives("\r\n\r\n")).to.match(/^HTTP\/1.1 413 /).and.include("Connection: close");
             await waitUntil(caller.isEnded, "the box ends the connection");
-            caller.send("x".repeat(tooLarge));
+            caller.send("x".repeat(tooLargeBytes));
             caller.sendHead("/save/", "behind", ["Content-Length: 0"]);
             await waitUntil(() => {
                 caller.send("x");
@@ -74,11 +74,11 @@
             expect(world.runs()).to.have.length(0);
         });
 
-        it("refuses one in chunks as soon as it is too long, and the caller gets the answer", async () => {
+        it("refuses a body in chunks as soon as it is too long, and the caller receives the answer", async () => {
             const caller = await connectRaw(box);
             caller.sendHead("/photos/", "chunks", ["Transfer-Encoding: chunked"]);
             const chunk = `${(100_000).toString(16)}\r\n${"x".repeat(100_000)}\r\n`;
-            for (let sent = 0; sent < tooLarge; sent += 100_000) {
+            for (let sent = 0; sent < tooLargeBytes; sent += 100_000) {
                 caller.send(chunk);
             }
             expect(await caller.receives("\r\n\r\n")).to.match(/^HTTP\/1.1 413 /);
@@ -99,8 +99,8 @@
         });
     });
 
-    describe("of callers that ask before they send", () => {
-        it("tells them to go on once the body is wanted", async () => {
+    describe("of callers that expect 100-continue", () => {
+        it("sends 100 Continue when it is ready to read the body", async () => {
             const caller = await connectRaw(box);
             caller.sendHead("/photos/", "asks", ["Content-Length: 5", "Expect: 100-continue"]);
             await caller.receives("HTTP/1.1 100 Continue");
@@ -110,8 +110,10 @@
             caller.socket.destroy();
         });
 
-        for (const [what, path, length] of [["has no route", "/nowhere/", 5], ["is too long", "/photos/", tooLarge]]) {
-            it(`does not when the request ${what}, and ends the connection`, async () => {
+        for (
+            const [what, path, length] of [["has no route", "/nowhere/", 5], ["is too long", "/photos/", tooLargeBytes]]
+        ) {
+            it(`does not send it when the request ${what}, and ends the connection`, async () => {
                 const caller = await connectRaw(box);
                 caller.sendHead(String(path), "asks", [`Content-Length: ${length}`, "Expect: 100-continue"]);
                 await waitUntil(caller.isEnded, "the box ends the connection");
@@ -122,21 +124,21 @@
     });
 
     describe("of callers that leave or stall", () => {
-        it("sends nothing on, and holds nothing of it [P12]", async () => {
+        it("passes nothing on, and frees the memory [P12]", async () => {
             const caller = await connectRaw(box);
-            caller.sendHead("/photos/", "leaves", [`Content-Length: ${large}`]);
-            caller.send("x".repeat(large / 2));
+            caller.sendHead("/photos/", "leaves", [`Content-Length: ${largeBytes}`]);
+            caller.send("x".repeat(largeBytes / 2));
             await waitUntil(async () => await gauge(box, "bodies_bytes") > 0, "the box has a part of the body");
             caller.socket.destroy();
-            await waitUntil(async () => await gauge(box, "bodies_bytes") === 0, "the memory is given back");
+            await waitUntil(async () => await gauge(box, "bodies_bytes") === 0, "the memory is freed");
             expect(world.first.arrivals() + world.second.arrivals()).to.equal(0);
             await waitUntil(
                 () => box.logLines.some(line => line.includes("request.callerLeft request=leaves")),
-                "a line",
+                "the departure is logged",
             );
         });
 
-        it("ends the work of a server that does not read, once its caller leaves [P12]", async () => {
+        it("closes the connection to a server that does not read, once the caller leaves [P12]", async () => {
             const sockets: Socket[] = [];
             const server = createServer(socket => sockets.push(socket.pause()));
             await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
@@ -145,7 +147,7 @@
             world.deployment.store.delete("servers", "i-3");
             world.deployment.configure(3, [{ ...rules[1], service: "packs", timeout: "60s" }]);
             await waitUntil(() => box.logLines.some(line => line.includes("version=3")), "the version is in force");
-            void upload("/save/", { body: "x".repeat(large), disconnectAfterMs: 300 });
+            void upload("/save/", { body: "x".repeat(largeBytes), disconnectAfterMs: 300 });
             await waitUntil(() => sockets.length === 1, "the server is connected");
             const closed = new Promise(resolve => sockets[0].on("close", resolve));
             await pause(milliseconds(400));
@@ -155,24 +157,24 @@
         });
     });
 
-    describe("for servers that answer before the body is in", () => {
-        it("passes on the answer, and the next request over the same connection is sound", async () => {
+    describe("for servers that answer before the body is complete", () => {
+        it("passes on the answer, and the next request is sent correctly", async () => {
             world.misbehave({ kind: "early" }, 1);
-            expect((await upload("/photos/", { body: "x".repeat(large) })).body).to.equal("early");
+            expect((await upload("/photos/", { body: "x".repeat(largeBytes) })).body).to.equal("early");
             expect((await upload("/photos/", { body: "photo" })).status).to.equal(200);
             expect(world.runs().map(run => run.body)).to.deep.equal(["photo"]);
         });
 
-        it("tries another one, if the first did not run it and drops the connection", async () => {
+        it("tries another server if the first one did not run the request and closes the connection", async () => {
             world.misbehave({ kind: "shedAndDrop" }, 1);
-            const body = "x".repeat(large);
+            const body = "x".repeat(largeBytes);
             expect((await upload("/photos/", { body })).status).to.equal(200);
             expect(world.runs().map(run => run.body === body)).to.deep.equal([true]);
         });
     });
 
-    describe("and stops as planned", () => {
-        it("serves one whose body was half in [P7]", async () => {
+    describe("during a planned stop", () => {
+        it("serves a request whose body had arrived in part [P7]", async () => {
             const caller = await connectRaw(box);
             caller.sendHead("/photos/", "half", ["Content-Length: 8"]);
             caller.send("half");
@@ -197,15 +199,15 @@
 
     afterEach(() => world.deployment.close());
 
-    it("reads no further, serves the others once the stalled ones have lost their place, and says so", async () => {
+    it("pauses reading, and serves others once it has refused and logged the stalled uploads", async () => {
         const stalled = await Promise.all(Array.from({ length: stalledCallers }, () => connectRaw(box)));
         stalled.forEach((caller, index) => {
             caller.sendHead("/patient-save/", `stalled-${index}`, ["Content-Length: 900000"]);
             caller.send("x".repeat(899_000));
         });
         await waitUntil(async () => await gauge(box, "bodies_bytes") >= 1_000_000, "the memory is spent");
-        let most = 0;
-        const body = "x".repeat(large);
+        let peak = 0;
+        const body = "x".repeat(largeBytes);
         const answer = sendRequest({
             address: box.callerAddress,
             host: testHost,
@@ -215,52 +217,52 @@
             body,
         });
         await waitUntil(async () => {
-            most = Math.max(most, await gauge(box, "bodies_bytes"));
+            peak = Math.max(peak, await gauge(box, "bodies_bytes"));
             return world.runs().some(run => run.requestId === "late" && run.body === body);
-        }, "the late one is served");
+        }, "the late upload is served");
         expect((await answer).status).to.equal(200);
-        // One body beyond the bound, and the part of each connection that had been read when the bound was met.
-        expect(most).to.be.below(1_000_000 + 900_000 + stalledCallers * 2 * 65_536);
+        // One body may exceed the bound, and of each connection, data that had been read when the bound was reached.
+        expect(peak).to.be.below(1_000_000 + 900_000 + stalledCallers * 2 * 65_536);
         expect(box.logLines.some(line => line.includes("refusal=bodyStalled"))).to.equal(true);
         expect(world.runs()).to.have.length(1);
         stalled.forEach(caller => caller.socket.destroy());
-        await waitUntil(async () => await gauge(box, "bodies_bytes") === 0, "the memory is given back");
+        await waitUntil(async () => await gauge(box, "bodies_bytes") === 0, "the memory is freed");
     });
 
-    it("tells a caller that asks to send its body only once the stalled ones have lost their place", async () => {
+    it("sends 100 Continue only once it has refused the stalled uploads", async () => {
         const stalled = await Promise.all(Array.from({ length: stalledCallers }, () => connectRaw(box)));
         stalled.forEach((caller, index) => {
             caller.sendHead("/patient-save/", `stalled-${index}`, ["Content-Length: 900000"]);
             caller.send("x".repeat(899_000));
         });
         await waitUntil(async () => await gauge(box, "bodies_bytes") >= 1_000_000, "the memory is spent");
-        const asks = await connectRaw(box);
-        let wasFreed: boolean | undefined;
-        asks.socket.once("data", () => {
-            wasFreed = box.logLines.some(line => line.includes("refusal=bodyStalled"));
+        const expecting = await connectRaw(box);
+        let wasStalledRefused: boolean | undefined;
+        expecting.socket.once("data", () => {
+            wasStalledRefused = box.logLines.some(line => line.includes("refusal=bodyStalled"));
         });
-        asks.sendHead("/patient-save/", "asks", [`Content-Length: ${large}`, "Expect: 100-continue"]);
-        await asks.receives("HTTP/1.1 100 Continue");
-        expect(wasFreed).to.equal(true);
-        asks.send("x".repeat(large));
-        await asks.receives("HTTP/1.1 200 ");
+        expecting.sendHead("/patient-save/", "asks", [`Content-Length: ${largeBytes}`, "Expect: 100-continue"]);
+        await expecting.receives("HTTP/1.1 100 Continue");
+        expect(wasStalledRefused).to.equal(true);
+        expecting.send("x".repeat(largeBytes));
+        await expecting.receives("HTTP/1.1 200 ");
         expect(world.runs().map(run => run.requestId)).to.deep.equal(["asks"]);
-        [...stalled, asks].forEach(caller => caller.socket.destroy());
+        [...stalled, expecting].forEach(caller => caller.socket.destroy());
     });
 
-    it("tells no caller to send a body that is refused for want of room", async () => {
+    it("sends no 100 Continue for a body that is refused for lack of memory", async () => {
         const callers = await Promise.all(Array.from({ length: 40 }, () => connectRaw(box)));
         callers.forEach((caller, index) => {
             caller.sendHead("/patient-save/", `asks-${index}`, ["Content-Length: 900000", "Expect: 100-continue"]);
         });
         const refused = () => callers.filter(caller => caller.received().includes("HTTP/1.1 503 "));
-        await waitUntil(() => refused().length > 0, "some are refused");
+        await waitUntil(() => refused().length > 0, "some of them are refused");
         expect(refused().map(caller => caller.received()).join("")).not.to.include("100 Continue");
         callers.forEach(caller => caller.socket.destroy());
     });
 });
 
-/** Reads one figure of a box. */
+/** Reads one gauge from the metrics of a box. */
 async function gauge(box: TestBox, name: string): Promise<number> {
     const { body } = await sendRequest({ address: box.metrics, host: "box", path: "/metrics", requestId: "metrics" });
     return Number(new RegExp(`^chalkdale_${name} (\\d+)`, "m").exec(body)?.[1]);
--- a/packages/testing/test/metadata-store.test.ts
+++ b/packages/testing/test/metadata-store.test.ts
@@ -19,7 +19,7 @@
         expect(itemsOf(store.list("things", { after: "b" }))).to.deep.equal(["c"]);
     });
 
-    it("writes under a condition, and gives the object on a conflict", () => {
+    it("writes under a condition, and returns the object on a conflict", () => {
         expect(store.create("things", { name: "a", spec: 1 }).status).to.equal(201);
         expect(store.create("things", { name: "a", spec: 2 }).status).to.equal(409);
         const conflict = store.replace("things", { name: "a", spec: 2, revision: 99 });
@@ -27,7 +27,7 @@
         expect(store.replace("things", { name: "a", spec: 2, revision: 1 }).status).to.equal(200);
     });
 
-    it("keeps status and spec apart, and when an object was created", () => {
+    it("keeps status and spec apart, and keeps the revision at which an object was created", () => {
         store.put("things", "a", 1);
         expect(store.replaceStatus("things", { name: "a", status: "on", revision: 99 }).status).to.equal(409);
         expect(store.replaceStatus("things", { name: "a", status: "on", revision: 1 }).status).to.equal(200);
@@ -41,7 +41,7 @@
         expect(store.replaceStatus("things", { name: "b", status: "on" }).status).to.equal(404);
     });
 
-    it("raises no revision for a write that changes nothing", () => {
+    it("does not raise the revision for a write that changes nothing", () => {
         store.create("things", { name: "a", spec: 1 });
         store.replace("things", { name: "a", spec: 1 });
         expect(store.revision()).to.equal(1);
@@ -61,11 +61,11 @@
         expect(answers[2].status).to.equal(410);
     });
 
-    it("comes back from a copy, in a later epoch, and gives its revisions out again", () => {
+    it("is restored from a snapshot in a later epoch, and assigns its revisions again", () => {
         store.put("things", "a", 1);
-        const copy = store.takeSnapshot();
+        const snapshot = store.takeSnapshot();
         store.put("things", "b", 1);
-        store.restore(copy);
+        store.restore(snapshot);
         expect([store.epoch(), store.revision(), itemsOf(store.list("things"))]).to.deep.equal([1, 1, ["a"]]);
         const answers: StoreAnswer[] = [];
         store.watch("things", 2, milliseconds(100), answer => answers.push(answer));
--- a/packages/testing/test/one-box.ts
+++ b/packages/testing/test/one-box.ts
@@ -1,6 +1,5 @@
 /**
- * One box with two servers of one service and one of another, over real
- * sockets: what the tests of requests and of servers begin from.
+ * The fixture of tests with one box, over real sockets: two servers of one service and one of another.
  */
 
 import type { ServerRun, ServerStandIn } from "../src/standins/backend-server.js";
@@ -16,7 +15,7 @@
 import type { RuleOptions } from "../src/standins/platform-objects.js";
 import type { ServerBehaviour } from "../src/standins/server-answers.js";
 
-/** Routes of the box; each test may configure others. */
+/** Routes of the first configuration; tests may configure others. */
 export const rules: readonly RuleOptions[] = [
     { name: "lookup", path: "/lookup/", kind: "safe" },
     { name: "save", path: "/save/", kind: "unsafe" },
@@ -27,7 +26,7 @@
     { name: "brief", path: "/brief/", kind: "safe", timeout: "150ms" },
 ];
 
-/** The box and what it reaches. */
+/** The deployment, its box, and the servers of the first service. */
 export interface OneBox {
     readonly deployment: TestDeployment;
     readonly box: TestBox;
@@ -35,15 +34,15 @@
     readonly first: ServerStandIn;
     /** In another region. */
     readonly second: ServerStandIn;
-    /** Sends one request, with an id of its own and one affinity key for all. */
+    /** Sends one request, with a new id and the same affinity key as all others unless the options say otherwise. */
     readonly ask: (path: string, options?: Partial<ClientRequest>) => Promise<ClientAnswer>;
-    /** Makes both servers misbehave for so many requests together. */
+    /** Makes both servers misbehave for this number of requests together, then serve. */
     readonly misbehave: (behaviour: ServerBehaviour, times?: number) => void;
-    /** Runs at both servers. */
+    /** Requests that the first and the second server ran. */
     readonly runs: () => readonly ServerRun[];
 }
 
-/** Starts it; the box is ready when this resolves. `deployment.close` ends all of it. */
+/** Starts the fixture; the box is ready when this resolves. `deployment.close` stops all of it. */
 export async function startOneBox(options: TestBoxOptions = {}): Promise<OneBox> {
     const deployment = await startTestDeployment();
     const first = await deployment.addServer({ id: "i-1" });
@@ -62,15 +61,15 @@
         ask(path, options = {}) {
             requestCount += 1;
             const requestId = `r-${requestCount}`;
-            const own = { address: box.callerAddress, host: testHost, path, requestId, affinityKey: "k-1" };
-            return sendRequest({ ...own, ...options });
+            const request = { address: box.callerAddress, host: testHost, path, requestId, affinityKey: "k-1" };
+            return sendRequest({ ...request, ...options });
         },
         misbehave(behaviour, times = Infinity) {
-            let left = times;
+            let misbehavioursLeft = times;
             for (const server of [first, second]) {
                 server.setBehaviour(() => {
-                    left -= 1;
-                    return left >= 0 ? behaviour : { kind: "serve" };
+                    misbehavioursLeft -= 1;
+                    return misbehavioursLeft >= 0 ? behaviour : { kind: "serve" };
                 });
             }
         },
--- a/packages/testing/test/raw-caller.ts
+++ b/packages/testing/test/raw-caller.ts
@@ -1,5 +1,5 @@
 /**
- * A caller that writes its bytes itself, for bodies that come late, in part or not at all.
+ * A caller that writes the bytes of its requests itself, for bodies that arrive late, in part or not at all.
  */
 
 import { once } from "node:events";
@@ -10,11 +10,11 @@
 export interface RawCaller {
     readonly socket: Socket;
     readonly send: (text: string) => void;
-    /** Writes the head of a POST. */
+    /** Sends the head of a POST request. */
     readonly sendHead: (path: string, requestId: string, headers: readonly string[]) => void;
-    /** All that has come back. */
+    /** Text received so far. */
     readonly received: () => string;
-    /** Resolves with what has come back once it holds the text. */
+    /** Resolves with the text received so far once it contains the given text. */
     readonly receives: (text: string) => Promise<string>;
     /** True once the box has ended the connection. */
     readonly isEnded: () => boolean;
@@ -34,7 +34,7 @@
     socket.on("close", () => {
         isEnded = true;
     });
-    // A box that drops the connection is what some tests wait for.
+    // Some tests wait for the box to close the connection, which may raise an error here.
     socket.on("error", () => undefined);
     await once(socket, "connect");
 
@@ -47,7 +47,7 @@
         },
         received: () => received,
         async receives(text) {
-            await waitUntil(() => received.includes(text), `the caller gets ${text}`);
+            await waitUntil(() => received.includes(text), `the caller receives ${text}`);
             return received;
         },
         isEnded: () => isEnded,
--- a/packages/testing/test/rollout-world.ts
+++ b/packages/testing/test/rollout-world.ts
@@ -1,7 +1,6 @@
 /**
- * Boxes whose settings bound what an unproven version may get, with servers of
- * two versions and callers that go on asking: what the tests of roll-outs begin
- * from.
+ * The fixture of the roll-out tests: boxes whose settings bound the requests to an unproven version, servers of two
+ * versions, and callers that send requests all the time.
  */
 
 import { milliseconds } from "@chalkdale/kernel";
@@ -17,17 +16,17 @@
     waitUntil,
 } from "../src/standins/deployment.js";
 
-/** Bounds of the settings. */
+/** Bounds of the settings on an unproven version: fraction of all requests, requests beyond it, time to roll back. */
 export const exposure = { share: 0.1, slack: 50, rollbackMs: 5000 };
 
-/** What became of the callers' requests. */
+/** The callers, and the answers that they received. */
 interface Callers {
-    /** Answers by status; 0 for none. */
+    /** Number of answers by status; 0 for a lost answer. */
     readonly statuses: ReadonlyMap<number, number>;
     readonly stop: () => Promise<void>;
 }
 
-/** The boxes and what they reach. */
+/** The deployment, its servers by version, and its callers. */
 export interface RolloutWorld {
     readonly deployment: TestDeployment;
     readonly boxes: TestBox[];
@@ -36,14 +35,16 @@
     readonly callers: Callers;
     /** Adds the servers of the target version. */
     readonly addTarget: () => Promise<void>;
+    /** Orders the roll-out to the target version, within the duration `over`. */
     readonly order: (over?: string) => void;
+    /** State of the roll-out in the store; undefined before boxes wrote one. */
     readonly state: () => string | undefined;
-    /** Requests that servers of the target, and all servers, worked on. */
+    /** Requests run by servers of the target version, and by all servers. */
     readonly targetRuns: () => number;
     readonly allRuns: () => number;
-    /** Resolves once the boxes wrote a state. */
+    /** Resolves once the boxes have written the state. */
     readonly written: (state: string) => Promise<void>;
-    /** Stops all boxes, and starts them again under their names. */
+    /** Stops all boxes, then starts them again with their names and addresses. */
     readonly restartAll: () => Promise<void>;
     readonly close: () => Promise<void>;
 }
@@ -51,10 +52,10 @@
 const serverCount = 6;
 /** Milliseconds between two requests of the callers: 200 a second. */
 const requestInterval = 5;
-/** At a key that a server does not know; far above what this process itself adds. */
+/** Run time of a request with a cold key: far above the time that this process adds to it. */
 const workMs = 60;
 
-/** Starts it; the boxes are ready when this resolves, and the callers ask. */
+/** Starts the fixture. When this resolves, the boxes are ready and the callers send requests. */
 export async function startRolloutWorld(boxCount = 2): Promise<RolloutWorld> {
     const { rollbackMs, share, slack } = exposure;
     const deployment = await startTestDeployment({
@@ -69,7 +70,7 @@
     const hosts = Array.from({ length: boxCount }, (_, index) => `127.0.0.${index + 2}`);
     const boxes: TestBox[] = [];
     hosts.forEach(host =>
-        boxes.push(deployment.startBox({ host, seeds: boxes.map(({ peerAddress: peers }) => peers) }))
+        boxes.push(deployment.startBox({ host, seeds: boxes.map(({ peerAddress }) => peerAddress) }))
     );
     await waitUntil(() => boxes.every(box => box.running.isReady()), "the boxes are ready");
     const callers = startCallers(boxes);
@@ -122,13 +123,13 @@
     }
 }
 
-/** Every seventh request is a write. The list of boxes may change meanwhile. */
+/** Sends requests to the boxes in turn; every seventh is a write. The list of boxes may change meanwhile. */
 function startCallers(boxes: readonly TestBox[]): Callers {
     const statuses = new Map<number, number>();
     const agent = new Agent({ keepAlive: true });
     const inProgress = new Set<Promise<void>>();
     let count = 0;
-    const timer = setInterval(() => {
+    const requestTimer = setInterval(() => {
         count += 1;
         const request = ask(count).finally(() => inProgress.delete(request));
         inProgress.add(request);
@@ -137,7 +138,7 @@
     return {
         statuses,
         async stop() {
-            clearInterval(timer);
+            clearInterval(requestTimer);
             await Promise.all(inProgress);
             agent.destroy();
         },
@@ -159,7 +160,7 @@
     }
 }
 
-/** Waits until nothing that was on its way can still arrive at a server. */
-export function settled(): Promise<void> {
+/** Waits until every request that was sent to a server before has arrived. */
+export function waitForArrivals(): Promise<void> {
     return pause(milliseconds(300));
 }
--- a/packages/testing/test/rollout-writes.test.ts
+++ b/packages/testing/test/rollout-writes.test.ts
@@ -1,5 +1,5 @@
 /**
- * Writes of the outcome of a roll-out, over the platform's store.
+ * Writes of a roll-out's state to the platform's store, while other writers change it and answers are lost.
  */
 
 import { createTrafficMeter, type StateStore, StoreError } from "@chalkdale/box";
@@ -42,7 +42,7 @@
     const read = async () => (await client.readRollout(service, signal))!;
     const onStatusWrite = (fault: StoreFault) => server.setFault(call => call.isStatus ? fault : { kind: "none" });
 
-    it("is written for the version of the order, and read back", async () => {
+    it("is written for the ordered version, and can be read back", async () => {
         const written = await client.writeRolloutState(await read(), "running", signal);
         expect(written).to.include({ state: "running", targetVersion: "v2", createdAt: 1, revision: 2 });
         expect(await read()).to.deep.equal(written);
@@ -50,7 +50,7 @@
             .to.deep.equal({ state: "running", target_version: "v2" });
     });
 
-    it("stays as the first of two writers has it, and the other learns that", async () => {
+    it("stays as the first of two writers set it, and the other writer receives it", async () => {
         const order = await read();
         await client.writeRolloutState(order, "rolledBack", signal);
         const second = await client.writeRolloutState(order, "completed", signal);
@@ -65,14 +65,14 @@
             .to.include({ targetVersion: "v3", state: undefined });
     });
 
-    it("is of no order once it was deleted", async () => {
+    it("is not written once the order was deleted", async () => {
         const order = await read();
         store.delete("rollouts", service);
         expect(await client.writeRolloutState(order, "completed", signal)).to.equal(undefined);
         expect(await client.readRollout(service, signal)).to.equal(undefined);
     });
 
-    it("is unknown after a lost answer, until it is read again", async () => {
+    it("is unknown after a lost answer until it is read again", async () => {
         onStatusWrite({ kind: "answerLost" });
         const error = await client.writeRolloutState(await read(), "running", signal).catch((caught: unknown) =>
             caught
@@ -81,7 +81,7 @@
         expect((await read()).state).to.equal("running");
     });
 
-    it("is not changed by a write that is done late, after another one was", async () => {
+    it("is not changed by a write that the store performs after a later one", async () => {
         const order = await read();
         onStatusWrite({ kind: "late", afterMs: 50 });
         await client.writeRolloutState(order, "completed", signal).catch(() => undefined);
--- a/packages/testing/test/store-epochs.test.ts
+++ b/packages/testing/test/store-epochs.test.ts
@@ -1,5 +1,6 @@
 /**
- * Calls of a store that has come back from an older copy of its own.
+ * Calls of the platform's store after it was restored from an older snapshot. Its answers report an epoch, which rises
+ * with each restore.
  */
 
 import { createTrafficMeter, type StateStore, StoreError } from "@chalkdale/box";
@@ -29,7 +30,7 @@
     });
 }
 
-/** The failure of a call that must fail; undefined for one that did not. */
+/** Returns the kind of failure of a call, or undefined if it succeeds. */
 async function failureOf(call: Promise<unknown>): Promise<string | undefined> {
     try {
         await call;
@@ -41,7 +42,7 @@
 }
 
 describe("the epochs of the platform's store", () => {
-    describe("that tells them", () => {
+    describe("when the store reports them", () => {
         let store: MetadataStore;
         let server: MetadataStoreServer;
         let client: StateStore;
@@ -55,25 +56,25 @@
         afterEach(() => server.close());
 
         const list = (kind: SharedKind) => client.list(kind, "newest", signal);
-        const shut = (...names: readonly string[]) => names.forEach(name => store.put("evacuations", name, {}));
+        const closeZones = (...names: readonly string[]) => names.forEach(name => store.put("evacuations", name, {}));
 
-        it("stand before its revisions in what boxes go by, and not in what the store is asked", async () => {
-            shut("z-1");
+        it("precede revisions in the positions of boxes, but not in calls of the store", async () => {
+            closeZones("z-1");
             const listed = await list("closedZones");
             expect(describePosition(listed.revision)).to.equal("7/1");
-            shut("z-2");
+            closeZones("z-2");
             const outcome = await client.watch("closedZones", listed.revision, signal, milliseconds(1000));
             expect(outcome).to.deep.include({ kind: "changes", revision: storePosition(7, 2) });
         });
 
-        it("end a watch from a revision that was given out again, whether the store has it or not", async () => {
-            shut("z-1");
-            const copy = store.takeSnapshot();
-            shut("z-2", "z-3");
+        it("end a watch from an earlier epoch, whether the store has reached its revision again or not", async () => {
+            closeZones("z-1");
+            const snapshot = store.takeSnapshot();
+            closeZones("z-2", "z-3");
             const { revision } = await list("closedZones");
             for (const names of [[], ["z-4", "z-5", "z-6"]]) {
-                store.restore(copy);
-                shut(...names);
+                store.restore(snapshot);
+                closeZones(...names);
                 const outcome = await client.watch("closedZones", revision, signal, milliseconds(1));
                 expect(outcome.kind).to.equal("historyLost");
             }
@@ -82,7 +83,7 @@
             expect(listed.items).to.deep.equal(["z-1", "z-4", "z-5", "z-6"]);
         });
 
-        it("end a watch that waits, once another call tells of a later one", async () => {
+        it("end a waiting watch once another call reports a later one", async () => {
             const { revision } = await list("closedZones");
             const watch = client.watch("closedZones", revision, signal, milliseconds(20_000));
             await new Promise(resolve => setTimeout(resolve, 50));
@@ -91,12 +92,12 @@
             expect((await watch).kind).to.equal("historyLost");
         });
 
-        it("do not mix in one list", async () => {
-            shut("z-1", "z-2", "z-3");
-            const copy = store.takeSnapshot();
+        it("are not mixed in one list", async () => {
+            closeZones("z-1", "z-2", "z-3");
+            const snapshot = store.takeSnapshot();
             server.setFault(({ kind }) => {
                 if (kind === "evacuations" && pages++ === 1) {
-                    store.restore(copy);
+                    store.restore(snapshot);
                 }
                 return { kind: "none" };
             });
@@ -105,12 +106,12 @@
             expect((await list("closedZones")).items).to.deep.equal(["z-1", "z-2", "z-3"]);
         });
 
-        it("keep a write that was meant for an earlier one from another object's revision", async () => {
+        it("prevent a write under a revision of an earlier epoch", async () => {
             store.put("rollouts", service, rolloutObject(service, "v2", "40s"));
-            const copy = store.takeSnapshot();
+            const snapshot = store.takeSnapshot();
             store.put("rollouts", service, rolloutObject(service, "v2", "50s"));
             const order = (await client.readRollout(service, signal))!;
-            store.restore(copy);
+            store.restore(snapshot);
             store.put("rollouts", service, rolloutObject(service, "v3", "40s"));
             await list("rollouts");
             const stored = await client.writeRolloutState(order, "completed", signal);
@@ -120,7 +121,7 @@
         });
     });
 
-    describe("whose answers tell none, or something else", () => {
+    describe("answers that report none, or an unusable one", () => {
         let epoch: string | undefined;
         let server: Server;
         let client: StateStore;
@@ -144,7 +145,7 @@
 
         const listedEpoch = async () => epochOf((await client.list("closedZones", "newest", signal)).revision);
 
-        it("are of epoch 0, or of the newest that it told", async () => {
+        it("have positions in epoch 0, or in the newest epoch reported before", async () => {
             expect(await listedEpoch()).to.equal(0);
             epoch = "3";
             expect(await listedEpoch()).to.equal(3);
@@ -152,7 +153,7 @@
             expect(await listedEpoch()).to.equal(3);
         });
 
-        it("are not taken if they were given in an earlier one, or make no sense", async () => {
+        it("fail if the epoch is lower than one reported before, or malformed", async () => {
             epoch = "3";
             await listedEpoch();
             epoch = "2";
