--- a/packages/testing/src/promises/box-mutations.ts
+++ b/packages/testing/src/promises/box-mutations.ts
@@ -1,11 +1,11 @@
 /**
- * The lines that keep promises in the box and the adapter, which carry the decisions out, with what they are replaced
- * by to take each out.
+ * Mutations of the box, the settings package and the platform adapter. Each disables one mechanism that keeps a
+ * promise.
  */
 
 import { boxFile, boxTestFile, integrationTestFile, type Mutation } from "./mutation.js";
 
-/** Mechanisms in the box and the adapter, which carry the decisions out. */
+/** Mutations of all code but the decisions. */
 export const boxMutations: readonly Mutation[] = [
     {
         promise: "P3",
@@ -17,7 +17,7 @@
     },
     {
         promise: "P3",
-        name: "the missing length of an answer without one",
+        name: "the omission of the length header when the server's answer has no length",
         file: boxFile("requests/caller-answers"),
         find: "if (framed) {",
         replace: "if (true) {",
@@ -25,7 +25,7 @@
     },
     {
         promise: "P7",
-        name: "the wait for answers that are still leaving",
+        name: "the wait for answers that are still being sent",
         file: boxFile("callers/caller-pipeline"),
         find: "if (pipeline.exchanges.length === 0) {\n                end(pipeline);",
         replace: "if (true) {\n                pipeline.socket.destroy();",
@@ -33,7 +33,7 @@
     },
     {
         promise: "P7",
-        name: "the close on the last answer of a connection only",
+        name: "the announcement of the close on the last answer of a connection only",
         file: boxFile("callers/caller-pipeline"),
         find: "begun === 1 && endsWithBegun(pipeline)",
         replace: "endsWithBegun(pipeline)",
@@ -41,7 +41,7 @@
     },
     {
         promise: "P7",
-        name: "the end that goes out before the connection is closed",
+        name: "the graceful end of a connection before it is closed",
         file: boxFile("callers/caller-pipeline"),
         find: "socket.destroySoon = endThisInOrder;",
         replace: "",
@@ -49,7 +49,7 @@
     },
     {
         promise: "P7",
-        name: "the requests at servers behind an answer without a length",
+        name: "the check for started requests behind an answer without a length",
         file: boxFile("requests/request-handler"),
         find: "!answer.framed && exchange.hasStartedSuccessors()",
         replace: "false",
@@ -57,7 +57,7 @@
     },
     {
         promise: "P9",
-        name: "the answers before bytes that are no request",
+        name: "the delivery of earlier answers before a malformed request",
         file: boxFile("callers/caller-connections"),
         find: "if (status === undefined) {",
         replace: "if (true) {",
@@ -65,7 +65,7 @@
     },
     {
         promise: "P7",
-        name: "new work while callers still hold the address",
+        name: "the admission of requests while callers may still use the address",
         file: boxFile("graceful-shutdown"),
         find: "await sleep(schedule.acceptRequestsFor, never);",
         replace: "",
@@ -73,7 +73,7 @@
     },
     {
         promise: "P7",
-        name: "time-outs as slowness",
+        name: "the count of timeouts as slowness",
         file: boxFile("requests/server-feedback"),
         find: "state.onAnswerTime(clock(), (clock() - sentAt) / Math.max(1, request.expected))",
         replace: "undefined",
@@ -81,7 +81,7 @@
     },
     {
         promise: "P7",
-        name: "refusals with free slots as failures, not as load",
+        name: "the count of refusals with free slots as failures",
         file: boxFile("requests/server-feedback"),
         find: "if (answerClass.isFailure) {",
         replace: "if (false) {",
@@ -89,7 +89,7 @@
     },
     {
         promise: "P8",
-        name: "the refusal of older versions",
+        name: "the rejection of older configurations",
         file: boxFile("state/shared-state"),
         find: "next.version <= configuration.version",
         replace: "false",
@@ -97,7 +97,7 @@
     },
     {
         promise: "P8",
-        name: "what other boxes know",
+        name: "the catch-up from other boxes",
         file: boxFile("state/snapshot-catch-up"),
         find: "if (progress.complete >= 0 && readAt < (status.snapshotReadAt ?? Infinity)) {",
         replace: "if (false) {",
@@ -105,7 +105,7 @@
     },
     {
         promise: "P8",
-        name: "the changes that a relay passes on, and the copies that it tells of",
+        name: "the changes and digests that a relay sends to its region",
         file: boxFile("peers/peer-link"),
         find: "member.region === region && member.box !== box",
         replace: "false",
@@ -113,7 +113,7 @@
     },
     {
         promise: "P8",
-        name: "the word of a box that the store turns away",
+        name: "the broadcast by a box that the store does not serve",
         file: boxFile("state/store-follower"),
         find: "unservedBoxes.onUnserved(clock()) && relayRole.shouldBroadcastUnserved()",
         replace: "false",
@@ -121,7 +121,7 @@
     },
     {
         promise: "P9",
-        name: "the path as the caller sent it",
+        name: "the path of the request as the caller sent it",
         file: boxFile("requests/attempt"),
         find: "path: request.path,",
         replace: "path: \"/other/\",",
@@ -129,7 +129,7 @@
     },
     {
         promise: "P11",
-        name: "the deadline handed on",
+        name: "the remaining time in the deadline header",
         file: boxFile("requests/attempt"),
         find: "String(Math.max(1, Math.floor(request.timeLeft())))",
         replace: "\"999999\"",
@@ -137,7 +137,7 @@
     },
     {
         promise: "P12",
-        name: "the end of the work when the caller leaves",
+        name: "the abort of requests when the caller leaves",
         file: boxFile("callers/caller-pipeline"),
         find: "turns.forEach(turn => turn.controller.abort());",
         replace: "",
@@ -145,7 +145,7 @@
     },
     {
         promise: "P13",
-        name: "the timer at the route's limit",
+        name: "the timer for the route's time limit",
         file: boxFile("requests/request-handler"),
         find: "Math.max(0, active.deadlineAt - clock())",
         replace: "100_000",
@@ -153,7 +153,7 @@
     },
     {
         promise: "P21",
-        name: "the key and the caller's own word of its customer taken off",
+        name: "the removal of the key and of the caller's own customer header",
         file: boxFile("requests/active-request"),
         find: "if (isKeyRequired) {",
         replace: "if (false) {",
@@ -161,7 +161,7 @@
     },
     {
         promise: "P21",
-        name: "the refusal of copies that do not say who may ask",
+        name: "the rejection of configurations without caller access",
         file: boxFile("state/state-messages"),
         find: "&& isCallerAccess(item.access)",
         replace: "",
@@ -169,7 +169,7 @@
     },
     {
         promise: "P18",
-        name: "the name of the server that may run a request",
+        name: "the header that names the expected server",
         file: boxFile("requests/attempt"),
         find: "protocol.headers.expectedServer,",
         replace: "\"x-nobody\",",
@@ -177,7 +177,7 @@
     },
     {
         promise: "P8",
-        name: "the clash of two operators' edits of the settings tree",
+        name: "the conflict check for two operators' edits of the settings tree",
         file: "packages/settings/dist/src/edits.js",
         find: "if (conflicts.length > 0) {",
         replace: "if (false) {",
@@ -193,7 +193,7 @@
     },
     {
         promise: "P23",
-        name: "the rule which versions may have a request",
+        name: "the rule that decides which versions may run a request",
         file: boxFile("box"),
         find: "versions: rollouts?.versions ??",
         replace: "versions:",
@@ -201,7 +201,7 @@
     },
     {
         promise: "P24",
-        name: "the revision under which an outcome is written",
+        name: "the condition on the revision when a roll-out's state is written",
         file: "platform/dist/src/store-client.js",
         find: "metadata: { name: service, revision: revisionInEpoch(revision) }",
         replace: "metadata: { name: service }",
@@ -209,7 +209,7 @@
     },
     {
         promise: "P24",
-        name: "the read after a write without an answer",
+        name: "the read after a write that was not answered",
         file: boxFile("rollouts/rollout-writer"),
         find: "failures.has(service) && !await isUnchanged(order)",
         replace: "false",
@@ -217,7 +217,7 @@
     },
     {
         promise: "P25",
-        name: "the news of a decision, before the store has it",
+        name: "the effect of a decision before the store has it",
         file: boxFile("rollouts/rollouts"),
         find: "trials.onDecision(decision);",
         replace: "",
@@ -225,7 +225,7 @@
     },
     {
         promise: "P24",
-        name: "the write by news of a deciding box that is lost",
+        name: "the write of a known decision when the deciding box is lost",
         file: boxFile("rollouts/rollouts"),
         find: "trials.all().forEach(({ order }) => outcomes.writeKnownDecision(order));",
         replace: "",
@@ -233,7 +233,7 @@
     },
     {
         promise: "P24",
-        name: "the boxes that write what the deciding one can't",
+        name: "the backup boxes that write when the deciding box can't",
         file: boxFile("rollouts/rollout-deciders"),
         find: "options.askBackupBoxes(order, state);",
         replace: "",
@@ -241,7 +241,7 @@
     },
     {
         promise: "P26",
-        name: "what the boxes that collect ends tell all others",
+        name: "the broadcast by the boxes that collect terminations",
         file: boxFile("poison-requests/poison-request-guard"),
         find: "gossip.sendToAll(record);",
         replace: "",
@@ -249,7 +249,7 @@
     },
     {
         promise: "P26",
-        name: "the end of a server that an attempt finds",
+        name: "the termination of a server that an attempt detects",
         file: boxFile("requests/attempt"),
         find: "return isAlive ? undefined : brokenAt;",
         replace: "return undefined;",
@@ -257,7 +257,7 @@
     },
     {
         promise: "P6",
-        name: "what a server says of its leaving in its answers",
+        name: "the shutdown notice in a server's answers",
         file: boxFile("servers/server-notices"),
         find: "server.state.onLeaving();",
         replace: "",
@@ -265,7 +265,7 @@
     },
     {
         promise: "P27",
-        name: "the limits that gossip tells on",
+        name: "the limits that gossip carries",
         file: boxFile("servers/limit-gossip"),
         find: "if (told.length === 0) {",
         replace: "if (true) {",
--- a/packages/testing/src/promises/decision-mutations.ts
+++ b/packages/testing/src/promises/decision-mutations.ts
@@ -1,14 +1,14 @@
 /**
- * The lines that keep promises in the pure rules of the decisions, with what they are replaced by to take each out.
+ * Mutations of the decisions, which are pure functions. Each disables one mechanism that keeps a promise.
  */
 
 import { boxTestFile, decisionsFile, decisionsTestFile, integrationTestFile, type Mutation } from "./mutation.js";
 
-/** Mechanisms in the pure rules of the decisions. */
+/** Mutations of the decisions. */
 export const decisionMutations: readonly Mutation[] = [
     {
         promise: "P1",
-        name: "the place of a key by hashing",
+        name: "the rendezvous hashing of keys to servers",
         file: decisionsFile("choose/server-ranking"),
         find: "rendezvousScore(request.keyHash, server.idHash,",
         replace: "rendezvousScore(request.keyHash, servers.indexOf(server),",
@@ -16,7 +16,7 @@
     },
     {
         promise: "P2",
-        name: "the wait at servers that are full",
+        name: "the estimated wait at servers without a free slot",
         file: decisionsFile("choose/server-estimate"),
         find: "Math.max(0, server.state.load(at) + 1 - slots)",
         replace: "0",
@@ -24,7 +24,7 @@
     },
     {
         promise: "P2",
-        name: "the refusal of what can't be answered in time",
+        name: "the refusal of requests that can't be answered in time",
         file: decisionsFile("choose/server-choice"),
         find: "best.minExpected > request.timeLeft",
         replace: "false",
@@ -32,7 +32,7 @@
     },
     {
         promise: "P2",
-        name: "the refusal of a wait past the goal",
+        name: "the refusal of waits beyond the goal",
         file: decisionsFile("choose/server-choice"),
         find: "best.wait <= maxSlotWait(best.warm, request, options.loadPerSlot)",
         replace: "true",
@@ -40,7 +40,7 @@
     },
     {
         promise: "P2",
-        name: "the shorter wait of unknown keys while slots are short",
+        name: "the shorter wait for cold keys while slots are short",
         file: decisionsFile("choose/longest-wait"),
         find: "loadPerSlot(service) > slotShortageLoad",
         replace: "false",
@@ -48,7 +48,7 @@
     },
     {
         promise: "P4",
-        name: "the status that promises nothing for a request that may have run",
+        name: "the status that leaves open whether a request has run",
         file: decisionsFile("refusals/refusals"),
         find: "brokenOff: { status: 502",
         replace: "brokenOff: { status: 503",
@@ -56,7 +56,7 @@
     },
     {
         promise: "P4",
-        name: "the refusal without a promise once an attempt broke off",
+        name: "the replacement of not-run refusals after a broken attempt",
         file: decisionsFile("refusals/refusals"),
         find: "promisesNotRun(refusal) ? \"brokenOff\" : refusal",
         replace: "refusal",
@@ -64,7 +64,7 @@
     },
     {
         promise: "P5",
-        name: "the end of a request that may not run twice once it broke",
+        name: "the end of an unsafe request after a broken attempt",
         file: decisionsFile("retry/retry-decision"),
         find: "if (end.kind === \"broken\" && !inputs.isIdempotent) {",
         replace: "if (false) {",
@@ -72,7 +72,7 @@
     },
     {
         promise: "P5",
-        name: "what must not run twice behind an answer that may end the connection",
+        name: "the wait of unsafe requests behind answers that may end the connection",
         file: decisionsFile("admit/pipelining"),
         find: "&& isIdempotent",
         replace: "",
@@ -80,7 +80,7 @@
     },
     {
         promise: "P7",
-        name: "nothing begun on a connection that is to end",
+        name: "the check that a connection is not closing before a request starts",
         file: decisionsFile("admit/pipelining"),
         find: "&& !isClosing",
         replace: "",
@@ -96,7 +96,7 @@
     },
     {
         promise: "P8",
-        name: "the epoch before the revision",
+        name: "the order of positions by epoch before revision",
         file: decisionsFile("shared-state/store-position"),
         find: "epoch * revisionsPerEpoch + revision",
         replace: "revision",
@@ -104,7 +104,7 @@
     },
     {
         promise: "P8",
-        name: "what a store that came back older has lost",
+        name: "the retention of entries that a restored store has lost",
         file: decisionsFile("shared-state/replica"),
         find: "held.overlay(items).values()",
         replace: "items.values()",
@@ -112,7 +112,7 @@
     },
     {
         promise: "P6",
-        name: "draining servers",
+        name: "the exclusion of draining servers",
         file: decisionsFile("servers/server-state"),
         find: "if (record.draining) {",
         replace: "if (false) {",
@@ -120,7 +120,7 @@
     },
     {
         promise: "P6",
-        name: "servers whose record is gone",
+        name: "the exclusion of servers whose record was deleted",
         file: decisionsFile("servers/server-state"),
         find: "if (unlisted) {",
         replace: "if (false) {",
@@ -128,7 +128,7 @@
     },
     {
         promise: "P7",
-        name: "the servers that are left out while they fail requests",
+        name: "the detection of outliers by failures",
         file: decisionsFile("servers/outlier-detection"),
         find: "severity: now => currentFailureRate(now) / outlierFailureRate",
         replace: "severity: () => 0",
@@ -136,7 +136,7 @@
     },
     {
         promise: "P7",
-        name: "slow servers as outliers",
+        name: "the detection of outliers by slowness",
         file: decisionsFile("servers/server-speed"),
         find: "severity: now => slowness(now) / outlierSlowness",
         replace: "severity: () => 0",
@@ -152,7 +152,7 @@
     },
     {
         promise: "P8",
-        name: "the refusal of older snapshots",
+        name: "the rejection of older snapshots",
         file: decisionsFile("shared-state/replica"),
         find: "if (revision !== undefined && snapshot.revision <= revision) {",
         replace: "if (false) {",
@@ -168,7 +168,7 @@
     },
     {
         promise: "P8",
-        name: "the boxes that ask in the place of those that the store turns away",
+        name: "the boxes that call the store in place of unserved ones",
         file: decisionsFile("shared-state/relay-role"),
         find: "maxPropagationDelay * (standInFraction + extraWatchFractionOf(kind) + stepFraction * step)",
         replace: "1e9",
@@ -176,7 +176,7 @@
     },
     {
         promise: "P10",
-        name: "503 as long as no configuration is known",
+        name: "the answer 503 until a configuration is known",
         file: decisionsFile("admit/admission"),
         find: "return { kind: \"refused\", refusal: \"notReady\" };",
         replace: "return { kind: \"refused\", refusal: \"noRoute\" };",
@@ -192,7 +192,7 @@
     },
     {
         promise: "P11",
-        name: "the share of retries",
+        name: "the retry budget",
         file: decisionsFile("retry/retry-budget"),
         find: "if (used + 1 > requestShare + allowanceShare) {",
         replace: "if (false) {",
@@ -200,7 +200,7 @@
     },
     {
         promise: "P14",
-        name: "the rate of a cold server",
+        name: "the request rate of a cold server",
         file: decisionsFile("servers/server-state"),
         find: "isCold(now) && !slowStart.allows(now)",
         replace: "false",
@@ -208,7 +208,7 @@
     },
     {
         promise: "P14",
-        name: "the few boxes that may send to a cold server",
+        name: "the bound on the boxes that may send to a cold server",
         file: decisionsFile("limits/shared-rate"),
         find: "rank === undefined || rank >= holders",
         replace: "rank === undefined",
@@ -216,7 +216,7 @@
     },
     {
         promise: "P15",
-        name: "the homes of a request",
+        name: "the home regions of a request",
         file: decisionsFile("choose/eligible-servers"),
         find: "(request.allowedRegions === undefined || request.allowedRegions.has(region))",
         replace: "true",
@@ -224,7 +224,7 @@
     },
     {
         promise: "P15",
-        name: "the homes of a customer",
+        name: "the home regions of a customer",
         file: decisionsFile("locality/allowed-regions"),
         find: "customer?.homeRegions ?? []",
         replace: "[]",
@@ -232,7 +232,7 @@
     },
     {
         promise: "P22",
-        name: "the charge of what boxes admitted",
+        name: "the charge of requests that boxes admitted",
         file: decisionsFile("limits/quota/quota-level"),
         find: "level += (use?.presumed ?? 0) - admitted;",
         replace: "level += use?.presumed ?? 0;",
@@ -240,7 +240,7 @@
     },
     {
         promise: "P22",
-        name: "the charge of what silent boxes may use",
+        name: "the charge of leases of boxes that do not report",
         file: decisionsFile("limits/quota/quota-level"),
         find: "level -= presumed;",
         replace: "",
@@ -248,7 +248,7 @@
     },
     {
         promise: "P22",
-        name: "the level that boxes tell a box that takes over",
+        name: "the charge of unacknowledged admissions to a new coordinator",
         file: decisionsFile("limits/quota/quota-level"),
         find: "level -= unacknowledged;",
         replace: "",
@@ -256,7 +256,7 @@
     },
     {
         promise: "P22",
-        name: "the almost empty bucket of a box that begins to count",
+        name: "the almost empty bucket of a new coordinator",
         file: decisionsFile("limits/quota/quota-level"),
         find: "let level = initialLevel + earned;",
         replace: "let level = 1e6;",
@@ -264,7 +264,7 @@
     },
     {
         promise: "P22",
-        name: "the leases that go on in a box that may be cut off",
+        name: "the continued use of leases in a box that may be partitioned",
         file: decisionsFile("limits/quota/coordinator-set"),
         find: "if (aliveCount < peakCount(aliveCount, at) * minKnownFraction) {",
         replace: "if (false) {",
@@ -272,7 +272,7 @@
     },
     {
         promise: "P22",
-        name: "the refusal when a part is used up",
+        name: "the refusal when a box's share is used up",
         file: decisionsFile("limits/quota/quota-share"),
         find: "if (bucket.tokens < 1) {",
         replace: "if (false) {",
@@ -280,7 +280,7 @@
     },
     {
         promise: "P21",
-        name: "the key that a request needs",
+        name: "the required key of a request",
         file: decisionsFile("admit/admission"),
         find: "if (customer === undefined) {",
         replace: "if (false) {",
@@ -288,7 +288,7 @@
     },
     {
         promise: "P21",
-        name: "the answer for keys that an old copy may not know",
+        name: "the answer for keys that an old copy may not contain",
         file: decisionsFile("customers/copy-age"),
         find: "return age <= bounds.maxPropagationDelay;",
         replace: "return true;",
@@ -296,7 +296,7 @@
     },
     {
         promise: "P21",
-        name: "the end of admissions where revocations are strict",
+        name: "the end of admission with an old copy where revocation is strict",
         file: decisionsFile("customers/copy-age"),
         find: "bounds.maxKeyCopyAge === undefined || age <= bounds.maxKeyCopyAge",
         replace: "true",
@@ -304,7 +304,7 @@
     },
     {
         promise: "P16",
-        name: "zones that admit nothing",
+        name: "the exclusion of closed zones",
         file: decisionsFile("choose/eligible-servers"),
         find: "&& options.admitsZone(zone)",
         replace: "",
@@ -312,7 +312,7 @@
     },
     {
         promise: "P17",
-        name: "the start from another box's copies",
+        name: "the start from another box's snapshot",
         file: decisionsFile("shared-state/replica-refresh"),
         find: "if (!inputs.hasCopy) {\n        return inputs.isSameRegion ? milliseconds(0)",
         replace: "if (!inputs.hasCopy) {\n        return inputs.isSameRegion ? milliseconds(1e9)",
@@ -320,7 +320,7 @@
     },
     {
         promise: "P19",
-        name: "boxes that did not answer, and regions that fell silent",
+        name: "the exclusion of failed boxes and failed regions",
         file: decisionsFile("membership/membership"),
         find: "return !isFailed && regions.isAlive(record.region, at);",
         replace: "return true;",
@@ -336,7 +336,7 @@
     },
     {
         promise: "P23",
-        name: "the cap of each box",
+        name: "the cap on each box's trial requests",
         file: decisionsFile("rollouts/trial-traffic"),
         find: "const left = cap - sentToTrial - assigned;",
         replace: "const left = Infinity;",
@@ -344,7 +344,7 @@
     },
     {
         promise: "P23",
-        name: "the state in the store before anything is granted",
+        name: "the running state in the store before requests are granted",
         file: decisionsFile("rollouts/rollout-decider"),
         find: "isOpen: order.state === \"running\" && ",
         replace: "isOpen: ",
@@ -360,7 +360,7 @@
     },
     {
         promise: "P26",
-        name: "the hold of a request under which three servers ended",
+        name: "the hold of a request after three terminations",
         file: decisionsFile("poison-requests/poison-request-record"),
         find: "if (count >= restrictionThresholds.held) {",
         replace: "if (false) {",
@@ -368,7 +368,7 @@
     },
     {
         promise: "P26",
-        name: "the acquittal by an answer",
+        name: "the reset of a request's terminations by an answer",
         file: decisionsFile("poison-requests/poison-request-record"),
         find: "return ends.filter(({ at }) => at > answeredAt);",
         replace: "return ends;",
@@ -376,7 +376,7 @@
     },
     {
         promise: "P27",
-        name: "the limit that a server names",
+        name: "the rate limit that a server reports",
         file: decisionsFile("servers/server-state"),
         find: "limitShare?.allows(now) === false",
         replace: "false",
@@ -384,7 +384,7 @@
     },
     {
         promise: "P27",
-        name: "the few boxes that hold a part of a limit",
+        name: "the bound on the boxes that share a limit",
         file: decisionsFile("limits/shared-rate"),
         find: "rank === undefined || rank >= holders",
         replace: "rank === undefined",
@@ -392,7 +392,7 @@
     },
     {
         promise: "P27",
-        name: "the newest word, whatever came last",
+        name: "the precedence of the newest update over the last received",
         file: decisionsFile("servers/server-rate-limit"),
         find: "known !== undefined && !isNewer(update, known)",
         replace: "false",
--- a/packages/testing/src/promises/mutation.ts
+++ b/packages/testing/src/promises/mutation.ts
@@ -1,17 +1,19 @@
 /**
- * The form of a mechanism that keeps a promise, and where compiled code and its tests lie.
+ * The form of a mutation, and the paths of compiled code and tests, relative to the workspace's root.
  */
 
 import type { PromiseTag } from "./promise-texts.js";
 
-/** A mechanism and how it is taken out. */
+/** A replacement in a compiled file that disables a mechanism, so that the proofs of its promise should fail. */
 export interface Mutation {
     readonly promise: PromiseTag;
+    /** The mechanism that is disabled. */
     readonly name: string;
     readonly file: string;
+    /** Text that the file must contain; its first occurrence is replaced. */
     readonly find: string;
     readonly replace: string;
-    /** Test files that should miss it. */
+    /** Test files in which at least one proof should fail. */
     readonly testFiles: readonly string[];
 }
 
--- a/packages/testing/src/promises/mutations.ts
+++ b/packages/testing/src/promises/mutations.ts
@@ -1,10 +1,10 @@
 /**
- * All mechanisms that keep the promises, for each promise one or more.
+ * All mutations, one or more for each promise.
  */
 
 import { boxMutations } from "./box-mutations.js";
 import { decisionMutations } from "./decision-mutations.js";
 import type { Mutation } from "./mutation.js";
 
-/** All mechanisms, in no order that matters. */
+/** All mutations; their order has no meaning. */
 export const mutations: readonly Mutation[] = [...decisionMutations, ...boxMutations];
--- a/packages/testing/src/promises/proofs.ts
+++ b/packages/testing/src/promises/proofs.ts
@@ -1,17 +1,17 @@
 /**
- * Runs tests in a process of their own and returns how each ended.
+ * Runs the tests that prove promises in a process of their own and returns the outcome of each.
  */
 
 import { spawn } from "node:child_process";
 import { resolve } from "node:path";
 import { workspaceRoot } from "../workspace-root.js";
 
-/** How one test ended. */
+/** The outcome of one test. */
 export interface TestOutcome {
-    /** Titles of the test and of all blocks around it. */
+    /** Title of the test, after those of all blocks around it. */
     readonly title: string;
     readonly passed: boolean;
-    /** First line of what was wrong. */
+    /** First line of the error message; empty for a test that passed. */
     readonly message: string;
 }
 
@@ -20,14 +20,14 @@
     readonly failures: readonly { readonly fullTitle: string; readonly err: { readonly message?: string; }; }[];
 }
 
-/** Longest time of one run in milliseconds; a run that hangs counts as failed. */
-const longestRun = 120_000;
+/** Milliseconds after which a run is killed; without its report, it counts as failed. */
+const runTimeout = 120_000;
 
-/** Titles of tests that prove a promise. */
-const promiseTitles = "\\[P\\d+\\]";
+/** Pattern of the titles of tests that prove a promise. */
+const promiseTitlePattern = "\\[P\\d+\\]";
 
-/** Runs the tests of some files that prove a promise. */
-export async function runProofs(specs: readonly string[]): Promise<TestOutcome[]> {
+/** Runs the tests that prove promises in the given files, or in those that match a glob pattern. */
+export async function runProofs(testFiles: readonly string[]): Promise<TestOutcome[]> {
     const mocha = resolve(workspaceRoot, "node_modules/mocha/bin/mocha.js");
     const args = [
         mocha,
@@ -38,26 +38,26 @@
         "--timeout",
         "60000",
         "--grep",
-        promiseTitles,
-        ...specs,
+        promiseTitlePattern,
+        ...testFiles,
     ];
     const child = spawn(process.execPath, args, {
         cwd: workspaceRoot,
         stdio: ["ignore", "pipe", "ignore"],
-        timeout: longestRun,
+        timeout: runTimeout,
     });
     let text = "";
     child.stdout.on("data", chunk => {
         text += String(chunk);
     });
     await new Promise(done => child.once("close", done));
-    return outcomesOf(text);
+    return parseOutcomes(text);
 }
 
-function outcomesOf(text: string): TestOutcome[] {
+function parseOutcomes(text: string): TestOutcome[] {
     const start = text.indexOf("{\n  \"stats\"");
     if (start < 0) {
-        return [{ title: "the run", passed: false, message: "it gave no report" }];
+        return [{ title: "the test run", passed: false, message: "no report was written" }];
     }
     const { tests, failures } = JSON.parse(text.slice(start)) as JsonReport;
     const failed = new Map(failures.map(test => [test.fullTitle, test.err.message ?? ""]));
@@ -66,10 +66,10 @@
         passed: !failed.has(fullTitle),
         message: (failed.get(fullTitle) ?? "").split("\n")[0],
     }));
-    const hooks = failures.filter(({ fullTitle }) => !tests.some(test => test.fullTitle === fullTitle));
+    const hookFailures = failures.filter(({ fullTitle }) => !tests.some(test => test.fullTitle === fullTitle));
     return [
         ...outcomes,
-        ...hooks.map(({ fullTitle, err }) => ({
+        ...hookFailures.map(({ fullTitle, err }) => ({
             title: fullTitle,
             passed: false,
             message: (err.message ?? "").split("\n")[0],
--- a/packages/testing/test/mutations.test.ts
+++ b/packages/testing/test/mutations.test.ts
@@ -5,15 +5,15 @@
 import { promiseTexts } from "../src/promises/promise-texts.js";
 import { workspaceRoot } from "../src/workspace-root.js";
 
-describe("the list of mechanisms that are taken out", () => {
-    for (const { file, find, name, promise, testFiles: specs } of mutations) {
-        it(`names lines that exist: ${promise}, ${name}`, () => {
+describe("the list of mutations", () => {
+    for (const { file, find, name, promise, testFiles } of mutations) {
+        it(`replaces existing text: ${promise}, ${name}`, () => {
             expect(readFileSync(resolve(workspaceRoot, file), "utf8")).to.include(find);
-            specs.forEach(spec => readFileSync(resolve(workspaceRoot, spec)));
+            testFiles.forEach(testFile => readFileSync(resolve(workspaceRoot, testFile)));
         });
     }
 
-    it("has a mechanism for each promise", () => {
+    it("has a mutation for each promise", () => {
         expect([...new Set(mutations.map(({ promise }) => promise))]).to.have.members(Object.keys(promiseTexts));
     });
 });
