--- a/packages/box/src/box.ts
+++ b/packages/box/src/box.ts
@@ -120,7 +120,7 @@
         regionOfZone: settings.regionOfZone,
         confirmedAge: kind => replicator.confirmedAge(kind),
         describeRecentSends: recentSends.describe,
-        onRestarted: onServerRestarted,
+        onServerRestarted,
         onRollouts: orders => rollouts?.onOrders(orders),
         onConfiguration: configuration => callerServer.setIdleTimeout(configuration.limits.idleTimeout),
     });
--- a/packages/box/src/state/shared-state.ts
+++ b/packages/box/src/state/shared-state.ts
@@ -70,7 +70,7 @@
     /** Describes the latest requests to a server, for the log line written when it leaves. */
     readonly describeRecentSends: (server: BackendServerId) => string | undefined;
     /** Called with each server that has restarted. */
-    readonly onRestarted: (restarted: RestartedServer) => void;
+    readonly onServerRestarted: (restarted: RestartedServer) => void;
     /** Called with all roll-out orders whenever one changes. */
     readonly onRollouts: (orders: readonly RolloutOrder[]) => void;
     /** Called with each configuration that takes effect. */
@@ -169,7 +169,7 @@
                 unconfirmedFor: Math.round(options.confirmedAge("servers")),
             });
         }
-        restarted.forEach(options.onRestarted);
+        restarted.forEach(options.onServerRestarted);
         startedDraining.forEach(server => logLeaving(server, "draining"));
         removed.forEach(server => logLeaving(server, "unlisted"));
     }
--- a/packages/box/src/state/watch-timeouts.ts
+++ b/packages/box/src/state/watch-timeouts.ts
@@ -1,6 +1,6 @@
 /**
  * Timeouts of watches of the store. A watch that other boxes wait for times out early; any other one times out once
- * nobody has confirmed the replica in time. The connection of an unanswered watch may no longer work.
+ * no box has confirmed the replica in time. The connection of an unanswered watch may no longer work.
  *
  * Owns the number of consecutive urgent watches that timed out, by kind; relies on the age of the replica, and on the
  * owner of the watch to start another one.
@@ -54,7 +54,7 @@
         return () => clearTimeout(timer);
     }
 
-    /** The timeout starts anew whenever the replica is confirmed, also to another box. */
+    /** The timeout restarts whenever the replica is confirmed, also to another box. */
     function startByAge(kind: SharedKind, controller: AbortController): () => void {
         let timer: NodeJS.Timeout;
         check();
--- a/packages/box/test/emulated-fleet.ts
+++ b/packages/box/test/emulated-fleet.ts
@@ -41,7 +41,7 @@
 export interface EmulatedFleetOptions {
     readonly boxesOfRegion: number;
     /** Milliseconds in which a change must reach all boxes. */
-    readonly changeBound: number;
+    readonly maxPropagationDelay: number;
     readonly seed: number;
     /** Fraction of the datagrams that are lost. */
     readonly loss?: number;
@@ -83,7 +83,7 @@
 const firstRevision = 5;
 
 /** Starts the boxes; four of each region have a high capacity. */
-export function startEmulatedFleet({ boxesOfRegion, changeBound, loss = 0, seed }: EmulatedFleetOptions) {
+export function startEmulatedFleet({ boxesOfRegion, maxPropagationDelay, loss = 0, seed }: EmulatedFleetOptions) {
     const clock = startEmulatedClock();
     const random = createSeededRandom(seed);
     const lifetime = new AbortController();
@@ -167,12 +167,12 @@
             rollouts: createReplica<never>(() => "r", () => undefined),
         };
         let roundsSinceDigest = 0;
-        const unservedBoxes = createUnservedBoxes(record.box, milliseconds(changeBound));
+        const unservedBoxes = createUnservedBoxes(record.box, milliseconds(maxPropagationDelay));
         const relayRole = createRelayRole({
             self: record.box,
             region: record.region,
             alive: () => membership.alive(clock.now()),
-            maxPropagationDelay: milliseconds(changeBound),
+            maxPropagationDelay: milliseconds(maxPropagationDelay),
             unservedBoxes,
             clock: clock.now,
             uptime: clock.now,
@@ -220,7 +220,10 @@
                 send(box, boxes.get(member.box)!, { digest: replicator.digest(), asks: true });
             }
             roundsSinceDigest += 1;
-            if (replicator.isFollowingStore() && roundsSinceDigest >= roundsBetweenDigests(milliseconds(changeBound))) {
+            if (
+                replicator.isFollowingStore()
+                && roundsSinceDigest >= roundsBetweenDigests(milliseconds(maxPropagationDelay))
+            ) {
                 sendDigestToRegion();
             }
         }
--- a/packages/box/test/restored-fleet.test.ts
+++ b/packages/box/test/restored-fleet.test.ts
@@ -16,7 +16,7 @@
  * `changeAfter` milliseconds after the store is available again.
  */
 async function propagationTime(boxesOfRegion: number, changeAfter: number, seed: number, loss = 0): Promise<number> {
-    const fleet = startEmulatedFleet({ boxesOfRegion, changeBound: bound, seed, loss });
+    const fleet = startEmulatedFleet({ boxesOfRegion, maxPropagationDelay: bound, seed, loss });
     try {
         await fleet.runUntil(steadyAfter);
         fleet.change();
--- a/packages/box/test/silent-watches.test.ts
+++ b/packages/box/test/silent-watches.test.ts
@@ -39,7 +39,7 @@
     const fleet = startEmulatedFleet(options);
     const random = createSeededRandom(options.seed);
     try {
-        const blackholedAt = steadyAfter + random() * 2 * options.changeBound;
+        const blackholedAt = steadyAfter + random() * 2 * options.maxPropagationDelay;
         await fleet.runUntil(blackholedAt);
         const affected = new Set(fleet.records.filter(() => random() < affectedFraction).map(({ box }) => box));
         fleet.blackholeOpenConnections(({ box }) => affected.has(box));
@@ -50,7 +50,9 @@
             await fleet.runUntil(changedAt + blackholedAgainAfter);
             fleet.blackholeOpenConnections(({ box }) => affected.has(box));
         }
-        while (fleet.boxesBehind(revision, kind).length > 0 && fleet.now() < changedAt + 10 * options.changeBound) {
+        while (
+            fleet.boxesBehind(revision, kind).length > 0 && fleet.now() < changedAt + 10 * options.maxPropagationDelay
+        ) {
             await fleet.runUntil(fleet.now() + 20);
         }
         return fleet.now() - changedAt;
@@ -65,11 +67,11 @@
 
     /** Returns a case for each bound, kind of change and seed, for regions of one size. */
     const casesOf = (boxesOfRegion: number, overrides: Partial<BlackholeCase>): BlackholeCase[] =>
-        [2000, 3000].flatMap(changeBound =>
+        [2000, 3000].flatMap(maxPropagationDelay =>
             kinds.flatMap(kind =>
                 seeds.map(seed => ({
                     boxesOfRegion,
-                    changeBound,
+                    maxPropagationDelay,
                     kind,
                     seed,
                     affectedFraction: seed % 2 === 0 ? 1 : 0.6,
@@ -87,7 +89,7 @@
         const lateCases: string[] = [];
         for (const options of boxesOfRegions.flatMap(boxesOfRegion => casesOf(boxesOfRegion, overrides))) {
             const time = await propagationTime(options);
-            if (time > options.changeBound) {
+            if (time > options.maxPropagationDelay) {
                 lateCases.push(`${JSON.stringify(options)} took ${Math.round(time)} ms`);
             }
         }
--- a/packages/box/test/unserved-boxes.test.ts
+++ b/packages/box/test/unserved-boxes.test.ts
@@ -17,7 +17,7 @@
     fault: UnservedFault,
     options: Partial<EmulatedFleetOptions> & { readonly changeAfter: number; },
 ) {
-    const fleet = startEmulatedFleet({ boxesOfRegion: 23, changeBound: bound, seed: 1, ...options });
+    const fleet = startEmulatedFleet({ boxesOfRegion: 23, maxPropagationDelay: bound, seed: 1, ...options });
     try {
         const ranks = new Map(
             ["north", "east", "south"].flatMap(region =>
@@ -68,12 +68,14 @@
     it("is followed by all boxes within a bound of 2 s, and while datagrams are lost", async () => {
         const isServed = subsets[6][1](() => 0);
         const options = { seed: 5, changeAfter: 20 };
-        expect(await propagationTime(isServed, "silence", { ...options, changeBound: 2000 })).to.be.at.most(2000);
+        expect(await propagationTime(isServed, "silence", { ...options, maxPropagationDelay: 2000 })).to.be.at.most(
+            2000,
+        );
         expect(await propagationTime(isServed, "silence", { ...options, loss: 0.05 })).to.be.at.most(bound);
     });
 
     it("costs no more calls in steady state than three watches of each relay, and a change reaches all boxes at once", async () => {
-        const fleet = startEmulatedFleet({ boxesOfRegion: 23, changeBound: bound, seed: 1 });
+        const fleet = startEmulatedFleet({ boxesOfRegion: 23, maxPropagationDelay: bound, seed: 1 });
         await fleet.runUntil(steadyAfter);
         const callsBefore = fleet.storeCalls();
         await fleet.runUntil(steadyAfter + 9000);
--- a/packages/decisions/test/emulated-members.ts
+++ b/packages/decisions/test/emulated-members.ts
@@ -15,10 +15,10 @@
     readonly arrivesAt: number;
     readonly to: string;
     readonly from: MemberRecord;
-    readonly news: readonly MemberStatus[];
+    readonly updates: readonly MemberStatus[];
     readonly ages: ReturnType<Membership["regionAges"]>;
     /** True for a probe, which the receiver answers. */
-    readonly asks: boolean;
+    readonly isProbe: boolean;
 }
 
 interface EmulatedMember {
@@ -136,12 +136,12 @@
 
     function send(membership: Membership, to: MemberRecord, at: number, isProbe: boolean): void {
         const from = membership.ownRecord();
-        const news = membership.nextUpdates(maxUpdates, milliseconds(at));
+        const updates = membership.nextUpdates(maxUpdates, milliseconds(at));
         const ages = membership.regionAges(milliseconds(at));
         sent += 1;
         if (random() >= loss) {
             const arrivesAt = at + (to.region === from.region ? delayWithinRegion : delayBetweenRegions);
-            messages.push({ arrivesAt, to: to.box, from, news, ages, asks: isProbe });
+            messages.push({ arrivesAt, to: to.box, from, updates, ages, isProbe });
         }
     }
 
@@ -156,14 +156,14 @@
         }
     }
 
-    function deliver({ ages, arrivesAt, asks: isProbe, from, news, to }: Message): void {
+    function deliver({ ages, arrivesAt, isProbe, from, updates, to }: Message): void {
         const box = boxes.get(to)!;
         if (!box.isRunning) {
             return;
         }
         const at = milliseconds(arrivesAt);
         box.membership.onHeard(from, at);
-        box.membership.merge(news, at);
+        box.membership.merge(updates, at);
         box.membership.mergeRegionAges(ages, at);
         if (isProbe) {
             send(box.membership, from, arrivesAt, false);
--- a/packages/decisions/test/served-versions.test.ts
+++ b/packages/decisions/test/served-versions.test.ts
@@ -66,7 +66,7 @@
         order(next: RolloutOrder | undefined) {
             order = next;
         },
-        news(next: RolloutDecision["decision"] | undefined) {
+        announceDecision(next: RolloutDecision["decision"] | undefined) {
             announcedDecision = next;
         },
         at(time: number) {
@@ -276,20 +276,20 @@
         });
 
         it("follow the decision before the store has it", () => {
-            setup.news("completed");
+            setup.announceDecision("completed");
             expect(setup.admitted()).to.deep.equal(["v2-5"]);
         });
 
         it("exclude a version as soon as its rollback is announced", () => {
             expect(setup.admitted(true)).to.deep.equal(["v2-5"]);
             const before = setup.versions.version(service);
-            setup.news("rolledBack");
+            setup.announceDecision("rolledBack");
             expect(setup.versions.version(service)).to.be.greaterThan(before);
             expect(setup.admitted(true)).to.deep.equal([]);
         });
 
         it("follow the store where it differs from the announced decision", () => {
-            setup.news("rolledBack");
+            setup.announceDecision("rolledBack");
             expect(setup.admitted()).to.deep.equal(["v1-1"]);
             setup.order(orderTo("v2", "completed"));
             expect(setup.admitted()).to.deep.equal(["v2-5"]);
