--- a/packages/box/src/callers/caller-connections.ts
+++ b/packages/box/src/callers/caller-connections.ts
@@ -69,14 +69,14 @@
         count: () => openPipelines.size,
     };
 
-    function onRequest(request: IncomingMessage, response: ServerResponse, awaitsContinue: boolean): void {
+    function onRequest(request: IncomingMessage, response: ServerResponse, expectsContinue: boolean): void {
         withPipeline(request.socket, pipeline => {
             if (lacksHost(request)) {
                 request.resume();
                 pipelines.onInvalidRequest(pipeline, badRequest);
                 return;
             }
-            pipelines.onRequest(pipeline, request, response, awaitsContinue);
+            pipelines.onRequest(pipeline, request, response, expectsContinue);
         });
     }
 
--- a/packages/box/src/callers/caller-pipeline.ts
+++ b/packages/box/src/callers/caller-pipeline.ts
@@ -33,12 +33,12 @@
 export interface CallerPipelines {
     /** Returns the state of a new connection. */
     readonly open: (socket: Socket) => CallerPipeline;
-    /** Queues a request. `awaitsContinue`: the caller waits for 100 Continue before it sends the body. */
+    /** Queues a request. `expectsContinue`: the caller waits for 100 Continue before it sends the body. */
     readonly onRequest: (
         pipeline: CallerPipeline,
         request: IncomingMessage,
         response: ServerResponse,
-        awaitsContinue: boolean,
+        expectsContinue: boolean,
     ) => void;
     /** Handles bytes that can't be parsed: the status is sent after all other answers and closes the connection. */
     readonly onInvalidRequest: (pipeline: CallerPipeline, status: number) => void;
@@ -65,12 +65,12 @@
                 pendingErrorResponse: undefined,
             };
         },
-        onRequest(pipeline, request, response, awaitsContinue) {
+        onRequest(pipeline, request, response, expectsContinue) {
             if (pipeline.isFinished || pipeline.pendingErrorResponse !== undefined) {
                 request.resume();
                 return;
             }
-            const exchange = createExchange(pipeline, request, response, awaitsContinue);
+            const exchange = createExchange(pipeline, request, response, expectsContinue);
             pipeline.latest = exchange;
             pipeline.exchanges.push(exchange);
             if (shouldPauseReading(pipeline.exchanges.length)) {
@@ -106,7 +106,7 @@
         pipeline: CallerPipeline,
         request: IncomingMessage,
         response: ServerResponse,
-        awaitsContinue: boolean,
+        expectsContinue: boolean,
     ): QueuedExchange {
         const exchange: QueuedExchange = {
             request,
@@ -115,7 +115,7 @@
             controller: new AbortController(),
             isIdempotent: undefined,
             ready: undefined,
-            expectsContinue: awaitsContinue,
+            expectsContinue,
             sendContinue() {
                 exchange.expectsContinue = false;
                 response.writeContinue();
--- a/packages/box/src/requests/server-feedback.ts
+++ b/packages/box/src/requests/server-feedback.ts
@@ -140,8 +140,8 @@
 
     /** True for an answer that asks this box to back off. */
     function requestsBackoff(answer: ServerAnswer): boolean {
-        const asked = protocol.readBackoff(answer);
-        return asked.kind === "asked" && asked.duration > 0;
+        const backoff = protocol.readBackoff(answer);
+        return backoff.kind === "asked" && backoff.duration > 0;
     }
 
     /** True if the request has been at the server for far longer than expected. */
--- a/packages/box/src/rollouts/newest-orders.ts
+++ b/packages/box/src/rollouts/newest-orders.ts
@@ -27,9 +27,9 @@
 /**
  * Creates an empty set of orders.
  *
- * @param identify returns an order under the identity by which boxes know it, see `OrderHistory`
+ * @param withKnownIdentity returns an order under the identity by which boxes know it, see `OrderHistory`
  */
-export function createNewestOrders(identify: (order: RolloutOrder) => RolloutOrder): NewestOrders {
+export function createNewestOrders(withKnownIdentity: (order: RolloutOrder) => RolloutOrder): NewestOrders {
     let copy = new Map<ServiceId, RolloutOrder>();
     const stored = new Map<ServiceId, StoredOrder>();
 
@@ -47,7 +47,7 @@
 
     function of(service: ServiceId): RolloutOrder | undefined {
         const order = newestOf(service);
-        return order && identify(order);
+        return order && withKnownIdentity(order);
     }
 
     function newestOf(service: ServiceId): RolloutOrder | undefined {
--- a/packages/box/src/servers/limit-messages.ts
+++ b/packages/box/src/servers/limit-messages.ts
@@ -15,13 +15,13 @@
  */
 export type LimitReport = readonly [server: string, bornAt: number, rate: number | "none", age: number];
 
-/** Birth of an incarnation whose birth is not known. */
-const unknownBirth = 0;
+/** Sent as `bornAt` of an incarnation whose start time is not known. */
+const unknownBornAt = 0;
 
 /** Returns the latest limit of a server in the form in which it is sent. */
 export function encodeLimitReport(record: BackendServerRecord, update: LimitUpdate, now: Milliseconds): LimitReport {
     const rate = update.kind === "named" ? update.rate : "none";
-    return [record.id, record.bornAt ?? unknownBirth, rate, Math.max(0, Math.round(now - update.at))];
+    return [record.id, record.bornAt ?? unknownBornAt, rate, Math.max(0, Math.round(now - update.at))];
 }
 
 /**
@@ -33,10 +33,10 @@
     return rate === "none" ? { kind: "ended", at } : { kind: "named", rate, at };
 }
 
-/** True if a report is of the incarnation of the record, or if one of their births is unknown. */
+/** True if a report is of the incarnation of the record, or if one of their start times is unknown. */
 export function isOfSameIncarnation([, bornAt]: LimitReport, record: BackendServerRecord): boolean {
-    const known = record.bornAt ?? unknownBirth;
-    return bornAt === known || bornAt === unknownBirth || known === unknownBirth;
+    const known = record.bornAt ?? unknownBornAt;
+    return bornAt === known || bornAt === unknownBornAt || known === unknownBornAt;
 }
 
 /** True for limits in the form in which boxes send them. */
--- a/packages/decisions/src/admit/pipelining.ts
+++ b/packages/decisions/src/admit/pipelining.ts
@@ -36,8 +36,8 @@
 export function mayStartNext(
     { inProgress, isClosing, isIdempotent, bufferedBytes }: PipelineState,
 ): boolean {
-    const hasRoom = inProgress < maxInProgress && bufferedBytes < maxBufferedBytes;
-    return inProgress === 0 || hasRoom && isIdempotent && !isClosing;
+    const isBelowLimits = inProgress < maxInProgress && bufferedBytes < maxBufferedBytes;
+    return inProgress === 0 || isBelowLimits && isIdempotent && !isClosing;
 }
 
 /** True if reading from a connection with that many unanswered requests should pause. */
--- a/packages/decisions/src/choose/eligible-servers.ts
+++ b/packages/decisions/src/choose/eligible-servers.ts
@@ -111,14 +111,14 @@
         let position = 0;
 
         return ranked.filter(server => {
-            const exclusion = server.state.exclusionReason(request.at);
+            const exclusionReason = server.state.exclusionReason(request.at);
             const isComparedPosition = position < comparedCount;
-            if (exclusion === "limited") {
+            if (exclusionReason === "limited") {
                 position += 1;
                 options.keyRebalancing.onUnavailable(server, request.at);
                 return false;
             }
-            if (exclusion !== undefined || !options.admitsZone(server.state.record().zone) || isOutlier(server)) {
+            if (exclusionReason !== undefined || !options.admitsZone(server.state.record().zone) || isOutlier(server)) {
                 options.keyRebalancing.onUnavailable(server, request.at);
                 return false;
             }
--- a/packages/decisions/src/customers/copy-age.ts
+++ b/packages/decisions/src/customers/copy-age.ts
@@ -5,7 +5,7 @@
  * | copy | known key | unknown key, or none |
  * | --- | --- | --- |
  * | none, as after a start | not ready | not ready |
- * | confirmed within the bound on changes | admitted | rejected for good |
+ * | confirmed within the bound on changes | admitted | rejected permanently |
  * | older: store down or refusing the box, relay lost, box cut off | admitted | may retry |
  * | older than the bound on revocations, if revocations are strict | may retry | may retry |
  *
@@ -24,7 +24,7 @@
     readonly maxKeyCopyAge: Milliseconds | undefined;
 }
 
-/** True if a key that the copy does not know may be rejected for good: callers do not retry after that. */
+/** True if a key that the copy does not know may be rejected permanently: callers do not retry after that. */
 export function mayRejectUnknownKey(age: Milliseconds, bounds: CopyAgeBounds): boolean {
     return age <= bounds.maxPropagationDelay;
 }
--- a/packages/decisions/src/limits/shared-limits.ts
+++ b/packages/decisions/src/limits/shared-limits.ts
@@ -79,7 +79,7 @@
         advertisedIds: () => advertisedLists().ids,
         isAdvertised,
         eligibleSenders: sendersOf,
-        retryBudgetOf: budgetOf,
+        retryBudgetOf,
         maxConnectionsPerServer(service) {
             const accepted = options.serverConnectionLimit(service) ?? defaultConnectionLimit;
             return Math.max(minConnections, Math.floor(accepted * usedConnectionsFraction / sharingBoxCount()));
@@ -123,7 +123,7 @@
         return isAdvertised(options.self) ? advertised().length : Infinity;
     }
 
-    function budgetOf(service: ServiceId): RetryBudget {
+    function retryBudgetOf(service: ServiceId): RetryBudget {
         let budget = budgets.get(service);
         if (budget === undefined) {
             budget = createRetryBudget({ ...options.retries, boxCount: sharingBoxCount });
--- a/packages/decisions/src/membership/member-record.ts
+++ b/packages/decisions/src/membership/member-record.ts
@@ -6,7 +6,7 @@
 
 import { type AvailabilityZoneId, type BoxId, hashText, type IncarnationId, type RegionId } from "@chalkdale/kernel";
 
-/** What boxes tell each other about one box. */
+/** The record of one box, as it is stored and sent between boxes. */
 export interface MemberRecord {
     readonly box: BoxId;
     /** A later start of the box has a greater incarnation. */
--- a/packages/decisions/src/membership/membership.ts
+++ b/packages/decisions/src/membership/membership.ts
@@ -102,21 +102,21 @@
     const others = new Map<BoxId, Entry>();
     const regions = createRegionLiveness();
     const updates = createMemberUpdates();
-    let own = self;
+    let ownRecord = self;
     let isSelfSuspected = false;
 
     return {
-        ownRecord: () => own,
+        ownRecord: () => ownRecord,
         incrementHeartbeat() {
-            own = { ...own, heartbeat: own.heartbeat + 1 };
-            return own;
+            ownRecord = { ...ownRecord, heartbeat: ownRecord.heartbeat + 1 };
+            return ownRecord;
         },
         setOwnState(state) {
-            own = { ...own, ...state };
+            ownRecord = { ...ownRecord, ...state };
         },
         onHeard(record, at) {
             regions.onHeard(record.region, at);
-            const isUnknown = record.box !== own.box && !others.has(record.box);
+            const isUnknown = record.box !== ownRecord.box && !others.has(record.box);
             mergeRecord(record, at, undefined);
             return isUnknown;
         },
@@ -137,10 +137,10 @@
             const entry = others.get(box);
             return entry !== undefined && isAlive(entry, at);
         },
-        find: box => box === own.box ? own : others.get(box)?.record,
-        alive: at => [own, ...recordsOf(entry => isAlive(entry, at))],
+        find: box => box === ownRecord.box ? ownRecord : others.get(box)?.record,
+        alive: at => [ownRecord, ...recordsOf(entry => isAlive(entry, at))],
         inService(at) {
-            const records = [own, ...recordsOf(entry => isAlive(entry, at))];
+            const records = [ownRecord, ...recordsOf(entry => isAlive(entry, at))];
             return records.filter(record => record.ready && !record.leaving);
         },
         isAnySuspected: at => [...others.values()].some(entry => entry.suspectedAt !== undefined && isAlive(entry, at)),
@@ -168,8 +168,8 @@
     };
 
     function mergeRecord(record: MemberRecord, heardAt: number, suspectedAt: number | undefined): void {
-        if (record.box === own.box) {
-            isSelfSuspected ||= suspectedAt !== undefined && record.incarnation === own.incarnation;
+        if (record.box === ownRecord.box) {
+            isSelfSuspected ||= suspectedAt !== undefined && record.incarnation === ownRecord.incarnation;
             return;
         }
         const entry = others.get(record.box);
@@ -233,7 +233,7 @@
     }
 
     function shouldProbe({ isProbed, record, suspectedAt }: Entry, at: Milliseconds): boolean {
-        return suspectedAt !== undefined && !isProbed && record.region === own.region
+        return suspectedAt !== undefined && !isProbed && record.region === ownRecord.region
             && at - suspectedAt >= suspicionTimeout(others.size + 1) * directProbeFraction;
     }
 
--- a/packages/decisions/src/membership/probing.ts
+++ b/packages/decisions/src/membership/probing.ts
@@ -68,9 +68,9 @@
 
     return {
         nextRound(at) {
-            const own = membership.ownRecord();
+            const ownRecord = membership.ownRecord();
             const members = membership.recentMembers(at);
-            const isSameRegion = (member: MemberRecord) => member.region === own.region;
+            const isSameRegion = (member: MemberRecord) => member.region === ownRecord.region;
             const retries = collectRetries(at);
             const regionSize =
                 members.filter(member => isSameRegion(member) && membership.isAlive(member.box, at)).length
--- a/packages/decisions/src/refusals/caller-retry-pacer.ts
+++ b/packages/decisions/src/refusals/caller-retry-pacer.ts
@@ -21,7 +21,7 @@
 const minDelay = 50;
 /** Maximum delay in milliseconds for which retries are scheduled: few callers have a later deadline. */
 const maxDelay = 2000;
-/** Fraction of the maximum delay over which callers are spread for whom no earlier time is left. */
+/** Fraction of the maximum delay over which retries are spread at random once no earlier time is free. */
 const spreadFraction = 0.5;
 /** Milliseconds per second, the time unit of the rate. */
 const second = 1000;
--- a/packages/decisions/src/retry/hedge-decision.ts
+++ b/packages/decisions/src/retry/hedge-decision.ts
@@ -2,7 +2,7 @@
  * Decides whether a request is hedged: sent to a second server while the first
  * one has not answered yet.
  *
- * A slow server cannot be told from one whose answer was lost, so without hedging
+ * A slow server cannot be distinguished from one whose answer was lost, so without hedging
  * the request would wait until its deadline. A hedged attempt counts as an
  * attempt like any other: it is bounded by the route's attempts and by the
  * service's retry budget, which is consumed last. Owns no state.
--- a/packages/decisions/src/retry/retry-decision.ts
+++ b/packages/decisions/src/retry/retry-decision.ts
@@ -70,8 +70,8 @@
     if (end.kind === "broken" && !inputs.isIdempotent) {
         return { kind: "giveUp", refusal: "brokenOff" };
     }
-    const obstacle = obstacleToRetry(end, inputs);
-    return obstacle === undefined ? { kind: "tryNext" } : { kind: "giveUp", refusal: obstacle };
+    const refusal = refusalInsteadOfRetry(end, inputs);
+    return refusal === undefined ? { kind: "tryNext" } : { kind: "giveUp", refusal };
 }
 
 /** An answer is final unless it is a failure or unverified, and the request may run again. */
@@ -79,7 +79,7 @@
     return !isFailureStatus(answer.status) && answer.isVerified || !isIdempotent;
 }
 
-function obstacleToRetry(end: AttemptEnd, inputs: RetryInputs): RefusalKind | undefined {
+function refusalInsteadOfRetry(end: AttemptEnd, inputs: RetryInputs): RefusalKind | undefined {
     if (inputs.timeLeft < minTimeLeft) {
         return inputs.sent > 0 ? "timedOut" : "timedOutUnsent";
     }
--- a/packages/decisions/src/rollouts/proven-versions.ts
+++ b/packages/decisions/src/rollouts/proven-versions.ts
@@ -143,10 +143,10 @@
             openOrder === undefined || versionOf(server) !== openOrder.targetVersion
         );
         const candidates = proven === undefined && openOrder?.state !== "running" ? eligible : others;
-        return candidates.toSorted((a, b) => creationOf(a) - creationOf(b)).at(0);
+        return candidates.toSorted((a, b) => creationRevisionOf(a) - creationRevisionOf(b)).at(0);
     }
 
-    function creationOf(server: BackendServer): number {
+    function creationRevisionOf(server: BackendServer): number {
         return createdAt.get(server.id) ?? 0;
     }
 }
--- a/packages/decisions/src/rollouts/trial-sample.ts
+++ b/packages/decisions/src/rollouts/trial-sample.ts
@@ -23,10 +23,10 @@
     const scored = servers
         .map(server => ({ server, score: rendezvousScore(orderHash, server.idHash, 1) }))
         .sort((a, b) => b.score - a.score);
-    const turns = new Map<RegionId, number>();
+    const countByRegion = new Map<RegionId, number>();
     return scored
-        .map(({ server }) => ({ server, turn: nextTurn(turns, server.state.record().region) }))
-        .sort((a, b) => a.turn - b.turn)
+        .map(({ server }) => ({ server, index: nextIndexInRegion(countByRegion, server.state.record().region) }))
+        .sort((a, b) => a.index - b.index)
         .map(({ server }) => server);
 }
 
@@ -56,8 +56,8 @@
  * Returns the index of a server among those of its region. Sorting by it keeps the order by score: `sort` is
  * stable.
  */
-function nextTurn(turns: Map<RegionId, number>, region: RegionId): number {
-    const turn = turns.get(region) ?? 0;
-    turns.set(region, turn + 1);
-    return turn;
+function nextIndexInRegion(countByRegion: Map<RegionId, number>, region: RegionId): number {
+    const index = countByRegion.get(region) ?? 0;
+    countByRegion.set(region, index + 1);
+    return index;
 }
--- a/packages/decisions/src/servers/idle-timeout-estimate.ts
+++ b/packages/decisions/src/servers/idle-timeout-estimate.ts
@@ -31,7 +31,7 @@
 /**
  * Idle milliseconds below which a reset is not due to an idle timeout: a server that stops resets busy connections too.
  */
-const minTellingIdleTime = 100;
+const minIdleTimeForEstimate = 100;
 /**
  * Milliseconds after sending, without the round trip, within which a reset means a closed connection: no work is as
  * short.
@@ -50,7 +50,7 @@
 
     return {
         onReset(service, idleTime, after, at) {
-            if (idleTime < minTellingIdleTime || after > maxResetDelay) {
+            if (idleTime < minIdleTimeForEstimate || after > maxResetDelay) {
                 return false;
             }
             const shortest = Math.min(idleTime, current(service, at)?.idleTime ?? idleTime);
--- a/packages/decisions/src/servers/outlier-reports.ts
+++ b/packages/decisions/src/servers/outlier-reports.ts
@@ -28,10 +28,10 @@
     /** Takes a report of another box; the box's own, outdated and expired ones are ignored. */
     readonly onReport: (report: OutlierReport, now: Milliseconds) => void;
     /**
-     * The second highest severity among this box's view, `own`, and the reports of others; 0 if there is no second
-     * view.
+     * The second highest severity among this box's view, `ownSeverity`, and the reports of others; 0 if there is no
+     * second view.
      */
-    readonly severity: (server: BackendServerId, own: number, now: Milliseconds) => number;
+    readonly severity: (server: BackendServerId, ownSeverity: number, now: Milliseconds) => number;
     /** The server has restarted: earlier reports don't apply to its new incarnation. */
     readonly forget: (server: BackendServerId, now: Milliseconds) => void;
     /** Reports that have not expired, to be passed on. */
@@ -61,9 +61,9 @@
             const kept = [newest, ...others].sort((a, b) => b.at - a.at).slice(0, maxOrigins);
             byServer.set(report.server, kept);
         },
-        severity(server, own, now) {
+        severity(server, ownSeverity, now) {
             const reported = freshReports(server, now).map(report => report.severity);
-            const [, second = 0] = [own, ...reported].sort((a, b) => b - a);
+            const [, second = 0] = [ownSeverity, ...reported].sort((a, b) => b - a);
             return second;
         },
         forget(server, now) {
--- a/packages/decisions/src/shared-state/replica-refresh.ts
+++ b/packages/decisions/src/shared-state/replica-refresh.ts
@@ -92,8 +92,8 @@
 const backoffJitter = 0.3;
 
 /** Returns the pause that follows `backoff`. */
-export function nextBackoff(backoff: Milliseconds, alwaysFollows: boolean): Milliseconds {
-    return milliseconds(Math.min(alwaysFollows ? maxBackoff : maxStandInBackoff, backoff * 2));
+export function nextBackoff(backoff: Milliseconds, alwaysFollowsStore: boolean): Milliseconds {
+    return milliseconds(Math.min(alwaysFollowsStore ? maxBackoff : maxStandInBackoff, backoff * 2));
 }
 
 /** Returns the pause with jitter; `random` is from 0 to 1. */
--- a/packages/decisions/src/shared-state/replica.ts
+++ b/packages/decisions/src/shared-state/replica.ts
@@ -113,14 +113,14 @@
     /** The items that the store has. */
     let items = new Map<string, Item>();
     let revision: number | undefined;
-    let changedRevision = 0;
+    let lastChangeRevision = 0;
     let kept: KeptBatch<Item>[] = [];
     /** The kept batches contain all changes after this revision. */
     let keptAfter = 0;
 
     return {
         revision: () => revision,
-        lastChangeRevision: () => changedRevision,
+        lastChangeRevision: () => lastChangeRevision,
         applySnapshot(snapshot) {
             if (revision !== undefined && snapshot.revision <= revision) {
                 return false;
@@ -135,7 +135,7 @@
             items = next;
             addHeldEntries(snapshot.held ?? []);
             revision = snapshot.revision;
-            changedRevision = snapshot.revision;
+            lastChangeRevision = snapshot.revision;
             kept = [];
             keptAfter = snapshot.revision;
             publish();
@@ -150,7 +150,7 @@
                 return true;
             }
             changes.forEach(applyChange);
-            changedRevision = next;
+            lastChangeRevision = next;
             keepBatch({ revision: next, changes });
             publish();
             return true;
--- a/packages/decisions/src/shared-state/retention-policies.ts
+++ b/packages/decisions/src/shared-state/retention-policies.ts
@@ -44,7 +44,7 @@
     isOlder: () => false,
 };
 
-/** The boxes themselves write the state of an order, and write it again after a restore (`restored-orders`). */
+/** The boxes themselves write the state of an order, and write it again after a restore (`order-history`). */
 const rollouts: RetentionPolicy<RolloutOrder> = {
     missingRetention: 10_000,
     deletedRetention: 10_000,
--- a/packages/settings-store/src/call-with-timeout.ts
+++ b/packages/settings-store/src/call-with-timeout.ts
@@ -7,20 +7,20 @@
  */
 
 /**
- * Runs a task with a signal that aborts when any of the owners aborts or after
+ * Runs a task with a signal that aborts when any of the given signals aborts or after
  * `timeout` milliseconds. Returns what the task returns and throws what it throws;
  * a task that ignores its signal is not interrupted.
  */
 export async function callWithTimeout<Value>(
-    owners: readonly AbortSignal[],
+    outerSignals: readonly AbortSignal[],
     timeout: number,
     task: (signal: AbortSignal) => Promise<Value>,
 ): Promise<Value> {
     const controller = new AbortController();
     const abort = () => controller.abort();
     const timer = setTimeout(abort, timeout);
-    owners.forEach(owner => owner.addEventListener("abort", abort, { once: true }));
-    if (owners.some(owner => owner.aborted)) {
+    outerSignals.forEach(outerSignal => outerSignal.addEventListener("abort", abort, { once: true }));
+    if (outerSignals.some(outerSignal => outerSignal.aborted)) {
         abort();
     }
     try {
@@ -28,6 +28,6 @@
     }
     finally {
         clearTimeout(timer);
-        owners.forEach(owner => owner.removeEventListener("abort", abort));
+        outerSignals.forEach(outerSignal => outerSignal.removeEventListener("abort", abort));
     }
 }
--- a/packages/settings-store/src/http-store.ts
+++ b/packages/settings-store/src/http-store.ts
@@ -43,9 +43,9 @@
             }),
     };
 
-    async function call<Value>({ method, path, headers, body, timeout, signal: owner }: Call) {
+    async function call<Value>({ method, path, headers, body, timeout, signal: outerSignal }: Call) {
         try {
-            return await callWithTimeout([owner], timeout, async callSignal => {
+            return await callWithTimeout([outerSignal], timeout, async callSignal => {
                 const response = await request(`${url}${path}`, {
                     method,
                     headers: { "content-type": "application/json", ...headers },
