--- a/packages/box/src/servers/limit-messages.ts
+++ b/packages/box/src/servers/limit-messages.ts
@@ -1,6 +1,6 @@
 /**
  * The form in which boxes send each other the rate limits of servers: with ages in
- * place of times, since clocks differ, and with the birth of the incarnation that
+ * place of times, since clocks differ, and with the start time of the incarnation that
  * reported the limit.
  *
  * Owns nothing; a received message is validated in full before it is used.
@@ -10,7 +10,7 @@
 import { type Milliseconds, milliseconds } from "@chalkdale/kernel";
 
 /**
- * One limit, a tuple since a message may hold many: server, its birth (0 if unknown), requests a second, age in
+ * One limit, a tuple since a message may hold many: server, its start time (0 if unknown), requests a second, age in
  * milliseconds.
  */
 export type LimitReport = readonly [server: string, bornAt: number, rate: number | "none", age: number];
--- a/packages/decisions/src/choose/work-estimate.ts
+++ b/packages/decisions/src/choose/work-estimate.ts
@@ -77,8 +77,8 @@
             const middle = (estimate.warm + estimate.cold) / 2;
             const isQuick = !route.sticky || duration < middle;
             const key = isQuick ? "warm" : "cold";
-            // If a known key took long, the server had forgotten it or is slow. Which of the two is unknown, so the time
-            // does not count as that of cold work.
+            // If a known key took long, the server had forgotten it or is slow. Which of the two is unknown, so the
+            // time does not count as that of cold work.
             if (isQuick || !known) {
                 estimate.isMeasured = true;
                 estimate[key] += (duration - estimate[key]) * smoothing;
--- a/packages/decisions/src/refusals/retry-after.ts
+++ b/packages/decisions/src/refusals/retry-after.ts
@@ -4,7 +4,7 @@
  * queues are expected to have shrunk.
  *
  * A server that refuses requests at random although it has free slots accepts the
- * next one as likely as any; a caller told to wait 0.7 s would get its answer late
+ * next one as likely as any; a caller that waits 0.7 s first would get its answer late
  * in any case.
  *
  * Owns no state; the other kinds of refusal use the time of the table `refusals`.
--- a/packages/decisions/src/rollouts/rollout-messages.ts
+++ b/packages/decisions/src/rollouts/rollout-messages.ts
@@ -9,7 +9,7 @@
 /**
  * Sums over the answers of one server group on one route. With `isTrial` false the servers are of the proven
  * version, which the trial is compared with over the same time. Servers are grouped by hash so that one bad
- * server is not taken for a bad version.
+ * server is not mistaken for a bad version.
  */
 export interface EvidenceCell {
     readonly isTrial: boolean;
--- a/packages/decisions/src/rollouts/rollout-plan.ts
+++ b/packages/decisions/src/rollouts/rollout-plan.ts
@@ -4,7 +4,7 @@
  * as much of the exposure budget as the move needs.
  *
  * The watch has two parts. At first the sample is spread over many servers, so that a few
- * bad ones are not taken for a bad version. Then the rest is concentrated on few servers,
+ * bad ones are not mistaken for a bad version. Then the rest is concentrated on few servers,
  * which thus get the load of full operation.
  */
 
--- a/packages/decisions/src/servers/server-catalog.ts
+++ b/packages/decisions/src/servers/server-catalog.ts
@@ -47,7 +47,7 @@
     isRankingChanged: boolean;
 }
 
-/** A record with an earlier time of birth that arrived after one with a later time; `since` is its arrival. */
+/** A record with an earlier start time that arrived after one with a later time; `since` is its arrival. */
 interface UncertainRecord {
     readonly record: BackendServerRecord;
     readonly since: Milliseconds;
@@ -242,7 +242,7 @@
     }
 
     /**
-     * A record with an earlier time of birth that is not overwritten in time is of a new incarnation with a clock set
+     * A record with an earlier start time that is not overwritten in time is of a new incarnation with a clock set
      * back.
      */
     function resolveUncertain(at: Milliseconds): RestartedServer[] {
--- a/packages/decisions/src/servers/server-incarnation.ts
+++ b/packages/decisions/src/servers/server-incarnation.ts
@@ -7,9 +7,9 @@
  * and keys, or that it was leaving.
  *
  * Records are ordered by their revision in the store, and replicas keep that order.
- * The time of birth only shows whether two records belong to one incarnation, since
+ * The start time only shows whether two records belong to one incarnation, since
  * the clocks of servers differ. There is one exception: a later record with an earlier
- * time of birth may be a delayed write of the earlier incarnation.
+ * start time may be a delayed write of the earlier incarnation.
  *
  * Owns nothing.
  */
@@ -21,14 +21,14 @@
 export type IncarnationOrder = "same" | "later" | "earlier";
 
 /**
- * Milliseconds for which a record with an earlier time of birth is taken for a delayed write, and the server gets no
+ * Milliseconds for which a record with an earlier start time is treated as a delayed write, and the server gets no
  * requests: three times the 1.5 s after which the later incarnation writes its record again. If that does not happen,
  * the clock of the known incarnation was ahead and the record is of a new one.
  */
 export const lateWriteGracePeriod: Milliseconds = milliseconds(4500);
 
 /**
- * Compares the incarnations of two records of one server. Records without a time of birth, as in snapshots of earlier
+ * Compares the incarnations of two records of one server. Records without a start time, as in snapshots of earlier
  * releases, count as the same.
  */
 export function compareIncarnations(next: BackendServerRecord, known: BackendServerRecord): IncarnationOrder {
@@ -39,8 +39,8 @@
 }
 
 /**
- * Merges a newer record of the same incarnation into the known one. If both have a time of birth, draining is not
- * revoked: a record without it was written earlier. The known time of birth is kept if a snapshot of an earlier release
+ * Merges a newer record of the same incarnation into the known one. If both have a start time, draining is not
+ * revoked: a record without it was written earlier. The known start time is kept if a snapshot of an earlier release
  * lacks it.
  */
 export function mergeSameIncarnation(next: BackendServerRecord, known: BackendServerRecord): BackendServerRecord {
--- a/packages/decisions/test/server-incarnation.test.ts
+++ b/packages/decisions/test/server-incarnation.test.ts
@@ -156,7 +156,7 @@
             expect(exclusion()).to.equal("draining");
         });
 
-        it("is identified by the id alone without a time of birth, as in snapshots of earlier releases", () => {
+        it("is identified by the id alone without a start time, as in snapshots of earlier releases", () => {
             apply(recordOf({ draining: true }));
             apply(recordOf());
             expect(exclusion()).to.equal(undefined);
--- a/packages/runtime/src/clock.ts
+++ b/packages/runtime/src/clock.ts
@@ -18,8 +18,8 @@
 /**
  * Creates the monotonic clock that measures the age of state received from the store and from other boxes. It includes
  * the time in which the machine was suspended: the process's monotonic clock stops then, but received state becomes
- * outdated all the same. A forward step of the wall clock cannot be told from a suspension, and only causes state to be
- * confirmed once more than needed; a backward step has no effect.
+ * outdated all the same. A forward step of the wall clock cannot be distinguished from a suspension, and only causes
+ * state to be confirmed once more than needed; a backward step has no effect.
  *
  * @param monotonic a clock that advances while the process is paused, but not while the machine is suspended.
  * @param wallClock returns Unix milliseconds.
