--- a/packages/testing/src/promises/decision-mutations.ts
+++ b/packages/testing/src/promises/decision-mutations.ts
@@ -58,7 +58,7 @@
         promise: "P4",
         name: "the replacement of not-run refusals after a broken attempt",
         file: decisionsFile("refusals/refusals"),
-        find: "promisesNotRun(refusal) ? \"brokenOff\" : refusal",
+        find: "guaranteesNotRun(refusal) ? \"brokenOff\" : refusal",
         replace: "refusal",
         testFiles: [integrationTestFile("box-servers")],
     },
