--- a/packages/box/src/poison-requests/poison-request-guard.ts
+++ b/packages/box/src/poison-requests/poison-request-guard.ts
@@ -43,7 +43,7 @@
     /** True if the request was stopped, at servers too, since its fingerprint is held. */
     readonly isStopped: () => boolean;
     /** True if servers have terminated while they ran requests with its fingerprint: it gets no hedged attempts. */
-    readonly mayNotBeHedged: () => boolean;
+    readonly isExcludedFromHedging: () => boolean;
     /** Waits until the request may be sent to a server. Never rejects. */
     readonly waitForPermission: () => Promise<"go" | "refuse" | "callerLeft">;
     /** An attempt ended; whether its server terminated may not be known yet. */
@@ -79,7 +79,7 @@
             const request = requests.begin(active, body, controller);
             return {
                 isStopped: () => request.isStopped,
-                mayNotBeHedged: () => suspectedFingerprint(request) !== undefined,
+                isExcludedFromHedging: () => suspectedFingerprint(request) !== undefined,
                 waitForPermission: () => waitForPermission(request),
                 onAttemptEnded: (server, outcome) => void onAttemptEnded(request, server, outcome),
                 end: () => requests.end(request),
--- a/packages/box/src/requests/attempt-loop.ts
+++ b/packages/box/src/requests/attempt-loop.ts
@@ -200,7 +200,7 @@
         return attemptHedged(choice, signal, {
             attemptOnce: attempt,
             chooseSecond: () => {
-                const second = tracked.mayNotBeHedged() ? undefined : decideHedge(hedgeInputs(active));
+                const second = tracked.isExcludedFromHedging() ? undefined : decideHedge(hedgeInputs(active));
                 if (second !== undefined) {
                     requestLog.hedged(active, choice.server.id, second.server.id);
                 }
--- a/packages/box/src/state/store-follower.ts
+++ b/packages/box/src/state/store-follower.ts
@@ -237,8 +237,8 @@
             return await applyWatch(kind, since, isUrgent, AbortSignal.any([signal, controller.signal]));
         }
         catch (error) {
-            // Either another box's snapshot was applied, and the next watch starts from its revision, or the watch timed
-            // out.
+            // Either another box's snapshot was applied, and the next watch starts from its revision, or the watch
+            // timed out.
             if (controller.signal.aborted) {
                 return true;
             }
--- a/packages/box/test/peer-link.test.ts
+++ b/packages/box/test/peer-link.test.ts
@@ -86,7 +86,7 @@
         expect((await nextMessage).update).to.deep.equal(createUpdate(10));
     });
 
-    it("sends a digest at once for changes that are too large for a datagram, which also says that the store does not serve the box", async () => {
+    it("sends a digest at once for changes too large for a datagram, which reports the box as unserved", async () => {
         const nextMessage = receiveNextMessage();
         link.publish(createUpdate(9000));
         const { digest, update } = await nextMessage;
--- a/packages/box/test/peer-reads.test.ts
+++ b/packages/box/test/peer-reads.test.ts
@@ -49,7 +49,7 @@
         expect(countedTraffic[0].bytes).to.be.lessThan(JSON.stringify(snapshot).length / 2);
     });
 
-    it("return entries that a replica retains although the store no longer has them, and reject invalid ones", async () => {
+    it("return entries that a replica retains after the store has lost them, and reject invalid ones", async () => {
         snapshot = { revision: 9, items: ["north-1"], held: [{ kind: "gone", name: "north-2" }] };
         expect(await reads.readState(peer, "closedZones", undefined)).to.deep.equal({ kind: "snapshot", snapshot });
         for (const held of [7, [{ kind: "put", name: "north-3", item: 7 }], [{ name: "north-3" }]]) {
--- a/packages/box/test/replicator.test.ts
+++ b/packages/box/test/replicator.test.ts
@@ -138,7 +138,7 @@
         expect(readKinds).to.have.length(2);
     });
 
-    it("continues with the other kinds while the answers about one are unreadable, and reads that one's list", async () => {
+    it("continues with the other kinds while answers about one are unreadable, and reads that one's list", async () => {
         const watched: SharedKind[] = [];
         const watch = (kind: SharedKind) => {
             watched.push(kind);
@@ -166,7 +166,7 @@
         expect(readKinds).to.deep.equal([]);
     });
 
-    it("takes no age from a box that has later changes, and the lowest from boxes that have the same ones", async () => {
+    it("takes no age from a box that has later changes, and the lowest from boxes with the same changes", async () => {
         const { replicator } = await start(relayedRole);
         const ageOf = (of: Replicator) => of.digest().closedZones.age;
         const before = ageOf(replicator);
@@ -176,7 +176,7 @@
         expect(ageOf(replicator)).to.be.lessThan(-5000);
     });
 
-    it("calls the store again after an outage although other boxes confirm the replica of the kind whose call failed", async () => {
+    it("calls the store again after an outage although other boxes confirm the kind whose call failed", async () => {
         let isUnavailable = true;
         const failed = new Set<SharedKind>();
         const watched = new Set<SharedKind>();
--- a/packages/settings-store/src/http-store.ts
+++ b/packages/settings-store/src/http-store.ts
@@ -25,7 +25,7 @@
     readonly signal: AbortSignal;
 }
 
-/** Creates a client of the store at a URL such as `http://127.0.0.1:7000`. The signal's abort closes its connections. */
+/** Creates a client of the store at a URL such as `http://127.0.0.1:7000`. Aborting `signal` closes its connections. */
 export function createHttpStore(url: string, signal: AbortSignal): SettingsStore {
     const agent = new Agent({ connections: 4, connect: { timeout: connectTimeout } });
     signal.addEventListener("abort", () => void agent.destroy().catch(() => undefined), { once: true });
--- a/packages/settings/src/address-block.ts
+++ b/packages/settings/src/address-block.ts
@@ -16,8 +16,8 @@
 const ipv4MappedPrefix = "::ffff:";
 
 /**
- * Returns true for a block in CIDR notation, such as `10.0.0.0/8` or `2001:db8::/32`. An IPv4-mapped IPv6 address counts
- * as IPv4: its prefix length is at most 32.
+ * Returns true for a block in CIDR notation, such as `10.0.0.0/8` or `2001:db8::/32`. An IPv4-mapped IPv6 address
+ * counts as IPv4: its prefix length is at most 32.
  */
 export function isAddressBlock(text: string): boolean {
     const [address, length] = text.split("/");
--- a/packages/testing/src/emulator/emulated-server.ts
+++ b/packages/testing/src/emulator/emulated-server.ts
@@ -21,7 +21,10 @@
     readonly setRecord: (record: BackendServerRecord) => void;
     /** Sets the factor on the processing time of requests that start from now on; 1 is normal speed. */
     readonly setSlowness: (factor: number) => void;
-    /** Runs, queues or rejects a request, and reports its outcome to `done`. `work` is the milliseconds that a cold key takes. */
+    /**
+     * Runs, queues or rejects a request, and reports its outcome to `done`. `work` is the processing time with a cold
+     * key, in milliseconds.
+     */
     readonly receive: (key: string, work: number, done: (outcome: ServerOutcome) => void) => void;
     /** Number of requests received. */
     readonly arrivals: () => number;
--- a/packages/testing/src/emulator/emulation.ts
+++ b/packages/testing/src/emulator/emulation.ts
@@ -25,7 +25,8 @@
 
 /**
  * A fault, or a burst of load. `at` is the simulated time at which it begins, `duration` its length, both in
- * milliseconds. `share` is the probability that it hits a server. `factor` multiplies processing times or request rates.
+ * milliseconds. `share` is the probability that it hits a server. `factor` multiplies processing times or request
+ * rates.
  */
 export type EmulatedFault =
     | {
@@ -68,8 +69,8 @@
     const { deployment } = options;
     const events = createEventQueue();
     const random = createSeededRandom(options.seed);
-    // Separate sources: the draws of a policy and the retries of its callers must not change which requests are sent or which
-    // servers a fault hits. Otherwise emulations of one seed would differ by more than their policies.
+    // Separate sources: the draws of a policy and the retries of its callers must not change which requests are sent or
+    // which servers a fault hits. Otherwise emulations of one seed would differ by more than their policies.
     const policyRandom = createSeededRandom(options.seed * seedStride);
     const callerRetryRandom = createSeededRandom(options.seed * seedStride + 1);
     const faultRandom = createSeededRandom(options.seed * seedStride + 2);
@@ -200,7 +201,7 @@
     };
 }
 
-/** Factor between a seed and the seeds derived from it: random sources with consecutive seeds begin with similar draws. */
+/** Factor between a seed and those derived from it: random sources with consecutive seeds begin with similar draws. */
 const seedStride = 6151;
 /** Milliseconds after which a refused caller retries: the Retry-After of a box's answer to overload. */
 const callerRetryDelay = 700;
--- a/packages/testing/test/demo.test.ts
+++ b/packages/testing/test/demo.test.ts
@@ -1,7 +1,8 @@
 /**
- * Guards against two failures that made `npm run demo` fail in six of eight runs: a customer within its quota was refused in the
- * first seconds after its boxes started (see `quota-starts.test.ts`), and an availability zone got no requests after it was opened
- * again (see `key-rebalancing.test.ts`). Steps, checks and bounds are those of the command.
+ * Guards against two failures that made `npm run demo` fail in six of eight runs: a customer within its quota was
+ * refused in the first seconds after its boxes started (see `quota-starts.test.ts` of the box), and an availability
+ * zone got no requests after it was reopened (see `key-rebalancing.test.ts` of the decisions). Steps, checks and bounds
+ * are those of the command.
  */
 
 import { expect } from "chai";
--- a/packages/testing/test/emulator.test.ts
+++ b/packages/testing/test/emulator.test.ts
@@ -117,7 +117,7 @@
 /** Milliseconds of the windows whose distributions are compared. */
 const windowLength = 2000;
 
-/** Returns the largest fraction of one region's requests that moved to other regions between two consecutive windows. */
+/** Returns the largest fraction of one region's requests that moved to other regions between consecutive windows. */
 function maxMovedFractionBetweenWindows(lines: readonly string[], zones: Readonly<Record<string, string>>): number {
     const counts = new Map<string, Map<string, number>>();
     for (const line of lines) {
