--- a/packages/box/src/peers/peer-link.ts
+++ b/packages/box/src/peers/peer-link.ts
@@ -37,8 +37,8 @@
 import { createPeerReceiver } from "./peer-receiver.js";
 
 /**
- * Maximum number of members in one datagram, about 65 bytes each: three fragments of a local network while half of a
- * fleet is failing; usually there are few members to report.
+ * Maximum number of members in one datagram, of about 65 bytes each. While half of a fleet is failing, such a datagram
+ * takes three fragments in a local network; usually there are few members to report.
  */
 const maxHeartbeats = 40;
 /** Number of boxes to which a suspected box sends a message at once to refute the suspicion. */
@@ -95,7 +95,7 @@
 
 /** The link of one box to the other boxes. */
 export interface PeerLink {
-    /** Sends updates about members, and the rest of a gossip message, to the box at an address. */
+    /** Sends a gossip message, which contains updates about members, to the box at an address. */
     readonly sendGossip: (peer: PeerTarget) => void;
     /** Sends the same to all known boxes at once, for instance when this box is leaving. */
     readonly gossipToAll: () => void;
--- a/packages/box/src/peers/peer-messages.ts
+++ b/packages/box/src/peers/peer-messages.ts
@@ -16,13 +16,14 @@
 import { isOutlierReportMessage, type OutlierReportMessage } from "./outlier-gossip.js";
 
 /**
- * Size limit, in bytes, of updates sent to a region and of datagrams that are read: a few fragments of a local network.
+ * Maximum size, in bytes, of an update sent to a region and of a datagram that is accepted: a few fragments in a local
+ * network. A larger update is replaced by a digest, and a larger datagram is discarded.
  */
 export const maxDatagramBytes = 8192;
 
 /**
- * Heartbeat and state of one member, kept short as a datagram has many. Ages are in milliseconds, see `MemberStatus`;
- * `suspectedFor` is left out for a member that isn't suspected.
+ * Heartbeat and state of one member, kept short since a datagram has many. Ages are in milliseconds, see
+ * `MemberStatus`; `suspectedFor` is left out for a member that isn't suspected.
  */
 export type MemberHeartbeat = readonly [
     box: string,
--- a/packages/box/src/requests/unread-body.ts
+++ b/packages/box/src/requests/unread-body.ts
@@ -13,8 +13,8 @@
 import { contentLengthOf, expectsContinue } from "./request-body.js";
 
 /**
- * Maximum size, in bytes, of a body for whose rest the connection is kept: a body slightly above the usual limit of a
- * deployment then does not affect the requests behind it.
+ * Maximum length, in bytes, of a body that is read to its end and discarded after the refusal. It is above the limits
+ * that deployments set, so a body that slightly exceeds them does not affect the requests behind it on the connection.
  */
 const maxDiscardedBytes = 1024 * 1024;
 /** Milliseconds within which the rest of a body must arrive on a kept connection before the connection is closed. */
--- a/packages/box/src/servers/limit-gossip.ts
+++ b/packages/box/src/servers/limit-gossip.ts
@@ -1,5 +1,5 @@
 /**
- * Sends the rate limits that servers report to other boxes: at once to a few of
+ * Sends to other boxes the rate limits that servers report: at once to a few of
  * them, first to those that may send to the server, and to all by gossip.
  *
  * Owns which limits changed recently; relies on the state of each server for its
@@ -35,7 +35,7 @@
     readonly onGossipRound: () => void;
 }
 
-/** Limits in one datagram: about 45 bytes each. */
+/** Maximum number of limits in one datagram, of about 45 bytes each. */
 const maxReportsPerMessage = 10;
 /**
  * Number of boxes that get an update at once, by its source. They forward it as well: by gossip alone the last boxes of
@@ -43,8 +43,8 @@
  */
 const immediateRecipients: Readonly<Record<LimitUpdateSource, number>> = { answer: 8, told: 2, outdated: 0 };
 /**
- * Milliseconds for which gossip sends a change before older limits: the time that gossip takes to reach all boxes of
- * a fleet.
+ * Milliseconds for which gossip sends a changed limit ahead of older ones: the time that gossip takes to reach all
+ * boxes of a fleet.
  */
 const recentChangeDuration = 3000;
 /**
@@ -59,7 +59,7 @@
 export function createLimitGossip(options: LimitGossipOptions): LimitGossip {
     const { clock } = options;
     const changedAt = new WeakMap<BackendServer, Milliseconds>();
-    /** Number of boxes that are still to get the limit of a server at once. */
+    /** Number of boxes to which the limit of a server goes with the next send outside gossip. */
     const pendingRecipients = new Map<BackendServer, number>();
     let lastSentAt = -Infinity;
     let rotation = 0;
--- a/packages/box/src/servers/limited-servers.ts
+++ b/packages/box/src/servers/limited-servers.ts
@@ -36,7 +36,7 @@
     readonly catalog: Pick<ServerCatalog, "get">;
 }
 
-/** Characters of an loggedUnreadable rate that a log line shows. */
+/** Maximum number of characters of an unreadable rate in a log line. */
 const maxLoggedCharacters = 40;
 
 /** Creates the limits of a box that knows none. */
@@ -82,14 +82,14 @@
     }
 
     /**
-     * False for a failure or a request that did not run: the part of the server that sends such answers may not add the
-     * header.
+     * True if an answer without the header of the limit shows that the limit has ended. A failure, or an answer to a
+     * request that did not run, does not: the part of the server that sends it possibly never adds the header.
      */
     function endsLimit({ headers, status }: AnswerHead): boolean {
         return !isFailureStatus(status) && headers[protocol.headers.notRun] === undefined;
     }
 
-    /** Skips a server that this box does not list yet: gossip repeats the report. */
+    /** Skips a server or an incarnation that this box does not list; gossip repeats the report until it does. */
     function onReport(report: LimitReport): void {
         const server = catalog.get(backendServerId(report[0]));
         if (server === undefined || !isOfSameIncarnation(report, server.state.record())) {
--- a/packages/box/src/servers/liveness-check.ts
+++ b/packages/box/src/servers/liveness-check.ts
@@ -2,7 +2,7 @@
  * Finds out by a test connection whether a server with an overdue answer is still
  * running. A server that accepts the connection is only slow.
  *
- * Owns the running checks and the latest results; the time limits decide when a
+ * Owns the running checks and the latest results; the timeouts decide when a
  * request is overdue.
  */
 
--- a/packages/box/src/state/snapshot-catch-up.ts
+++ b/packages/box/src/state/snapshot-catch-up.ts
@@ -2,7 +2,7 @@
  * Brings replicas up to date from other boxes: takes their confirmations of what this box's replica already holds, and
  * reads what it lacks from a box that has more, unless the changes arrive from the store or the relay first.
  *
- * Owns the delayed reads; relies on the replicas to reject what is older than they are.
+ * Owns the delayed reads; relies on the replicas to reject older state.
  */
 
 import { describePosition, maxInterRegionDelay, type SharedKind, snapshotDelay } from "@chalkdale/decisions";
@@ -14,9 +14,9 @@
 import type { StatePeer, StateReader, StateReadResult } from "./state-reader.js";
 
 /**
- * Milliseconds after which a read no longer prevents another one, from a different box. A read times out only after 1.5
- * s, most of a bound on changes of 2 s, while a snapshot of 796 servers, 17 KB compressed, takes a few one-way delays
- * of 35 ms between regions.
+ * Milliseconds after which a read is overdue and another box may be read as well. Waiting for the timeout of the read,
+ * 1.5 s, would take most of a bound on changes of 2 s. A snapshot of 796 servers, 17 KB compressed, normally takes a
+ * few one-way delays between regions, of 35 ms each.
  */
 const readOverdueAfter = 400;
 
--- a/packages/cli/test/burn-rate.test.ts
+++ b/packages/cli/test/burn-rate.test.ts
@@ -4,7 +4,7 @@
 
 const minute = 60_000;
 
-/** Returns a sample of one box with its numbers of good and bad requests of route `a` since its start. */
+/** Returns a sample of one box, with the good and bad requests of route `a` that it has counted since its start. */
 function sample(minutes: number, good: number, bad: number, incarnation = "1"): BurnSample {
     return { at: minutes * minute, boxes: { "box-1": { incarnation, good: { a: good }, bad: { a: bad } } } };
 }
@@ -38,7 +38,7 @@
         expect(requests).to.equal(20);
     });
 
-    it("causes a page after a fast burn over 5 minutes and an hour, and a ticket after a slow one over 6 hours and days", () => {
+    it("causes a page if it is high over 5 minutes and an hour, and a ticket if raised over 6 hours and days", () => {
         expect(burnOf(sample(0, 0, 0), sample(3, 900, 100)).alert).to.equal("page");
         expect(burnOf(sample(0, 0, 0), sample(200, 9970, 30), sample(202, 10_970, 30)).alert).to.equal("ticket");
         expect(burnOf(sample(0, 0, 0), sample(3, 1000, 0)).alert).to.equal("none");
--- a/packages/decisions/src/choose/key-rebalancing.ts
+++ b/packages/decisions/src/choose/key-rebalancing.ts
@@ -32,7 +32,7 @@
  * meanwhile.
  */
 const returnWindow = 10_000;
-/** Servers whose times are kept, more than the largest services have; the oldest entry is evicted first. */
+/** Maximum number of servers whose times are kept: more than the largest services have. The oldest is dropped first. */
 const maxServers = 2048;
 /** Time of an event that never happened. */
 const never = -Infinity;
@@ -53,7 +53,7 @@
             }
         },
         isDue({ addedAt, id }, keyHash, at) {
-            // A restarted server knows no key, whenever its earlier incarnation was unavailable.
+            // A restarted server knows no key, so its keys return after its listing even if it was never unavailable.
             const availableSince = Math.max(lastUnavailableAt.get(id) ?? never, addedAt ?? never);
             const dueFor = at - availableSince - returnDelayOf(keyHash);
             return dueFor >= 0 && dueFor < returnWindow;
--- a/packages/decisions/src/choose/longest-wait.ts
+++ b/packages/decisions/src/choose/longest-wait.ts
@@ -14,9 +14,9 @@
 const warmWaitFraction = 1;
 /** The same at a cold server while slots are short: cold work occupies a slot for longer. */
 const coldWaitFraction = 0.5;
-/** Load per slot of a service above which its slots are short: more requests wait than slots are free. */
+/** Load per slot of a service above which its slots count as short: more requests wait than slots are free. */
 const slotShortageLoad = 1;
-/** Factor of the longest wait for a caller's retry: a request that is refused twice is lost. */
+/** A caller's retry may wait this many times as long as a first request: a request that is refused twice is lost. */
 const callerRetryFactor = 1.5;
 
 /**
--- a/packages/decisions/src/choose/server-choice.ts
+++ b/packages/decisions/src/choose/server-choice.ts
@@ -69,7 +69,7 @@
 
     /**
      * Returns the next server of the ranking with a free slot, even if the work is cold there: a late answer is better
-     * than none. While slots are short everywhere the cold work would delay other requests.
+     * than none. Returns none while slots are short everywhere, since the cold work would then delay other requests.
      */
     function nextWithFreeSlot(others: readonly BackendServer[], request: ChoiceRequest): ChosenServer | undefined {
         if (!mayOverflow(request)) {
--- a/packages/decisions/src/retry/retry-budget.ts
+++ b/packages/decisions/src/retry/retry-budget.ts
@@ -6,7 +6,7 @@
  * an equal part of the common allowance. The sum over all boxes stays within the
  * total.
  *
- * Retries that more urgent requests demandByPriority for are reserved for them: while servers
+ * Retries that more urgent requests ask for are reserved for them: while servers
  * refuse more requests than the budget can retry, the retries go to the requests
  * of the highest priority.
  *
--- a/packages/decisions/src/rollouts/rollout-decider.ts
+++ b/packages/decisions/src/rollouts/rollout-decider.ts
@@ -1,6 +1,6 @@
 /**
- * Decides one order at the deciding box: watching -> moving -> completed or
- * rolledBack.
+ * Decides one order at the deciding box: from `watching` to `moving` to `completed`,
+ * or to `rolledBack`.
  *
  * - `running` is written to the store before anything is granted. A decider that finds
  *   it there knows that another one may have granted requests.
--- a/packages/decisions/src/rollouts/trial-evidence.ts
+++ b/packages/decisions/src/rollouts/trial-evidence.ts
@@ -42,8 +42,8 @@
  */
 const minSlowness = 1.5;
 /**
- * An answer that is still missing at this slowness is reported with it at once, and not again when it arrives.
- * The answers of a slow version arrive late, and those that have already arrived are its fast ones.
+ * Slowness at which an answer that has not arrived yet is counted, as one of this slowness; it is not counted again
+ * when it arrives. Without this a slow version would look fast at first, since its slow answers arrive last.
  */
 export const earlyReportSlowness = 2;
 /** Maximum slowness that an answer counts with, so that no single answer decides on a group. */
--- a/packages/decisions/src/shared-state/relay-role.ts
+++ b/packages/decisions/src/shared-state/relay-role.ts
@@ -42,8 +42,9 @@
  */
 const watchFraction = 0.3;
 /**
- * The same for orders of roll-outs, which need a third of the calls of another kind. A change ends a watch at once, and
- * outcomes reach boxes in messages before the store has them, so a lost relay only delays the beginning of an order.
+ * The same for orders of roll-outs, which then need a third of the calls of another kind. A change ends a watch at
+ * once, and outcomes reach boxes in messages before the store has them, so a lost relay only delays the beginning of an
+ * order.
  */
 const rolloutWatchFraction = 0.9;
 /**
@@ -58,8 +59,8 @@
 const rankFraction = 0.06;
 /**
  * Age of a replica at which the next boxes follow the store themselves once a box of the region is unserved, as a
- * fraction of the maximum propagation delay. Above 0.33, the age at which a box that then follows the store reports it
- * to the others.
+ * fraction of the maximum propagation delay. Above 0.33, the age by which a box that already follows the store has
+ * confirmed the replicas of the others.
  */
 const standInFraction = 0.4;
 /**
--- a/packages/decisions/test/poison-requests.test.ts
+++ b/packages/decisions/test/poison-requests.test.ts
@@ -37,8 +37,8 @@
             ["the loss of a rack of six at once", [1000, 1000, 1010, 1020, 1050, 1099], "watched"],
             ["the loss of a rack, and of another one later", [1000, 1001, 1002, 5000, 5001, 5002], "oneAtATime"],
         ];
-        for (const [what, times, restriction] of cases) {
-            it(`is ${restriction} after ${what}`, () => {
+        for (const [events, times, restriction] of cases) {
+            it(`is ${restriction} after ${events}`, () => {
                 expect(restrictionOf(recordOf(times))).to.equal(restriction);
             });
         }
--- a/packages/decisions/test/replica.test.ts
+++ b/packages/decisions/test/replica.test.ts
@@ -18,21 +18,21 @@
         expect(seen).to.deep.equal([["new"]]);
     });
 
-    it("refuses changes if earlier ones may be missing", () => {
+    it("rejects changes if earlier ones may be missing", () => {
         const { replica } = create();
         replica.applySnapshot({ revision: 5, items: [] });
         expect(replica.applyChanges(6, [{ kind: "put", name: "a", item: { name: "a" } }], 7)).to.equal(false);
         expect(replica.snapshot()).to.deep.equal({ revision: 5, items: [] });
     });
 
-    it("refuses changes that end before its revision", () => {
+    it("rejects changes that end before its revision", () => {
         const { replica } = create();
         replica.applySnapshot({ revision: 5, items: [{ name: "a" }] });
         expect(replica.applyChanges(3, [{ kind: "gone", name: "a" }], 4)).to.equal(false);
         expect(replica.snapshot()).to.deep.equal({ revision: 5, items: [{ name: "a" }] });
     });
 
-    it("takes changes that begin before its revision, as a second source sends them", () => {
+    it("accepts changes that begin before its revision, as a second source sends them", () => {
         const { replica } = create();
         replica.applySnapshot({ revision: 5, items: [{ name: "a" }] });
         const changes = [
@@ -47,7 +47,7 @@
     describe("changes that another replica lacks", () => {
         const put = (name: string) => ({ kind: "put", name, item: { name } }) as const;
 
-        it("are all batches after its revision, and make it equal", () => {
+        it("are all batches after its revision, and make the replicas equal", () => {
             const { replica } = create();
             replica.applySnapshot({ revision: 5, items: [{ name: "a" }] });
             const other = create().replica;
@@ -61,7 +61,7 @@
             expect(other.snapshot()).to.deep.equal(replica.snapshot());
         });
 
-        it("are unknown before the first snapshot and from before its revision", () => {
+        it("are unknown before the first snapshot and for revisions before it", () => {
             const { replica } = create();
             expect(replica.changesSince(0)).to.equal(undefined);
             replica.applySnapshot({ revision: 5, items: [] });
--- a/packages/decisions/test/server-choice.test.ts
+++ b/packages/decisions/test/server-choice.test.ts
@@ -271,7 +271,7 @@
         ]);
         const keys = Array.from({ length: 60 }, (_, key) => hashText(`key-${key}`));
 
-        it("get only their own requests, and keep the servers of keys as without the other version", () => {
+        it("get only their own requests, and each key keeps the server that it has without the other version", () => {
             const withoutTrial = createSetup(manyServers);
             const withTrial = createSetup(twoVersions);
             const expected = keys.map(keyHash => withoutTrial.chosen({ keyHash }));
@@ -281,7 +281,7 @@
             expect(keys.map(keyHash => withTrial.chosen({ keyHash }))).to.deep.equal(expected);
         });
 
-        it("are tried at failing servers as well, whose failures don't affect requests of the other version", () => {
+        it("are tried even at failing servers, whose failures don't affect requests of the other version", () => {
             const [old, otherOld] = [createRecord("old"), createRecord("old-2")];
             const trial = createRecord("new", { version: trialVersion });
             const { catalog, chosen } = createSetup([old, otherOld, trial]);
@@ -334,7 +334,7 @@
             expect(chosen(afterBackoff)).to.be.oneOf(["s-1", "s-2"]);
         });
 
-        it("lead to a refusal as backed off if no other is left, also after attempts at them", () => {
+        it("cause a refusal as backed off if no other server is left, also for a request that has tried them", () => {
             const { catalog, chosen } = setUp(names);
             expect(chosen()).to.equal("allBackedOff");
             expect(chosen({ tried: new Set(names.map(backendServerId)) })).to.equal("allBackedOff");
@@ -362,7 +362,7 @@
             expect([...servers].sort()).to.deep.equal(["s-3", "s-4", "s-5", "s-6", "s-7"]);
         });
 
-        it("lead to a refusal as limited if all of them have reached their limits", () => {
+        it("cause a refusal as limited if all servers have reached their limits", () => {
             const { chosen } = limited(...names);
             expect(chosen()).to.equal("allLimited");
         });
@@ -370,7 +370,7 @@
         it("take only keys that rank them among the compared servers if all are limited", () => {
             const unlimited = limited();
             const { catalog, choose, request } = limited(...names);
-            // The first request starts the earning at each server.
+            // The box begins to earn requests to a server when it first considers it.
             choose(request());
             let taken = 0;
             for (let index = 0; index < 400; index++) {
--- a/packages/decisions/test/timeouts.test.ts
+++ b/packages/decisions/test/timeouts.test.ts
@@ -13,7 +13,7 @@
 } from "../src/index.js";
 
 describe("timeouts", () => {
-    it("hold a request as long as both its caller and its route allow [P13]", () => {
+    it("are the shorter one of those that a request's caller and its route set [P13]", () => {
         const timeout = milliseconds(1500);
         expect(requestTimeout(900, timeout)).to.equal(900);
         expect(requestTimeout(9000, timeout)).to.equal(1500);
@@ -22,7 +22,7 @@
         }
     });
 
-    it("leave time for a second server while a connection is established", () => {
+    it("leave time for a second server if a connection is not established", () => {
         expect(connectTimeoutOfRequest(milliseconds(10), milliseconds(2000))).to.equal(270);
         expect(connectTimeoutOfRequest(milliseconds(10), milliseconds(100))).to.equal(40);
     });
@@ -42,7 +42,7 @@
 describe("the schedule of a graceful shutdown [P7]", () => {
     const schedule = createShutdownSchedule(milliseconds(6000));
 
-    it("admits new requests at first, then waits for those in flight, and ends before the kill", () => {
+    it("admits new requests at first, then waits for those in flight, and ends before the process is killed", () => {
         expect(schedule.acceptRequestsFor).to.equal(2400);
         expect(schedule.isDrainOver(milliseconds(2400), 1)).to.equal(false);
         expect(schedule.isDrainOver(milliseconds(2400), 0)).to.equal(true);
@@ -65,7 +65,7 @@
         isSameRegion: true,
     };
 
-    it("does not delay a snapshot without a copy [P17]", () => {
+    it("does not delay the first snapshot [P17]", () => {
         expect(snapshotDelay({ ...inputs, hasCopy: false })).to.equal(0);
     });
 
--- a/packages/testing/src/emulator/emulated-attempts.ts
+++ b/packages/testing/src/emulator/emulated-attempts.ts
@@ -59,9 +59,9 @@
     readonly server: (id: BackendServerId) => EmulatedServer;
     /** Milliseconds from this box to the servers of a zone and back. */
     readonly roundTrip: (zone: AvailabilityZoneId) => number;
-    /** Called for each attempt with its number within the request, from 1. */
+    /** Called for each attempt, when it is sent, with its number within the request, from 1. */
     readonly onArrival: (server: BackendServerId, count: number) => void;
-    /** Called for each attempt with the bytes transferred between the box and the server's zone. */
+    /** Called for each attempt with the bytes that it is expected to transfer between the box and the server's zone. */
     readonly onTransferred: (zone: AvailabilityZoneId, bytes: number) => void;
     /** Called with each decision as a line of text, which golden files record. */
     readonly onDecision: (line: string) => void;
--- a/packages/testing/src/emulator/event-queue.ts
+++ b/packages/testing/src/emulator/event-queue.ts
@@ -10,7 +10,7 @@
 export interface EventQueue {
     /** The simulated time; 0 at the start. */
     readonly now: Clock;
-    /** Schedules an action after a delay in milliseconds; actions due at the same time run in the order of their scheduling. */
+    /** Schedules an action after a delay in milliseconds; actions due at the same time run in scheduling order. */
     readonly after: (delay: number, action: () => void) => void;
     /** Runs all actions that are due up to a time, and sets the clock to it. */
     readonly runUntil: (end: Milliseconds) => void;
--- a/packages/testing/src/soak/connected-box-checks.ts
+++ b/packages/testing/src/soak/connected-box-checks.ts
@@ -6,7 +6,10 @@
 import type { Breach, Observations, ObservedRun } from "./observations.js";
 import { closedWithin, configuredWithin, drainedWithin, inForceWithin } from "./soak-bounds.js";
 
-/** Changes that a check could test: a connected box sent a request after the bound had passed. */
+/**
+ * Numbers of changes that the checks could test: after the bound on the change had passed, and while the change still
+ * applied, a request that some connected box had sent ran.
+ */
 export interface ConnectedBoxCounts {
     /** Servers that drained. */
     readonly leaving: number;
@@ -17,8 +20,8 @@
 }
 
 /**
- * Counts the changes that the checks of connected boxes could test: a run with a zero proves nothing about that
- * bound.
+ * Counts the changes that the checks of connected boxes could test: a soak run with a zero proves nothing about
+ * that bound.
  */
 export function countConnectedBoxChecks(seen: Observations): ConnectedBoxCounts {
     const times = seen.runs.filter(run => isFromConnectedBox(run, seen)).map(run => run.at);
@@ -77,8 +80,8 @@
 }
 
 /**
- * Goes by when the request was sent: one in progress when the configuration changes may still be served under
- * the old one.
+ * Compares the bound with the time at which the request was sent: a request in progress when the configuration changes
+ * may still be served under the old one.
  */
 function configurationBreaches(
     run: ObservedRun,
--- a/packages/testing/src/soak/invalid-entry-faults.ts
+++ b/packages/testing/src/soak/invalid-entry-faults.ts
@@ -14,7 +14,7 @@
 
 type Fields = Readonly<Record<string, unknown>>;
 
-/** Each makes an invalid record from a valid one. */
+/** Functions that make an invalid record from a valid one. */
 const corruptions: readonly ((valid: Fields) => unknown)[] = [
     valid => ({ ...valid, state: "backedOff" }),
     valid => ({ ...valid, slots: "4" }),
@@ -37,7 +37,7 @@
 /** Maximum time in milliseconds until a server writes its overwritten record again. */
 const maxRewriteDelay = 1500;
 
-/** Creates the fault that writes invalid entries; each resolves once a record that it overwrote is written again. */
+/** Creates the fault that writes invalid entries. It resolves once a record that it overwrote is written again. */
 export function createInvalidStoreEntry(environment: SoakEnvironment, random: RandomSource): Fault {
     const { logEvent, servers, store } = environment;
     let unlistedServer: Promise<ServerStandIn> | undefined;
