--- a/packages/testing/src/promises/box-mutations.ts
+++ b/packages/testing/src/promises/box-mutations.ts
@@ -1,5 +1,6 @@
 /**
- * The lines that keep promises in the box and the adapter, which carry the decisions out, with what they are replaced by to take each out.
+ * The lines that keep promises in the box and the adapter, which carry the decisions out, with what they are replaced
+ * by to take each out.
  */
 
 import { boxFile, boxTestFile, integrationTestFile, type Mutation } from "./mutation.js";
@@ -50,7 +51,7 @@
         promise: "P7",
         name: "the requests at servers behind an answer without a length",
         file: boxFile("requests/request-handler"),
-        find: "!answer.framed && turn.hasStartedSuccessors()",
+        find: "!answer.framed && exchange.hasStartedSuccessors()",
         replace: "false",
         testFiles: [integrationTestFile("box-pipelining")],
     },
@@ -82,7 +83,7 @@
         promise: "P7",
         name: "refusals with free slots as failures, not as load",
         file: boxFile("requests/server-feedback"),
-        find: "if (verdict.isFailure) {",
+        find: "if (answerClass.isFailure) {",
         replace: "if (false) {",
         testFiles: [boxTestFile("server-feedback")],
     },
@@ -154,7 +155,7 @@
         promise: "P21",
         name: "the key and the caller's own word of its customer taken off",
         file: boxFile("requests/active-request"),
-        find: "if (isKeyed) {",
+        find: "if (isKeyRequired) {",
         replace: "if (false) {",
         testFiles: [integrationTestFile("box-customers")],
     },
@@ -186,7 +187,7 @@
         promise: "P9",
         name: "the refusal of bodies that are too large",
         file: boxFile("requests/request-body"),
-        find: "if (length !== undefined && length > mostBytes) {",
+        find: "if (length !== undefined && length > maxBytes) {",
         replace: "if (false) {",
         testFiles: [integrationTestFile("box-callers")],
     },
@@ -242,7 +243,7 @@
         promise: "P26",
         name: "what the boxes that collect ends tell all others",
         file: boxFile("poison-requests/poison-request-guard"),
-        find: "news.sendToAll(record);",
+        find: "gossip.sendToAll(record);",
         replace: "",
         testFiles: [boxTestFile("poison-request-guard")],
     },
