--- a/packages/decisions/src/admit/caller-retry-detector.ts
+++ b/packages/decisions/src/admit/caller-retry-detector.ts
@@ -16,11 +16,11 @@
     readonly isCallerRetry: (route: string, deadline: number, at: Milliseconds) => boolean;
 }
 
-/** Milliseconds for which a deadline is kept at least: long compared with the time between two requests of a route. */
+/** Minimum time in milliseconds for which a deadline is kept: much longer than between two requests of a route. */
 const minRetention = 10_000;
 /**
- * Fraction of the longest deadline below which a request is a retry: a quick refusal and its Retry-After take at least
- * a tenth.
+ * Fraction of the longest deadline below which a request is a retry: even a quick refusal and the wait for its
+ * Retry-After use up at least a tenth of the deadline.
  */
 const firstRequestFraction = 0.95;
 
--- a/packages/decisions/src/admit/weighted-split.ts
+++ b/packages/decisions/src/admit/weighted-split.ts
@@ -1,8 +1,8 @@
 /**
  * Splits requests between destinations in proportion to their weights.
  *
- * Uses smooth weighted round robin: in any run of requests each destination gets its share to within one request,
- * evenly spread.
+ * Uses smooth weighted round robin: in any run of requests each destination gets its share to within one or two
+ * requests, evenly spread.
  *
  * Owns the credit of each destination, on one box and for one configuration.
  */
--- a/packages/decisions/src/choose/eligible-servers.ts
+++ b/packages/decisions/src/choose/eligible-servers.ts
@@ -27,7 +27,10 @@
     readonly keyRebalancing: Pick<KeyRebalancing, "onUnavailable">;
     /** False for an availability zone that is closed to requests. */
     readonly admitsZone: (zone: AvailabilityZoneId) => boolean;
-    /** False for a server whose version must not get trial or ordinary requests, by `isTrial`; see `ServedVersions`. */
+    /**
+     * False for a server whose version must not get the request: a trial request if `isTrial` is true, otherwise an
+     * ordinary one; see `ServedVersions`.
+     */
     readonly admitsVersion: (server: BackendServer, isTrial: boolean) => boolean;
     /** Increases whenever the result of `admitsVersion` may have changed for the service's servers. */
     readonly admissionVersion: (service: ServiceId) => number;
@@ -36,11 +39,14 @@
 /** Search for servers that a request may go to. */
 export interface EligibleServers {
     /**
-     * The first servers of the key's ranking that may take the request now; more than the `comparedCount` that are
-     * compared.
+     * The first servers of the key's ranking that may take the request now, up to `rankingLength` of them; the first
+     * `comparedCount` are compared.
      */
     readonly topRanked: (request: ChoiceRequest) => readonly BackendServer[];
-    /** Servers whose version, availability zone and region admit the request, including those that are excluded now. */
+    /**
+     * Servers that were not tried yet and whose version, availability zone and region admit the request, including
+     * those that are excluded now.
+     */
     readonly candidates: (request: ChoiceRequest) => readonly BackendServer[];
 }
 
@@ -85,7 +91,7 @@
         return topRankedServers(usable, ranking, options, rankingLength);
     }
 
-    /** Computes the outliers only when a server with a high severity comes up, which most requests never see. */
+    /** Computes the outliers only when a server has a high severity; for most requests none does. */
     function createOutlierTest(admitted: readonly BackendServer[], request: ChoiceRequest): OutlierTest {
         let outliers: ReadonlySet<BackendServer> | undefined;
 
--- a/packages/decisions/src/choose/outliers.ts
+++ b/packages/decisions/src/choose/outliers.ts
@@ -7,10 +7,10 @@
 import type { BackendServer } from "../servers/server-catalog.js";
 
 /**
- * Largest fraction of the eligible servers that may be outliers, so that a service that mostly fails is not emptied.
+ * Largest fraction of the eligible servers that may be outliers, so that a service that mostly fails keeps servers.
  */
 const maxOutlierFraction = 0.5;
-/** An outlier's severity exceeds this multiple of the service's median: a fault of all servers moves no key. */
+/** An outlier's severity exceeds this multiple of the service's median, so that a fault of all servers moves no key. */
 const minMedianMultiple = 2;
 /** Severity up to which a server is never an outlier, whatever the median. */
 const severityThreshold = 1;
@@ -20,7 +20,7 @@
     return severity > severityThreshold;
 }
 
-/** Returns the outliers among the eligible servers, the worst first up to the largest fraction. */
+/** Returns the outliers among the eligible servers: the worst ones, at most `maxOutlierFraction` of all. */
 export function findOutliers(
     eligible: readonly BackendServer[],
     severityOf: (server: BackendServer) => number,
--- a/packages/decisions/src/choose/server-estimate.ts
+++ b/packages/decisions/src/choose/server-estimate.ts
@@ -58,7 +58,7 @@
  */
 const movedKeyColdFraction = 0.5;
 
-/** Returns the function that estimates; its `cost` adds the penalties for moving a key and for transferring bytes. */
+/** Returns the function that estimates; `cost` includes the penalties for moving a key and for transferring bytes. */
 export function createServerEstimate(options: ServerEstimateOptions): EstimateServer {
     return function estimate(server, rank, request, knownBy) {
         const { at, keyHash, route, service } = request;
--- a/packages/decisions/src/limits/body-memory.ts
+++ b/packages/decisions/src/limits/body-memory.ts
@@ -22,7 +22,7 @@
     readonly held: () => number;
     /** Number of waiting bodies. */
     readonly waitingCount: () => number;
-    /** False once the chunks that came with the heads of waiting bodies may take up as much again as the bound. */
+    /** False once the chunks that came with the heads of waiting bodies could by themselves exceed the bound. */
     readonly mayWait: () => boolean;
 }
 
--- a/packages/decisions/src/limits/quota/quota-share.ts
+++ b/packages/decisions/src/limits/quota/quota-share.ts
@@ -98,17 +98,17 @@
 /**
  * Equal shares that a box may use while it starts and there is no coordinator yet, since callers use few of the boxes.
  * All boxes together may then admit this many times what the quota earns in that time, which is at most 1.5 s. The
- * coordinator compensates for the excess within 2 s. Over the 5 s after a start, that leaves an excess of 0.04 for a
- * quota with a burst of one second of its rate.
+ * coordinator compensates for the excess within 2 s. If the quota's burst is one second of its rate, an excess of 0.04
+ * of the quota remains over the 5 s after a start.
  */
 const startupShares = 1.5;
 /**
- * Requests that a box without a lease may admit at once, where the bursts of all boxes allow it: the first requests of
- * a small customer with callers new to the box.
+ * Requests that a box without a lease may admit at once, if its equal share of the quota's burst is as large. They
+ * suffice for the first requests of a small customer whose callers are new to the box.
  */
 const maxSmallBurst = 3;
 
-/** Requests a second, assumed at least when a refused caller's wait is computed, so that the wait stays finite. */
+/** Lowest rate, in requests a second, that a refused caller's wait is computed with, so that the wait stays finite. */
 const minRetryRate = 0.2;
 
 interface Bucket {
--- a/packages/decisions/src/membership/membership.ts
+++ b/packages/decisions/src/membership/membership.ts
@@ -49,9 +49,9 @@
     readonly merge: (statuses: readonly MemberStatus[], at: Milliseconds) => void;
     /** A member did not answer the probe that was sent at `probedAt`. */
     readonly onProbeFailed: (box: BoxId, probedAt: Milliseconds) => void;
-    /** True for a known member that has not failed. */
+    /** True for another known member that has not failed. */
     readonly isAlive: (box: BoxId, at: Milliseconds) => boolean;
-    /** True if any box has heard from the member since then. */
+    /** True if any box has heard from the member at or after `since`, and for a box that is not known. */
     readonly isHeardSince: (box: BoxId, since: Milliseconds) => boolean;
     readonly find: (box: BoxId) => MemberRecord | undefined;
     /** Members that have not failed, this box included. */
@@ -93,7 +93,7 @@
     heardAt: number;
     /** When the probe was sent that it has not answered; undefined unless it is suspected. */
     suspectedAt: number | undefined;
-    /** This box itself has probed it since it is suspected. */
+    /** This box itself has probed it since the suspicion began. */
     isProbed: boolean;
 }
 
--- a/packages/decisions/src/refusals/refusals.ts
+++ b/packages/decisions/src/refusals/refusals.ts
@@ -36,7 +36,7 @@
 /** The answer for one kind of refusal. */
 export interface Refusal {
     readonly status: number;
-    /** Seconds after which the caller may retry; undefined if a retry cannot help. */
+    /** Seconds after which the caller may retry; undefined if a retry cannot help or the request may have run. */
     readonly retryAfterSeconds: number | undefined;
 }
 
--- a/packages/decisions/src/rollouts/rollout-decider.ts
+++ b/packages/decisions/src/rollouts/rollout-decider.ts
@@ -50,7 +50,7 @@
     readonly bounds: RolloutBounds;
     /** Number of listed servers of the target version. */
     readonly serverCount: () => number;
-    /** Time since the order as this box knows it; undefined if it doesn't. */
+    /** Time since the order as this box knows it; undefined if unknown. */
     readonly age: Milliseconds | undefined;
     /**
      * The order has run before, even if a restore of the store has lost its state: boxes may have been granted
--- a/packages/decisions/src/rollouts/rollout-messages.ts
+++ b/packages/decisions/src/rollouts/rollout-messages.ts
@@ -64,7 +64,10 @@
     readonly age: Milliseconds;
 }
 
-/** A final decision, announced from box to box before the store has it and in addition to it. */
+/**
+ * A final decision that the deciding box announces to all boxes, in addition to the store: `rolledBack` as soon as
+ * it is taken, `completed` once the store has it.
+ */
 export interface RolloutDecision {
     readonly rollout: RolloutId;
     readonly decision: "completed" | "rolledBack";
--- a/packages/decisions/src/rollouts/verdict.ts
+++ b/packages/decisions/src/rollouts/verdict.ts
@@ -9,8 +9,8 @@
  * groups of both. The evidence is evaluated repeatedly, so the critical score is constant
  * and high (Pocock, 1977).
  *
- * A version is good once there are enough answers and its estimates without the worst
- * groups of each side (trimmed means) leave no reason for doubt.
+ * A version is good once there are enough answers and the trimmed means, which leave out
+ * the worst groups of each side, give no reason for doubt.
  *
  * Relies on the sums of `evidence`.
  */
@@ -48,7 +48,7 @@
 const doubtfulFailuresAgainstClean = 3;
 /** Minimum number of groups with failures for a verdict against a clean proven version. */
 const minFailedGroupsAgainstClean = 3;
-/** Minimum fraction of the trial version's groups that these must be. */
+/** Minimum fraction of the trial version's groups that must have failures for such a verdict. */
 const minFailedGroupsFraction = 0.5;
 /** Minimum difference in the share of failures, from 0 to 1, for a verdict against a clean proven version. */
 const minDifferenceAgainstClean = 0.03;
@@ -57,7 +57,10 @@
  * get nothing.
  */
 const maxDoubtfulBadAnswers = 25;
-/** Minimum logarithm that one slow answer adds to the sum: twice the expected time against 1.5 times. */
+/**
+ * Minimum that one slow answer adds to the sum of logarithms: it takes at least twice the expected time, and a
+ * normal answer counts as 1.5 times.
+ */
 const minSlownessOfSlowAnswer = Math.log(2 / 1.5);
 /** Minimum number of failures of the trial version for a bad verdict by failures. */
 const minFailuresForBad = 3;
--- a/packages/decisions/src/servers/ejection.ts
+++ b/packages/decisions/src/servers/ejection.ts
@@ -25,8 +25,8 @@
 }
 
 /**
- * Milliseconds until the first health check; each failed check doubles the delay. A check costs 0.010 to 0.039 of an
- * answer's worth, so a server that never recovers must get few of them.
+ * Milliseconds until the first health check; each failed check doubles the delay. A check costs 0.010 to 0.039 of what
+ * an answer is worth, so a server that never recovers must get few of them.
  */
 const firstCheckDelay = milliseconds(500);
 /** Longest delay between two health checks of one server, in milliseconds. */
@@ -58,8 +58,8 @@
     };
 
     /**
-     * Ignores failures before the next check is due: those requests were sent before the ejection and must not extend
-     * it.
+     * Ejects the server, or extends its ejection after a failed check. Failures before the next check is due are
+     * ignored: those requests were sent before the ejection and must not extend it.
      */
     function eject(at: Milliseconds): void {
         if (checkAt !== undefined && at < checkAt) {
--- a/packages/decisions/src/servers/outlier-reports.ts
+++ b/packages/decisions/src/servers/outlier-reports.ts
@@ -4,8 +4,8 @@
  * A box has few answers of its own from each server, so without reports every box would
  * have to detect a slow or failing server by itself. Each box reports the servers that are
  * outliers by its own answers. A server counts as one only if two boxes agree, so that one
- * box with a bad network path ejects no server for the others. Reports expire within
- * seconds, and a received report never counts as the box's own view.
+ * box with a bad network path makes no server an outlier for the others. Reports expire
+ * within seconds, and a received report never counts as the box's own view.
  *
  * Owns the latest reports of other boxes; relies on gossip to spread them.
  */
--- a/packages/decisions/src/servers/slow-start.ts
+++ b/packages/decisions/src/servers/slow-start.ts
@@ -8,8 +8,8 @@
 import { createSharedRate, type SharedRate } from "../limits/shared-rate.js";
 
 /**
- * Largest number of boxes that send to one cold server. All boxes of a region share the work of a server, but each
- * sender may exceed the rate by one request; servers tolerate half of the rate plus 5 requests above it.
+ * Largest number of boxes that send to one cold server. Once it is warm, all boxes of a region send to it; while it is
+ * cold, each sender may exceed the rate by one request, and servers tolerate half of the rate plus 5 requests above it.
  */
 const maxSenders = 4;
 /** Fraction of the rate that is used; the rest covers boxes that don't agree on the senders yet. */
