--- a/packages/decisions/src/choose/choice.ts
+++ b/packages/decisions/src/choose/choice.ts
@@ -24,7 +24,8 @@
     /** The caller retries after a refusal; such a request may wait longer for a slot before it is refused again. */
     readonly isCallerRetry: boolean;
     /**
-     * The request belongs to the trial of a version that is not proven yet, and may only go to servers of that version.
+     * The request belongs to the trial of a version that is not proven yet, and may only go to the sampled servers of
+     * that version.
      */
     readonly isTrial: boolean;
     /** Time of the choice. */
@@ -54,13 +55,13 @@
 /** The chosen server, or the reason for choosing none. */
 export type Choice =
     | ChosenServer
-    /** No server may take the request, and the cause is none of the three below. */
+    /** No server may take the request, for a reason other than slow start, a rate limit or a back-off. */
     | { readonly kind: "noServer"; }
     /** Servers in slow start have received as many requests from this box as their rate allows for now. */
     | { readonly kind: "allCold"; }
     /** Servers with a rate limit have received as many requests from this box as it allows for now. */
     | { readonly kind: "allLimited"; }
-    /** Servers have asked this box to back off. */
+    /** Servers have asked this box to back off, and no other server may take its requests. */
     | { readonly kind: "allBackedOff"; }
     /** Even the lower bound of the expected time exceeds the time left. */
     | { readonly kind: "tooLate"; readonly expected: Milliseconds; }
--- a/packages/decisions/src/choose/key-rankings.ts
+++ b/packages/decisions/src/choose/key-rankings.ts
@@ -16,7 +16,7 @@
 
 /** Key rankings of one box. */
 export interface KeyRankings {
-    /** The service's servers whose version admits trial or ordinary requests, by `isTrial`, in any state. */
+    /** The service's servers that `admitsVersion` admits to trial or ordinary requests, in any state. */
     readonly admitted: (service: ServiceId, isTrial: boolean) => readonly BackendServer[];
     /** The first `rankingLength` of them in a key's ranking. */
     readonly topRanked: (service: ServiceId, request: RankingInputs, isTrial: boolean) => readonly BackendServer[];
--- a/packages/decisions/src/choose/server-ranking.ts
+++ b/packages/decisions/src/choose/server-ranking.ts
@@ -1,7 +1,8 @@
 /**
  * Ranks servers for a key by weighted rendezvous hashing. Near servers have a greater
- * weight the more bytes a request transfers. All boxes of a region send a key to the
- * same servers, and few keys move when the list of servers changes.
+ * weight the more bytes a request transfers. All boxes of an availability zone rank the
+ * servers in the same order for a key; for small transfers, all boxes of a region do. Few
+ * keys move when the list of servers changes.
  *
  * Owns nothing; the caller passes the servers that may take the request.
  */
--- a/packages/decisions/src/limits/quota/coordinator-set.ts
+++ b/packages/decisions/src/limits/quota/coordinator-set.ts
@@ -62,8 +62,8 @@
                 coordinators = [];
                 return;
             }
-            // With the square root of N coordinators, each box sends that many messages a round and each coordinator
-            // receives that many times more.
+            // With sqrt(N) coordinators for N boxes, each box sends at most sqrt(N) messages a round, and each
+            // coordinator receives at most N.
             setCoordinators(
                 rankBoxes(coordinatorsHash, advertised).slice(0, Math.ceil(Math.sqrt(advertised.length))),
                 at,
--- a/packages/decisions/src/limits/quota/quota-allocator.ts
+++ b/packages/decisions/src/limits/quota/quota-allocator.ts
@@ -17,8 +17,9 @@
 /** Allocates the quota of one customer. */
 export interface QuotaAllocator {
     /**
-     * True if no box has reported for so long that another coordinator may have allocated the quota in the meantime. If
-     * all boxes have returned their leases, no requests have come since, as long as the coordinators are the same.
+     * True if no box has reported for so long that another coordinator may have allocated the quota in the meantime.
+     * Once all boxes have returned their leases, silence only means that no requests have come, unless the coordinators
+     * have changed since the last report.
      */
     readonly isStale: (at: Milliseconds, coordinatorsUnchangedFor: number) => boolean;
     /**
@@ -47,8 +48,8 @@
  */
 const levelWindow = 2000;
 /**
- * Milliseconds without a report after which a box is silent: the report interval with headroom, two rounds and the
- * delay.
+ * Milliseconds without a report after which a box is silent: the report interval while the customer has headroom, plus
+ * two rounds and the delay of a message.
  */
 const silentAfter = 2200;
 /** Fraction of the rate that is always allocated, however far the level is below zero. */
@@ -75,7 +76,8 @@
 const fewRequestsWindow = 3000;
 
 /**
- * Milliseconds without any report after which an allocator knows too little: twice the report interval with headroom.
+ * Milliseconds without any report after which an allocator knows too little: twice the report interval while the
+ * customer has headroom.
  */
 const staleAfter = 3000;
 
--- a/packages/decisions/src/locality/directory.ts
+++ b/packages/decisions/src/locality/directory.ts
@@ -1,6 +1,7 @@
 /**
  * Chooses the boxes that the directory returns to a caller: boxes of the caller's availability zone if they have the
- * capacity, otherwise also advertised boxes of its region, or those of the other regions if its region has none.
+ * capacity, otherwise also advertised boxes of its region, or those of all regions if its region is unknown or has
+ * none.
  *
  * Owns no state; relies on the members in service.
  */
--- a/packages/decisions/src/poison-requests/poison-request-record.ts
+++ b/packages/decisions/src/poison-requests/poison-request-record.ts
@@ -62,8 +62,8 @@
  */
 const simultaneousWithin = 100;
 /**
- * Maximum number of answers in a record: the latest one counts, and the others prevent that a late report of it passes
- * for a later answer.
+ * Maximum number of answers in a record. Only the latest one counts; the others are kept so that a late report of one
+ * of them is not taken for a newer answer.
  */
 const maxAnswers = 3;
 /**
--- a/packages/decisions/src/refusals/retry-after.ts
+++ b/packages/decisions/src/refusals/retry-after.ts
@@ -29,12 +29,12 @@
 const second = 1000;
 /**
  * Milliseconds over which callers are spread after a back-off: the first server available again would otherwise get all
- * of them.
+ * of them at once.
  */
 const backoffSpread = 500;
 /**
- * Maximum time after a back-off, in milliseconds: the caller may reach another box, from which the servers accept
- * requests sooner.
+ * Maximum Retry-After in milliseconds while all servers have asked this box to back off: the caller may reach another
+ * box, from which the servers accept requests sooner.
  */
 const maxAfterBackoff = 2000;
 
--- a/packages/decisions/src/retry/hedge-decision.ts
+++ b/packages/decisions/src/retry/hedge-decision.ts
@@ -2,10 +2,12 @@
  * Decides whether a request is hedged: sent to a second server while the first
  * one has not answered yet.
  *
- * A slow server cannot be distinguished from one whose answer was lost, so without hedging
- * the request would wait until its deadline. A hedged attempt counts as an
- * attempt like any other: it is bounded by the route's attempts and by the
- * service's retry budget, which is consumed last. Owns no state.
+ * Servers lose answers, and some become many times slower than they were. A box cannot
+ * distinguish the two cases, and without hedging the request would wait until its
+ * deadline. A hedged attempt counts as an attempt like any other: it is bounded by the
+ * route's attempts and by the service's retry budget, which is consumed last.
+ *
+ * Owns no state.
  *
  * Method: hedged requests, Dean and Barroso, "The Tail at Scale", 2013.
  */
--- a/packages/decisions/src/retry/retry-decision.ts
+++ b/packages/decisions/src/retry/retry-decision.ts
@@ -74,7 +74,7 @@
     return refusal === undefined ? { kind: "tryNext" } : { kind: "giveUp", refusal };
 }
 
-/** An answer is final unless it is a failure or unverified, and the request may run again. */
+/** An answer is final unless the request may run again and the answer is a failure or unverified. */
 function isFinal(answer: AttemptEnd & { readonly kind: "answered"; }, isIdempotent: boolean): boolean {
     return !isFailureStatus(answer.status) && answer.isVerified || !isIdempotent;
 }
--- a/packages/decisions/src/rollouts/rank-sum.ts
+++ b/packages/decisions/src/rollouts/rank-sum.ts
@@ -2,7 +2,10 @@
  * Rank-sum test of Wilcoxon, Mann and Whitney, with the variance corrected for ties.
  */
 
-/** Returns the standard score: above 0 if the first sample tends to greater values, 0 if either sample is empty. */
+/**
+ * Returns the standard score: above 0 if the first sample tends to greater values, 0 if either sample is empty or all
+ * values are equal.
+ */
 export function rankSumScore(first: readonly number[], second: readonly number[]): number {
     const all = [...first, ...second].sort((a, b) => a - b);
     const count = all.length;
--- a/packages/decisions/src/rollouts/rollout-grants.ts
+++ b/packages/decisions/src/rollouts/rollout-grants.ts
@@ -6,8 +6,8 @@
  * Fractions of a request are rounded by a hash of the box id. Of many boxes with little
  * traffic some get one request and others none, and the sum comes out right.
  *
- * Owns the cap that each box had at first. Relies on the budget to grant no more than it
- * holds.
+ * Owns the initial cap of each box and the start of the watch. Relies on the budget to
+ * grant no more than it holds.
  */
 
 import { type BoxId, hashText, type Milliseconds } from "@chalkdale/kernel";
@@ -140,8 +140,8 @@
     }
 
     /**
-     * As many servers as the share loads as in full operation, since some versions fail only under load; at
-     * least the minimum.
+     * Returns the number of servers that the share loads as heavily as full operation would, since some versions fail
+     * only under load; at least the minimum.
      */
     function sampleSize(share: number, { age, plan, stage }: GrantContext): number {
         if (stage === "moving") {
--- a/packages/decisions/src/rollouts/version-comparison.ts
+++ b/packages/decisions/src/rollouts/version-comparison.ts
@@ -40,8 +40,8 @@
 export interface EvidenceWindow {
     readonly table: EvidenceTable;
     /**
-     * The trial version gets all new requests: its servers queue and learn keys, unlike the others before, so
-     * times mean less.
+     * The trial version gets all new requests. Its servers have queues and are cold for many keys, unlike those of the
+     * proven version before the move, so times mean less.
      */
     readonly isMoving: boolean;
 }
--- a/packages/decisions/src/servers/idle-timeout-estimate.ts
+++ b/packages/decisions/src/servers/idle-timeout-estimate.ts
@@ -15,7 +15,8 @@
 /** Estimate of the idle timeouts of services. */
 export interface IdleTimeoutEstimate {
     /**
-     * A connection that had been idle for `idleTime` was reset `after` its request was sent, without the round trip.
+     * A connection that had been idle for `idleTime` was reset. `after`: time from sending the request to the reset,
+     * less the round trip.
      *
      * @returns true if the idle time is the likely cause, and not the server's health.
      */
--- a/packages/decisions/src/servers/server-catalog.ts
+++ b/packages/decisions/src/servers/server-catalog.ts
@@ -242,8 +242,8 @@
     }
 
     /**
-     * A record with an earlier start time that is not overwritten in time is of a new incarnation with a clock set
-     * back.
+     * Settles records with an earlier start time. One that was not overwritten within `lateWriteGracePeriod` belongs to
+     * a new incarnation whose clock was set back.
      */
     function resolveUncertain(at: Milliseconds): RestartedServer[] {
         const settled = [...uncertain.values()].filter(({ since }) => at - since >= lateWriteGracePeriod);
--- a/packages/decisions/src/servers/server-state.ts
+++ b/packages/decisions/src/servers/server-state.ts
@@ -34,8 +34,8 @@
     /** Applies a newer record of the same incarnation. */
     readonly applyRecord: (record: BackendServerRecord, at: Milliseconds) => void;
     /**
-     * True if discovery has a record of an earlier incarnation, which may be a delayed write; false once it has one of
-     * this again.
+     * Called with true if discovery has a record of an earlier incarnation, which may be a delayed write, and with
+     * false once its record is of this incarnation again.
      */
     readonly setIncarnationUncertain: (isUncertain: boolean) => void;
     /**
--- a/packages/decisions/src/shared-state/retention-policies.ts
+++ b/packages/decisions/src/shared-state/retention-policies.ts
@@ -34,8 +34,8 @@
 };
 
 /**
- * A zone stays closed for as long as operators may take to close it again. A zone that the store lists as closed is
- * closed.
+ * A zone whose closure the store has lost stays closed for as long as operators may take to close it again. No closure
+ * is older than another: a zone that the store lists as closed is closed.
  */
 const closedZones: RetentionPolicy<AvailabilityZoneId> = {
     missingRetention: 10_000,
