--- a/packages/box/src/callers/backpressure.ts
+++ b/packages/box/src/callers/backpressure.ts
@@ -1,6 +1,6 @@
 /**
- * Backpressure on a caller: pauses reading from its connection, which in turn
- * blocks the caller's sending, and resumes it.
+ * Backpressure on a caller: pauses and resumes reading from its connection. While
+ * reading is paused, the caller's sending blocks.
  *
  * Owns nothing; relies on Node resuming a socket only through its `resume`
  * method. A paused socket has an own property `resume` that does nothing.
--- a/packages/box/src/callers/caller-exchange.ts
+++ b/packages/box/src/callers/caller-exchange.ts
@@ -29,7 +29,7 @@
     readonly controller: AbortController;
     /** Sends 100 Continue to a caller that waits for it before it sends its body. */
     readonly sendContinue: () => void;
-    /** True if later requests were started: an answer to this one that closes the connection would lose theirs. */
+    /** True if later requests were started. If the answer to this one closed the connection, theirs would be lost. */
     readonly hasStartedSuccessors: () => boolean;
     /** Queues the answer; calls after the first have no effect. */
     readonly respond: (answer: CallerAnswer) => void;
@@ -45,7 +45,7 @@
     latest: QueuedExchange | undefined;
     /** True while an answer is being written. */
     isWriting: boolean;
-    /** True if the connection closes after the last answer in progress. */
+    /** True if the connection closes once the requests in progress are answered. */
     isClosing: boolean;
     /** True once the last answer is being written or the connection has closed: no further request is served. */
     isFinished: boolean;
--- a/packages/box/src/callers/graceful-close.ts
+++ b/packages/box/src/callers/graceful-close.ts
@@ -12,7 +12,7 @@
 /** Milliseconds for which a caller may keep its side open; longer than a round trip. */
 const lingerTimeout = 1000;
 
-/** Half-closes behind what was written; closes fully once the caller has, or after {@link lingerTimeout}. */
+/** Half-closes once all written bytes are sent; closes fully once the caller has, or after {@link lingerTimeout}. */
 export function closeGracefully(socket: Socket): void {
     socket.end();
     const timer = setTimeout(() => socket.destroy(), lingerTimeout).unref();
--- a/packages/box/src/join.ts
+++ b/packages/box/src/join.ts
@@ -1,17 +1,18 @@
 /**
- * Joins a box that starts to the others. It reads the records of all boxes, which
- * may be outdated, and sends gossip to some of them, which pass it on; if its own
- * record is missing, it writes it. Once the box follows the store, which only one
- * box of a large region does, it reads the latest records and sends gossip to boxes
- * that it does not know: this finds boxes that started at the same time and know
- * only each other.
+ * Announces a starting box to the others. The box reads the records of all boxes,
+ * which may be outdated, and sends gossip to some of them, which pass it on; if its
+ * own record is missing, it writes it. Once the box always follows the store, as in
+ * a large region only the relay does, it reads the latest records and sends gossip
+ * to boxes that it does not know: this finds boxes that started at the same time and
+ * know only each other.
  *
  * Each call is retried separately until it succeeds. When two calls had to succeed
  * in a row, boxes did not find each other within 20 s while the store refused two
  * of three calls.
  *
- * A store that is restored from an older copy may have lost a record of the last
- * seconds, so a box that has started recently writes its record again then.
+ * A store that is restored from an older copy may have lost records that were
+ * written a few seconds before, so a box that has started recently writes its record
+ * again after a restore.
  */
 
 import { gossipInterval, type MemberRecord, type Membership, type RelayRole } from "@chalkdale/decisions";
--- a/packages/box/src/poison-requests/poison-request-gossip.ts
+++ b/packages/box/src/poison-requests/poison-request-gossip.ts
@@ -51,7 +51,8 @@
 
 /**
  * Maximum number of reports in one gossip datagram. A report takes up to 0.5 KB; together with 2.6 KB of heartbeats and
- * 1.8 KB of reports on servers they stay below the 8 KB of a datagram. One that is too large would lose these too.
+ * 1.8 KB of reports on servers they stay below the 8 KB of a datagram. A datagram that is too large is lost, with the
+ * heartbeats and the reports on servers.
  */
 const maxReports = 3;
 /** Number of gossip rounds in which a termination is sent again to its collectors, since a datagram may be lost. */
@@ -71,7 +72,7 @@
     const repeatsLeft = new Map<RequestFingerprint, number>();
     /** Until when gossip contains that each request was cleared. */
     const clearedUntil = new Map<RequestFingerprint, Milliseconds>();
-    /** Number of reports returned for gossip so far, by which records take turns. */
+    /** Advances by `maxReports` with each gossip message, so that the records take turns. */
     let gossipedCount = 0;
 
     return {
--- a/packages/box/src/quotas/customer-quotas.ts
+++ b/packages/box/src/quotas/customer-quotas.ts
@@ -65,7 +65,7 @@
     readonly onGossipRound: () => void;
     /** Handles reports and leases from another box. */
     readonly onMessage: (from: MemberRecord, message: QuotaMessage) => void;
-    /** Counts of all customers that this box knows shares of. */
+    /** Counts of all customers for which this box has a share. */
     readonly counts: () => readonly CustomerCounts[];
 }
 
@@ -81,7 +81,7 @@
 const unchangedTime = 600;
 /** Milliseconds since the last gossip round above which the process must have been paused: about three rounds. */
 const processPauseThreshold = 1000;
-/** Milliseconds after a process pause in which messages are ignored: the queued ones are read a few in each turn. */
+/** Milliseconds after a process pause in which messages are ignored: each turn reads only a few of the queued ones. */
 const backlogTime = 150;
 /**
  * Maximum entries of a datagram: about 80 bytes each with their levels; with the sender's record they fit the largest
@@ -151,7 +151,7 @@
      * Detects a process pause. Reports that were queued meanwhile are outdated: the other coordinator has charged them
      * already, and here they would all be charged at once to a level that earned nothing during the pause. They are
      * ignored. The box did not use its own leases during the pause either, so the pause is not counted in their age.
-     * Either fault refused requests of customers well within their quota.
+     * Charging such reports, and counting the pause, each led to refusals of customers well within their quota.
      */
     function detectProcessPause(): void {
         const pause = clock() - lastRoundAt;
@@ -230,8 +230,8 @@
     }
 
     /**
-     * Answers a report with a lease; undefined if this box may not coordinate, or the box has a fresher lease of
-     * another coordinator.
+     * Answers a report with a lease; undefined if the customer has no quota, if this box may not coordinate yet, or if
+     * the reporting box should keep a lease of another coordinator.
      */
     function allocate(box: BoxId, report: QuotaReport): QuotaLease | undefined {
         const customer = options.findCustomer(report.customer);
--- a/packages/box/src/requests/attempt-request.ts
+++ b/packages/box/src/requests/attempt-request.ts
@@ -10,8 +10,8 @@
 /** How an attempt ended. */
 export type AttemptOutcome =
     /**
-     * The server's answer, success or failure. `requestsBackoff`: a failure that only asks for back-off, though the
-     * request may have run.
+     * The server's answer, success or failure. `requestsBackoff`: the failure only asks for back-off and is no sign of
+     * a fault, but the request may have run.
      */
     | { readonly kind: "answered"; readonly answer: ServerAnswer; readonly requestsBackoff?: true; }
     /** Nothing reached the server. */
--- a/packages/box/src/rollouts/outcome-writes.ts
+++ b/packages/box/src/rollouts/outcome-writes.ts
@@ -1,7 +1,7 @@
 /**
- * Writes states of orders that this box's own deciders do not write: for a deciding
- * box that asks for it because the store does not serve it, and, as the deciding
- * box's successor, outcomes that were announced and that the store lacks.
+ * Writes the states of orders that this box's own deciders do not write, in two
+ * cases: a deciding box that the store does not serve asks this box to write, or
+ * this box has become the deciding box and the store lacks an announced outcome.
  *
  * Owns no state; relies on the writer, and on the store's revisions, by which only
  * one outcome is written.
@@ -46,8 +46,8 @@
 }
 
 /**
- * Maximum age of the copy in milliseconds at which the store must be serving other boxes, even if it does not serve
- * this one.
+ * Age in milliseconds below which the copy of the orders shows that the store serves other boxes, even if it does not
+ * serve this one.
  */
 const maxFreshCopyAge = 2000;
 
--- a/packages/box/src/rollouts/rollout-deciders.ts
+++ b/packages/box/src/rollouts/rollout-deciders.ts
@@ -37,7 +37,7 @@
     readonly trials: Pick<Trials, "of">;
     readonly versions: Pick<ServedVersions, "isTargetProven">;
     readonly writer: RolloutWriter;
-    /** Servers of the order's target that are listed. */
+    /** Number of listed servers that run the order's target version. */
     readonly serverCount: (order: RolloutOrder) => number;
     /** True while this box is the deciding box of a service. */
     readonly isDecider: (service: ServiceId) => boolean;
@@ -58,7 +58,7 @@
     /** True if this box is the deciding box of the order. */
     readonly decidesOn: (rollout: RolloutId) => boolean;
     /**
-     * Takes a report and returns the grant of the box that sent it; undefined if this box does not decide on the order.
+     * Takes a report and returns the grant for its sender; undefined if this box does not decide on the order.
      */
     readonly onReport: (box: BoxId, report: RolloutReport) => RolloutGrant | undefined;
     /** Runs one step of each decider. Called several times a second. */
@@ -104,8 +104,8 @@
     }
 
     /**
-     * Returns the decider of a service's order, created if there is none. A decider of another order is replaced, and
-     * it is dropped once this box is not the deciding box: another box may decide meanwhile.
+     * Returns the decider of a service's order; creates it unless the order is decided already. Drops a decider of
+     * another order, and any decider while this box is not the deciding box, since another box may decide meanwhile.
      */
     function deciderFor(service: ServiceId): ActiveDecider | undefined {
         const order = orders.of(service);
--- a/packages/box/src/rollouts/rollout-writer.ts
+++ b/packages/box/src/rollouts/rollout-writer.ts
@@ -33,7 +33,7 @@
 export interface RolloutWriter {
     /**
      * Starts to write a state, unless a write for the service is in progress or backs off. Callers repeat the call
-     * until it is written.
+     * until the state is written.
      */
     readonly write: (order: RolloutOrder, state: RolloutState) => void;
     /** True if the last call of the store for a service failed. */
--- a/packages/box/src/rollouts/trials.ts
+++ b/packages/box/src/rollouts/trials.ts
@@ -141,7 +141,7 @@
         return traffic?.decision() === undefined ? traffic : undefined;
     }
 
-    /** Applies the order's state in the store. An outcome there ends the trial, and wins over another decision. */
+    /** Applies the order's state in the store. An outcome there ends the trial and replaces a differing decision. */
     function onState(traffic: TrialTraffic, rollout: RolloutOrder): void {
         const { state: outcome } = rollout;
         if ((outcome === "completed" || outcome === "rolledBack") && traffic.decision() !== outcome) {
--- a/packages/box/src/servers/exchange.ts
+++ b/packages/box/src/servers/exchange.ts
@@ -2,7 +2,7 @@
  * One request to one backend server and its whole answer.
  *
  * An answer is accepted only if it carries the request's id and is complete;
- * `framed` says whether its length or its chunks prove that. Any other data or
+ * `framed` says whether its length, its chunks or its status prove that. Any other data or
  * error on the connection breaks the exchange, and the connection is not reused.
  */
 
--- a/packages/box/src/servers/recent-sends.ts
+++ b/packages/box/src/servers/recent-sends.ts
@@ -3,7 +3,7 @@
  * to be leaving, a log line shows for each of them when the server was chosen, when
  * the request was written, and how old the list of servers was at the choice. This
  * distinguishes an outdated list from a delayed request by the log of the box
- * alone, even if its rate limit suppressed the lines of the requests themselves.
+ * alone, even if the log's rate limit suppressed the lines of the requests.
  *
  * Owns the latest sends of each server; relies on its owner to call `forget`.
  */
--- a/packages/box/src/settings.ts
+++ b/packages/box/src/settings.ts
@@ -23,7 +23,7 @@
     /** Time within which a change of the shared state must be in force on every box. */
     readonly maxPropagationDelay: Milliseconds;
     /**
-     * Age of the copy of the keys from which a box admits no key, since one may have been revoked; undefined if the box
+     * Once its copy of the keys is this old, a box admits no key, since any may have been revoked; undefined if the box
      * keeps using the copy that it has.
      */
     readonly maxKeyCopyAge: Milliseconds | undefined;
--- a/packages/box/src/state/state-reader.ts
+++ b/packages/box/src/state/state-reader.ts
@@ -8,7 +8,7 @@
 import type { MissingChanges, SharedItems, SharedKind, Snapshot } from "@chalkdale/decisions";
 import type { AvailabilityZoneId, BoxId, RegionId } from "@chalkdale/kernel";
 
-/** The box that a message came from. */
+/** Another box whose replicas can be read: the sender of a message. */
 export interface StatePeer {
     readonly box: BoxId;
     readonly peerAddress: string;
--- a/packages/box/src/state/store-follower.ts
+++ b/packages/box/src/state/store-follower.ts
@@ -35,8 +35,8 @@
 import { createWatchTimeouts } from "./watch-timeouts.js";
 
 /**
- * Wait in milliseconds of an urgent watch, as of the first one after a list that may be stale: it returns the changes
- * since then at once.
+ * Wait in milliseconds of an urgent watch, such as the first one after a list that may be stale: the watch returns at
+ * once, with the changes since the list.
  */
 const urgentWait = milliseconds(1);
 /** Interval in milliseconds at which a kind checks whether the store answers another kind's calls again. */
@@ -80,7 +80,7 @@
     const { clock, log, relayRole, signal, state, statuses, store, unservedBoxes } = options;
     let unavailableSince: Milliseconds | undefined;
     let lastFailedKind: SharedKind | undefined;
-    /** Kinds whose replica a watch has confirmed since the list that may have been stale. */
+    /** Kinds whose replica a watch has confirmed since the first list, which may be stale, and the last failed call. */
     const confirmedKinds = new Set<SharedKind>();
     const watchTimeouts = createWatchTimeouts({
         ageOf,
@@ -288,8 +288,8 @@
     }
 
     /**
-     * Returns true if other boxes of the region rely on what the store has just confirmed. An update that is published
-     * says so too.
+     * Returns true if other boxes of the region rely on what the store has just confirmed. A published
+     * update confirms it too.
      */
     function isDigestNeeded(isUrgent: boolean, hasChanges: boolean): boolean {
         return relayRole.hasRelay()
@@ -297,7 +297,7 @@
             : isUrgent || relayRole.confirmsForRegion();
     }
 
-    /** Returns true for the first watch after a list, and once the replica is older than it should be. */
+    /** Returns true until a watch succeeds after the first list or a failed call, and while the replica is too old. */
     function isConfirmationUrgent(kind: SharedKind): boolean {
         const age = ageOf(kind);
         return !confirmedKinds.has(kind) || relayRole.isStale(kind, age) || age >= relayRole.reconnectAfterAge(kind);
--- a/packages/box/src/traffic-meter.ts
+++ b/packages/box/src/traffic-meter.ts
@@ -25,7 +25,7 @@
     | "deadly"
     /** Rate limits that servers report. */
     | "limits"
-    /** Reports, grants and updates of roll-outs. */
+    /** Reports, grants, write requests and decisions of roll-outs. */
     | "rollout"
     /** Members read from another box. */
     | "members"
