--- a/packages/box/src/callers/caller-connections.ts
+++ b/packages/box/src/callers/caller-connections.ts
@@ -88,7 +88,10 @@
     }
 }
 
-/** True for a request that Node would otherwise answer itself, closing the connection behind the pipeline's back. */
+/**
+ * True for an HTTP/1.1 request without the required Host header. By default Node would answer it itself and close the
+ * connection, bypassing the pipeline.
+ */
 function lacksHost({ headers, httpVersion }: IncomingMessage): boolean {
     return httpVersion === "1.1" && headers.host === undefined;
 }
--- a/packages/box/src/graceful-shutdown.ts
+++ b/packages/box/src/graceful-shutdown.ts
@@ -11,9 +11,9 @@
 export interface GracefulShutdownOptions {
     readonly clock: Clock;
     readonly log: Log;
-    /** Time between the stop signal and the kill. */
+    /** Time between the termination signal and the kill. */
     readonly grace: Milliseconds;
-    /** Requests in flight. */
+    /** Returns the number of requests whose answers have not left the process yet. */
     readonly inFlight: () => number;
     /** Called as soon as the shutdown begins. */
     readonly onLeaving: () => void;
--- a/packages/box/src/peers/peer-receiver.ts
+++ b/packages/box/src/peers/peer-receiver.ts
@@ -1,9 +1,9 @@
 /**
- * Handles datagrams of other boxes: heartbeats, digests, updates, and reports about servers and requests. Invalid ones
- * are logged and dropped.
+ * Handles datagrams of other boxes: heartbeats, digests, updates, reports about servers and requests, and messages
+ * about quotas and roll-outs. Invalid ones are logged and dropped.
  *
- * Owns only the state of its reads of members; relies on the membership for which boxes there are, and passes
- * everything else to its handlers.
+ * Owns only the state of its reads of members; keeps the membership up to date, and passes everything else to its
+ * handlers.
  */
 
 import type { MemberRecord, Membership, MemberStatus } from "@chalkdale/decisions";
--- a/packages/box/src/poison-requests/poison-request-guard.ts
+++ b/packages/box/src/poison-requests/poison-request-guard.ts
@@ -2,10 +2,11 @@
  * Keeps poison requests, which terminate the servers that run them, away from the
  * servers of all boxes.
  *
- * Tracks each request while it is served. Until a server terminates while it runs one,
- * that costs an entry in a set. Then the request is identified by its fingerprint, the
- * termination is sent to the boxes that collect terminations of that request, and these
- * inform all boxes once the request must be served one at a time, or not at all.
+ * Tracks each request while it is served, which costs only an entry in a set as long as
+ * no server terminates. When a server terminates while it runs a request, the request is
+ * identified by its fingerprint, and the termination is sent to the boxes that collect
+ * those of that request. They inform all boxes once the request must be served one at a
+ * time, or not at all.
  *
  * Owns the records of this box; relies on the decisions for how a request may be
  * served, on attempts for whether a server terminated, and on messages between boxes.
@@ -40,7 +41,7 @@
 
 /** A request that is tracked while it is served. */
 export interface TrackedRequest {
-    /** True if the request was stopped, at servers too, since its fingerprint is held. */
+    /** True once the request and its attempts have been aborted because its fingerprint is held. */
     readonly isStopped: () => boolean;
     /** True if servers have terminated while they ran requests with its fingerprint: it gets no hedged attempts. */
     readonly isExcludedFromHedging: () => boolean;
@@ -223,7 +224,10 @@
         }
     }
 
-    /** Aborts requests with the fingerprint at servers too: one that waits there for a slot has not begun to run. */
+    /**
+     * Aborts the requests with the fingerprint, including those that were sent: one that waits for a slot of its server
+     * has not begun to run.
+     */
     function stopAll(fingerprint: RequestFingerprint): void {
         for (const request of requests.withFingerprint(fingerprint)) {
             request.isStopped = true;
--- a/packages/box/src/requests/active-request.ts
+++ b/packages/box/src/requests/active-request.ts
@@ -61,9 +61,9 @@
     sent: number;
     /** Attempts that reached no server. */
     notSent: number;
-    /** The one repeat at a server that refused the request despite free slots was used. */
+    /** True once the request was repeated at a server that refused it despite free slots: done only once. */
     retriedSameServer: boolean;
-    /** An attempt broke off after it had reached a server. */
+    /** True if an attempt broke off after it was sent, or the request was stopped after an attempt was sent. */
     mayHaveRun: boolean;
     /** The latest answer of a server; while the request goes on, a failure or an unverified success. */
     lastAnswer: ServerAnswer | undefined;
--- a/packages/box/src/requests/attempt.ts
+++ b/packages/box/src/requests/attempt.ts
@@ -177,9 +177,9 @@
     }
 
     /**
-     * Aborts a request that is overdue once its server turns out to have ended: a new incarnation is listed, a later
-     * server has its address or, for an idempotent request, which another server may run as well, the server accepts no
-     * connection. A liveness check alone is not enough, because whichever server has the address now accepts the
+     * Aborts an overdue request once its server turns out to have ended: a new incarnation is listed, or a later server
+     * has its address. An idempotent request, which another server may run as well, is also aborted if the server
+     * accepts no connection. This check alone is not enough, because whichever server has the address now accepts the
      * connection: a request then waits until its caller's deadline, 12.5 s in one case.
      */
     function startOverdueCheck(request: AttemptRequest): { readonly signal: AbortSignal; readonly end: () => void; } {
@@ -204,7 +204,7 @@
         }
     }
 
-    /** True if the server of an overdue request has ended, as far as the request may act on it. Never rejects. */
+    /** True if the server has ended, by a liveness check only if the request is idempotent. Never rejects. */
     async function hasEnded({ route, server }: AttemptRequest): Promise<boolean> {
         if (options.hasSuccessor(server)) {
             return true;
--- a/packages/box/src/requests/data-plane.ts
+++ b/packages/box/src/requests/data-plane.ts
@@ -84,8 +84,8 @@
     /** Serves the requests of callers. */
     readonly handler: RequestHandler;
     /**
-     * Called after a restart of a server: closes idle connections to its earlier incarnation and forgets the keys that
-     * this one knew.
+     * Called after a restart of a server: closes idle connections to its earlier incarnation, and forgets its recent
+     * keys and sends.
      */
     readonly onServerRestarted: (server: BackendServerId) => void;
     /** Closes connections idle for too long, and forgets servers that are gone. Due several times per second. */
@@ -203,8 +203,8 @@
     }
 
     /**
-     * Returns this box's part, equal for all advertised boxes, of the rate limits of a service's servers in requests
-     * per second.
+     * Returns this box's share of the sum of the rate limits of a service's servers, in requests per second. All
+     * advertised boxes have equal shares.
      */
     function rateLimitShare(service: ServiceId): number {
         const limitUpdates = catalog.ofService(service).map(({ state: server }) => server.limit());
@@ -212,7 +212,7 @@
         return total / Math.max(1, limits.advertised().length);
     }
 
-    /** Returns the time until the first back-off ends that a server of the service asked this box for. */
+    /** Returns the time until the first of the back-offs ends that servers of the service have asked this box for. */
     function firstBackoffEndsIn(service: ServiceId): Milliseconds {
         const now = clock();
         const ends = catalog.ofService(service).map(({ state: server }) => server.backoffUntil()).filter(end =>
--- a/packages/box/src/requests/request-body.ts
+++ b/packages/box/src/requests/request-body.ts
@@ -97,8 +97,8 @@
         }
 
         /**
-         * Sends 100 Continue once if the caller expects it. Earlier, the caller would send a body that may be refused
-         * or has to wait.
+         * Sends 100 Continue once if the caller expects it. If it were sent before the body can be read, the caller
+         * would send a body that may be refused or has to wait.
          */
         function continueOnce(): void {
             if (!mayCallerSend) {
--- a/packages/box/src/requests/server-feedback.ts
+++ b/packages/box/src/requests/server-feedback.ts
@@ -2,7 +2,7 @@
  * Applies the outcome of an attempt to the state of its server, and decides whether
  * the connection is kept.
  *
- * Applies the classification of answers; owns no state.
+ * Relies on the classification of answers; owns no state.
  */
 
 import {
@@ -82,7 +82,7 @@
             if (load !== undefined) {
                 options.serviceLoad.onReport(request.service, load);
             }
-            // A connection to an earlier incarnation died with it, and a request sent on it would be lost.
+            // A connection to an earlier incarnation ended with it, and a request sent on it would be lost.
             if (answer.reusable && options.hasNewIncarnation(request.server)) {
                 socket.destroy();
             }
--- a/packages/box/src/rollouts/report-deltas.ts
+++ b/packages/box/src/rollouts/report-deltas.ts
@@ -9,9 +9,9 @@
 import type { EvidenceCell, RolloutId, RolloutReport } from "@chalkdale/decisions";
 import type { BoxId } from "@chalkdale/kernel";
 
-/** Reports that contain a changed cell, so a lost datagram delays it by only one report. */
+/** Number of consecutive reports that contain a changed cell: one lost datagram delays it by only one report. */
 const sendsPerChange = 2;
-/** Reports from one with all cells to the next, for a new deciding box or one that missed some: 3 s. */
+/** One report in this many, every 3 s, contains all cells, for a deciding box that restarted or missed some. */
 const fullReportInterval = 10;
 
 /** Returns a function that selects the cells for the next report to a box: those that changed, or all of them. */
--- a/packages/box/src/rollouts/rollout-metrics.ts
+++ b/packages/box/src/rollouts/rollout-metrics.ts
@@ -9,7 +9,7 @@
 import { hashText } from "@chalkdale/kernel";
 import type { RolloutSummary } from "./rollouts.js";
 
-/** Maximum orders with series, the oldest first: up to about 60 lines of 100 bytes each. */
+/** Maximum number of orders with series, the oldest first. Each order has up to about 60 lines of 100 bytes. */
 const maxOrders = 20;
 /** Label of the routes that the evidence does not distinguish. */
 const otherRoutes = "(others)";
--- a/packages/box/src/rollouts/rollouts.ts
+++ b/packages/box/src/rollouts/rollouts.ts
@@ -91,7 +91,7 @@
     readonly onOrders: (orders: readonly RolloutOrder[]) => void;
     /** Sends one round of reports. Called in each gossip round. */
     readonly onGossipRound: () => void;
-    /** Runs one step of the deciders. Called several times a second. */
+    /** Runs one step of the deciders, and writes decisions that the store lacks. Called several times a second. */
     readonly step: () => void;
     readonly onMessage: (from: MemberRecord, message: RolloutMessage) => void;
     /** Decisions to repeat in gossip now; undefined if there are none. */
@@ -210,7 +210,7 @@
         }
     }
 
-    /** Adopts the identity under which the sender of a message knows the order, from before the store lost it. */
+    /** Adopts the identity by which the sender of a message knows an order that the store has lost and got again. */
     function adoptIdentity(rollout: RolloutId): void {
         if (orderHistory.adoptIdentity(rollout, clock())) {
             log.info("rollout.identified", { ...rollout });
@@ -224,7 +224,8 @@
     }
 
     /**
-     * Handles a report. A box that reports on a decided order was cut off or has just started, and gets the decision.
+     * Handles a report. A box that reports on a decided order was disconnected or has just started, and gets the
+     * decision.
      */
     function onReport(from: MemberRecord, report: RolloutReport): void {
         const decision = knownDecisions.find(report.rollout);
--- a/packages/box/src/state/state-messages.ts
+++ b/packages/box/src/state/state-messages.ts
@@ -71,7 +71,7 @@
         && Array.isArray(update.changes) && update.changes.every(change => isItemChange(update.kind!, change));
 }
 
-/** Returns true for valid changes that a replica lacks, as a box answers a read. */
+/** Returns true for a valid answer of a box to a read: the changes that the reader's replica lacks. */
 export function isMissingChanges<Kind extends SharedKind>(
     kind: Kind,
     value: unknown,
--- a/packages/box/src/state/watch-timeouts.ts
+++ b/packages/box/src/state/watch-timeouts.ts
@@ -10,8 +10,8 @@
 
 /**
  * Timeouts in milliseconds of consecutive urgent watches; after each, the next watch takes another connection. Later
- * ones have only the timeout of the call itself, as the store may just be slow. A second connection that stops working
- * thus delays a change by 0.3 s more instead of by the 1.5 s of a call.
+ * ones have only the timeout of the call itself, as the store may just be slow. The second timeout is 0.3 s longer than
+ * the first: a second connection that doesn't work thus delays a change by 0.6 s instead of by the 1.5 s of a call.
  */
 const urgentTimeouts: readonly number[] = [watchOverdueAfter, 2 * watchOverdueAfter];
 
